--- a/include/ochrehill/ochrehill.hpp
+++ b/include/hollyrun/balancer.hpp
@@ -1,4 +1,4 @@
-// ochrehill: the decisions of an HTTP load balancer run as a small bank of proxies.
+// The balancer: the decisions of an HTTP load balancer run as a small bank of proxies.
 //
 // The embedding proxy feeds a Balancer with events and the clock, and carries out the actions that
 // come back. The Balancer does no I/O, reads no clock, starts no thread and keeps no globals: the same
@@ -17,7 +17,7 @@
 #include <string_view>
 #include <vector>
 
-namespace ochrehill {
+namespace hollyrun::balancer {
 
 using Duration = std::chrono::nanoseconds;
 using Time = std::chrono::nanoseconds;  // since any fixed start; must never go back
@@ -169,4 +169,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace ochrehill
+}  // namespace hollyrun::balancer
--- a/src/choice.cpp
+++ b/src/balancer/choice.cpp
@@ -1,4 +1,4 @@
-// The decision module. Interface (types, events, actions): include/ochrehill/ochrehill.hpp.
+// The decision module. Interface (types, events, actions): include/hollyrun/balancer.hpp.
 //
 // A request is scored 1 to 100 by worth, refused unsent when it scores below the cutoff, and otherwise sent
 // to a random ready host that holds few of our requests, else to the lighter of two draws. The cutoff is
@@ -10,11 +10,11 @@
 #include <random>
 #include <unordered_map>
 
-#include "ochrehill/ochrehill.hpp"
-#include "settings.hpp"
-#include "state.hpp"
+#include "balancer/settings.hpp"
+#include "balancer/state.hpp"
+#include "hollyrun/balancer.hpp"
 
-namespace ochrehill {
+namespace hollyrun::balancer {
 namespace {
 
 using std::chrono::milliseconds;
@@ -1079,4 +1079,4 @@
 double Balancer::cutoff() const { return impl_->cut; }
 std::size_t Balancer::openRequests() const { return impl_->slotOf.size(); }
 
-}  // namespace ochrehill
+}  // namespace hollyrun::balancer
--- a/src/settings.cpp
+++ b/src/balancer/settings.cpp
@@ -1,15 +1,15 @@
-#include "settings.hpp"
+#include "balancer/settings.hpp"
 
 #include <cmath>
 #include <set>
 #include <stdexcept>
 #include <string>
 
-namespace ochrehill {
+namespace hollyrun::balancer {
 namespace {
 
 void require(bool good, const std::string& what) {
-  if (!good) throw std::invalid_argument("ochrehill settings: " + what);
+  if (!good) throw std::invalid_argument("balancer settings: " + what);
 }
 
 }  // namespace
@@ -40,4 +40,4 @@
     require(std::isfinite(t.quotaPerSecond) && t.quotaPerSecond >= 0, "tenant " + t.name + ": bad quota");
 }
 
-}  // namespace ochrehill
+}  // namespace hollyrun::balancer
--- a/src/settings.hpp
+++ b/src/balancer/settings.hpp
@@ -1,10 +1,10 @@
 // Rejects settings that make no sense, before any decision is taken on them.
 #pragma once
 
-#include "ochrehill/ochrehill.hpp"
+#include "hollyrun/balancer.hpp"
 
-namespace ochrehill {
+namespace hollyrun::balancer {
 
 void validate(const Settings& settings);  // throws std::invalid_argument that names the setting
 
-}  // namespace ochrehill
+}  // namespace hollyrun::balancer
--- a/src/state.hpp
+++ b/src/balancer/state.hpp
@@ -14,9 +14,9 @@
 #include <utility>
 #include <vector>
 
-#include "ochrehill/ochrehill.hpp"
+#include "hollyrun/balancer.hpp"
 
-namespace ochrehill {
+namespace hollyrun::balancer {
 
 inline double toSeconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 inline Duration scaled(Duration d, double by) {
@@ -223,4 +223,4 @@
   bool operator>(const Guard& o) const { return at != o.at ? at > o.at : slot > o.slot; }
 };
 
-}  // namespace ochrehill
+}  // namespace hollyrun::balancer
--- a/src/net/body_stream.hpp
+++ b/src/gateway/body_stream.hpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <utility>
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 
 inline constexpr std::uint64_t kHeldBody = 64 << 10;  // so much is held whole, and may be resent
 inline constexpr std::uint64_t kMostBody = 32 << 20;  // of a request
@@ -155,4 +155,4 @@
   return size + "\r\n" + piece + "\r\n";
 }
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/client_server.cpp
+++ b/src/gateway/client_server.cpp
@@ -1,4 +1,4 @@
-#include "net/client_server.hpp"
+#include "gateway/client_server.hpp"
 
 #include <linux/filter.h>
 #include <poll.h>
@@ -18,7 +18,7 @@
 #include <utility>
 #include <vector>
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 namespace {
 
 namespace asio = boost::asio;
@@ -621,4 +621,4 @@
   });
 }
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/client_server.hpp
+++ b/src/gateway/client_server.hpp
@@ -14,10 +14,10 @@
 #include <unordered_map>
 #include <unordered_set>
 
-#include "net/body_stream.hpp"
-#include "net/host_pool.hpp"
+#include "gateway/body_stream.hpp"
+#include "gateway/host_pool.hpp"
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 
 using ExchangeId = std::uint64_t;  // one request of a client with its answer; never used again
 
@@ -97,4 +97,4 @@
   bool last_ = false;
 };
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/config.cpp
+++ b/src/gateway/config.cpp
@@ -1,4 +1,4 @@
-#include "net/config.hpp"
+#include "gateway/config.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -7,15 +7,15 @@
 #include <sstream>
 #include <type_traits>
 
-#include "fleet/message.hpp"
-#include "net/json_number.hpp"
-#include "net/keys.hpp"
+#include "gateway/json_number.hpp"
+#include "gateway/keys.hpp"
+#include "membership/message.hpp"
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 namespace {
 
+using balancer::Duration;
 using nlohmann::json;
-using ochrehill::Duration;
 
 // What no setting reaches; far below where sums of the clock or of worths would overflow.
 constexpr std::int64_t kLongestNs = std::int64_t{366} * 24 * 3600 * 1000000000;
@@ -56,9 +56,9 @@
   return &*it;
 }
 
-ochrehill::ClassSettings readClass(const json& grade) {
+balancer::ClassSettings readClass(const json& grade) {
   if (!grade.is_object()) throw BadConfig("grades: an entry is no object");
-  ochrehill::ClassSettings c;
+  balancer::ClassSettings c;
   std::string effect = "fragile", group = "all";
   read(grade, "name", c.name);
   read(grade, "aimNs", c.aim);
@@ -70,11 +70,11 @@
   read(grade, "inTurn", c.inTurn);
   read(grade, "effect", effect);
   read(grade, "group", group);
-  if (effect == "retryable") c.effect = ochrehill::Effect::retryable;
-  else if (effect == "dedup") c.effect = ochrehill::Effect::dedup;
+  if (effect == "retryable") c.effect = balancer::Effect::retryable;
+  else if (effect == "dedup") c.effect = balancer::Effect::dedup;
   else if (effect != "fragile") throw BadConfig("effect: unknown '" + effect + "'");
-  if (group == "zone") c.group = ochrehill::Group::zone;
-  else if (group == "cell") c.group = ochrehill::Group::cell;
+  if (group == "zone") c.group = balancer::Group::zone;
+  else if (group == "cell") c.group = balancer::Group::cell;
   else if (group != "all") throw BadConfig("group: unknown '" + group + "'");
   std::vector<std::string> names;
   if (grade.contains("staysIn")) read(grade, "staysIn", names), c.zones = names;
@@ -85,8 +85,8 @@
   return c;
 }
 
-ochrehill::Settings readSettings(const json& settings) {
-  ochrehill::Settings s;
+balancer::Settings readSettings(const json& settings) {
+  balancer::Settings s;
   std::string weights;
   read(settings, "groupSize", s.groupSize);
   read(settings, "myNumber", s.number);
@@ -121,7 +121,7 @@
   if (const json* tenants = list(settings, "tenants"))
     for (const json& tenant : *tenants) {
       if (!tenant.is_object()) throw BadConfig("tenants: an entry is no object");
-      ochrehill::TenantSettings t;
+      balancer::TenantSettings t;
       read(tenant, "name", t.name);
       read(tenant, "quotaRps", t.quotaPerSecond);
       s.tenants.push_back(t);
@@ -193,7 +193,7 @@
 }
 
 std::optional<MembershipConfig> readMembership(const json& config, const Environment& environment) {
-  const json& part = cairnjunction::part(config, "membership");
+  const json& part = gateway::part(config, "membership");
   // Danger: a record holds an IPv4 address; another kind would end a gateway that serves, at SIGHUP.
   const auto endpoint = [](const tcp::endpoint& e) {
     if (!e.address().is_v4()) throw BadConfig("membership: only IPv4 addresses");
@@ -229,10 +229,9 @@
 void needShort(const char* what, const std::string& text, bool needed) {
   const bool plain =
       std::none_of(text.begin(), text.end(), [](unsigned char c) { return c < 0x20 || c == 0x7f; });
-  if (text.size() > hollyrun::fleet::kMostText || !plain || (needed && text.empty()))
+  if (text.size() > membership::kMostText || !plain || (needed && text.empty()))
     throw BadConfig(std::string(what) + ": for membership it has to be a text of " + (needed ? "1" : "0") +
-                    " to " + std::to_string(hollyrun::fleet::kMostText) +
-                    " bytes with no control characters");
+                    " to " + std::to_string(membership::kMostText) + " bytes with no control characters");
 }
 
 // What a file may leave out though the running one had it: WIRE says so, or it counts at a start only.
@@ -303,7 +302,7 @@
       throw BadConfig(std::string("known: ") + bad.what());
     }
   try {  // the module judges its own settings
-    ochrehill::Balancer probe(config.module, Duration{});
+    balancer::Balancer probe(config.module, Duration{});
   } catch (const std::invalid_argument& bad) {
     throw BadConfig(bad.what());
   }
@@ -329,4 +328,4 @@
   return config;
 }
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/config.hpp
+++ b/src/gateway/config.hpp
@@ -1,5 +1,5 @@
 // What the gateway is told at its start: GW_* variables and the file, the platform's JSON or a person's TOML,
-// as typed settings. net/keys.hpp holds the table of all keys.
+// as typed settings. gateway/keys.hpp holds the table of all keys.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -15,11 +15,11 @@
 #include <string_view>
 #include <vector>
 
-#include "net/host_list.hpp"
-#include "net/log.hpp"
-#include "ochrehill/ochrehill.hpp"
+#include "gateway/host_list.hpp"
+#include "gateway/log.hpp"
+#include "hollyrun/balancer.hpp"
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 
 using tcp = boost::asio::ip::tcp;
 using udp = boost::asio::ip::udp;
@@ -33,7 +33,7 @@
   std::optional<udp::endpoint> advertise;  // where others reach it; none: at the address it listens on
   std::string fleet = "fleet", region;
   std::vector<udp::endpoint> seeds;
-  ochrehill::Duration period = std::chrono::seconds(1);
+  balancer::Duration period = std::chrono::seconds(1);
 };
 
 struct Config {
@@ -43,8 +43,8 @@
   std::string tmp = "/tmp";                 // the one folder that may be written to
   std::size_t memoryBytes = 64 << 20;       // that it may hold
   std::size_t sockets = 1024;               // file descriptors that the process may hold
-  ochrehill::Duration connectTimeout{};     // for a new connection to a host
-  ochrehill::Settings module;               // for the decisions
+  balancer::Duration connectTimeout{};      // for a new connection to a host
+  balancer::Settings module;                // for the decisions
   LogSettings log;
   std::optional<MembershipConfig> membership;  // none: that part is off
   std::optional<HostList> known;               // hosts as last had; may be old
@@ -60,4 +60,4 @@
 Config parseConfig(const nlohmann::json& json, const Environment& environment,
                    const Config* running = nullptr);
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/discovery.cpp
+++ b/src/gateway/discovery.cpp
@@ -1,13 +1,13 @@
-#include "net/discovery.hpp"
+#include "gateway/discovery.hpp"
 
 #include <boost/beast/http/read.hpp>
 #include <boost/beast/http/write.hpp>
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "net/endpoint_text.hpp"
+#include "gateway/endpoint_text.hpp"
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 namespace {
 
 namespace asio = boost::asio;
@@ -145,4 +145,4 @@
   callbacks_.failed();
 }
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/discovery.hpp
+++ b/src/gateway/discovery.hpp
@@ -14,9 +14,9 @@
 #include <memory>
 #include <optional>
 
-#include "net/host_list.hpp"
+#include "gateway/host_list.hpp"
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 
 class Discovery {
  public:
@@ -59,4 +59,4 @@
   std::shared_ptr<Call> call_;
 };
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/endpoint_text.hpp
+++ b/src/gateway/endpoint_text.hpp
@@ -4,11 +4,11 @@
 #include <boost/asio/ip/basic_endpoint.hpp>
 #include <string>
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 
 template <class Protocol>
 std::string textOf(const boost::asio::ip::basic_endpoint<Protocol>& e) {
   return e.address().to_string() + ":" + std::to_string(e.port());
 }
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/fleet_link.cpp
+++ b/src/gateway/fleet_link.cpp
@@ -1,4 +1,4 @@
-#include "net/fleet_link.hpp"
+#include "gateway/fleet_link.hpp"
 
 #include <boost/asio/ip/udp.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -12,16 +12,16 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-#include "fleet/membership.hpp"
+#include "membership/membership.hpp"
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 namespace {
 
 namespace asio = boost::asio;
 using boost::system::error_code;
-using hollyrun::fleet::Address;
-using hollyrun::fleet::Membership;
-using hollyrun::fleet::Record;
+using membership::Address;
+using membership::Membership;
+using membership::Record;
 using nlohmann::json;
 using Clock = std::chrono::steady_clock;
 
@@ -40,8 +40,8 @@
   return text;
 }
 
-hollyrun::fleet::MembershipSettings settingsOf(const MembershipConfig& m) {
-  hollyrun::fleet::MembershipSettings s;
+membership::MembershipSettings settingsOf(const MembershipConfig& m) {
+  membership::MembershipSettings s;
   s.fleet = m.fleet;
   for (const udp::endpoint& seed : m.seeds) s.seeds.push_back(addressOf(seed));
   s.period = m.period;
@@ -132,8 +132,8 @@
   std::vector<prometheus::MetricFamily> metrics() const;
 
  private:
-  static hollyrun::fleet::Time now() { return Clock::now().time_since_epoch(); }
-  static json jsonOf(const Record& r, hollyrun::fleet::Duration since);
+  static membership::Time now() { return Clock::now().time_since_epoch(); }
+  static json jsonOf(const Record& r, membership::Duration since);
 
   void read() {
     socket_.async_wait(udp::socket::wait_read, [self = shared_from_this()](error_code ec) {
@@ -175,8 +175,8 @@
       self->settle();
     });
   }
-  void tell(const hollyrun::fleet::Event& e) {
-    using Kind = hollyrun::fleet::Event::Kind;
+  void tell(const membership::Event& e) {
+    using Kind = membership::Event::Kind;
     const Record& r = e.member;
     const LogLevel level = e.kind == Kind::rival                             ? LogLevel::error
                            : e.kind == Kind::died || e.kind == Kind::stalled ? LogLevel::warning
@@ -202,7 +202,7 @@
   MembershipConfig config_;
   Record place_;
   std::uint64_t seed_ = 0;
-  hollyrun::fleet::Time started_ = now();
+  membership::Time started_ = now();
   std::optional<Membership> members_;
   std::array<char, kBuffer> buffer_{};
   std::int64_t second_ = 0;
@@ -212,7 +212,7 @@
   bool waiting_ = false, closed_ = false;
 };
 
-json FleetLink::Link::jsonOf(const Record& r, hollyrun::fleet::Duration since) {
+json FleetLink::Link::jsonOf(const Record& r, membership::Duration since) {
   return {{"name", r.name},
           {"state", nameOf(r.state)},
           {"since_s", std::chrono::duration<double>(since).count()},
@@ -258,7 +258,7 @@
       {"stale", c.stale},       {"full", c.full},     {"refuted", c.refuted},  {"suspicions", c.suspicions},
       {"deaths", c.deaths},     {"stalls", c.stalls}, {"flooded", flooded_},   {"unsent", unsent_}};
   for (std::size_t i = 0; i < c.bad.size(); ++i)
-    counts[std::string("bad_") + nameOf(static_cast<hollyrun::fleet::Bad>(i))] = c.bad[i];
+    counts[std::string("bad_") + nameOf(static_cast<membership::Bad>(i))] = c.bad[i];
   return all.dump(2, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
@@ -302,7 +302,7 @@
   }
   family("bad_total", "Datagrams dropped, by reason.", prometheus::MetricType::Counter);
   for (std::size_t i = 0; i < c.bad.size(); ++i)
-    add(static_cast<double>(c.bad[i]), {{"reason", nameOf(static_cast<hollyrun::fleet::Bad>(i))}});
+    add(static_cast<double>(c.bad[i]), {{"reason", nameOf(static_cast<membership::Bad>(i))}});
   return all;
 }
 
@@ -319,4 +319,4 @@
 std::string FleetLink::text() const { return link_->text(); }
 std::vector<prometheus::MetricFamily> FleetLink::metrics() const { return link_->metrics(); }
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/fleet_link.hpp
+++ b/src/gateway/fleet_link.hpp
@@ -1,5 +1,5 @@
-// The gateway's place in the fleet: membership (src/fleet) on a UDP socket and a timer. It exists only where
-// the configuration names an address for it.
+// The gateway's place in the fleet: membership (src/membership) on a UDP socket and a timer. It exists only
+// where the configuration names an address for it.
 #pragma once
 
 #include <prometheus/metric_family.h>
@@ -11,10 +11,10 @@
 #include <string>
 #include <vector>
 
-#include "net/config.hpp"
-#include "net/log.hpp"
+#include "gateway/config.hpp"
+#include "gateway/log.hpp"
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 
 class FleetLink {
  public:
@@ -46,4 +46,4 @@
 /// Of what a gateway serves by, for comparison: equal files give equal digests at all gateways of a fleet.
 std::uint64_t digestOf(const Config& config);
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,4 +1,4 @@
-#include "net/gateway.hpp"
+#include "gateway/gateway.hpp"
 
 #include <algorithm>
 #include <array>
@@ -10,24 +10,24 @@
 #include <cstdio>
 #include <utility>
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 namespace {
 
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 using boost::beast::string_view;
 using tcp = asio::ip::tcp;
+using balancer::Action;
+using balancer::ActionKind;
+using balancer::Duration;
+using balancer::Effect;
+using balancer::HostId;
+using balancer::ListKind;
+using balancer::Outcome;
+using balancer::Phase;
+using balancer::RequestId;
+using balancer::Time;
 using boost::system::error_code;
-using ochrehill::Action;
-using ochrehill::ActionKind;
-using ochrehill::Duration;
-using ochrehill::Effect;
-using ochrehill::HostId;
-using ochrehill::ListKind;
-using ochrehill::Outcome;
-using ochrehill::Phase;
-using ochrehill::RequestId;
-using ochrehill::Time;
 using Clock = std::chrono::steady_clock;
 
 // The module's clock at our start: hosts that started up to a day before have a time of their own on it.
@@ -217,7 +217,7 @@
   return management_ ? std::optional(management_->listening()) : std::nullopt;
 }
 
-void Gateway::take(const ochrehill::Settings& settings) {
+void Gateway::take(const balancer::Settings& settings) {
   settings_ = settings;
   classOf_.clear();
   tenantOf_.clear();
@@ -283,9 +283,9 @@
 // --- Events ---------------------------------------------------------------------------------------------
 
 void Gateway::told(const HostList& list, ListKind kind) {
-  std::vector<ochrehill::HostEntry> entries;
+  std::vector<balancer::HostEntry> entries;
   for (const ListedHost& host : list.hosts) {
-    ochrehill::HostEntry e;
+    balancer::HostEntry e;
     // The uid names a host to the module: it is the same at all gateways, and outlives a new address.
     e.address = host.uid;
     e.zone = host.zone;
@@ -316,7 +316,7 @@
 
 void Gateway::received(ClientRequest request) {
   const HttpRequest& message = request.message;
-  ochrehill::Request asked;
+  balancer::Request asked;
   http::status status = judgeFraming(message, request.upload || !message.body().empty());
   if (status == http::status::ok && message.target() == "/up" && message.method() == http::verb::get)
     return clients_.answer(request.exchange,
@@ -355,11 +355,11 @@
 }
 
 // What the module is to know of a request; `ok`, or the status to answer.
-http::status Gateway::describe(const HttpRequest& message, ochrehill::Request& request) const {
+http::status Gateway::describe(const HttpRequest& message, balancer::Request& request) const {
   const auto found = classOf_.find(std::string(firstPart(message.target())));
   if (found == classOf_.end()) return http::status::not_found;
   request.classIndex = found->second;
-  const ochrehill::ClassSettings& c = settings_.classes[found->second];
+  const balancer::ClassSettings& c = settings_.classes[found->second];
   if (!message["X-Class"].empty() && message["X-Class"] != string_view(c.name))
     return http::status::bad_request;
   if (message["X-Request-Id"].empty()) return http::status::bad_request;
@@ -433,7 +433,7 @@
     end.answer.erase("X-Load");
     answer(exchange, std::move(end.answer), Statistics::End::success, std::move(end.body), end.length);
   }
-  ochrehill::AttemptResult result;
+  balancer::AttemptResult result;
   result.request = end.key.request;
   result.attempt = end.key.attempt;
   result.host = end.host;
@@ -580,4 +580,4 @@
   });
 }
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -12,18 +12,18 @@
 #include <unordered_map>
 #include <vector>
 
-#include "net/client_server.hpp"
-#include "net/config.hpp"
-#include "net/discovery.hpp"
-#include "net/fleet_link.hpp"
-#include "net/host_pool.hpp"
-#include "net/log.hpp"
-#include "net/management.hpp"
-#include "net/statistics.hpp"
-#include "net/twin.hpp"
-#include "ochrehill/ochrehill.hpp"
+#include "gateway/client_server.hpp"
+#include "gateway/config.hpp"
+#include "gateway/discovery.hpp"
+#include "gateway/fleet_link.hpp"
+#include "gateway/host_pool.hpp"
+#include "gateway/log.hpp"
+#include "gateway/management.hpp"
+#include "gateway/statistics.hpp"
+#include "gateway/twin.hpp"
+#include "hollyrun/balancer.hpp"
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 
 // A final answer leaves so long before the client gives up: for its way there and for a busy machine.
 inline constexpr std::chrono::milliseconds kAnswerMargin{10};
@@ -60,7 +60,7 @@
     HttpRequest message;
     std::shared_ptr<BodyStream> upload;   // its body, if that comes in pieces
     std::optional<std::uint64_t> length;  // of the upload
-    ochrehill::Duration left{};           // from its last byte on
+    balancer::Duration left{};            // from its last byte on
     BodyShare held;
     bool taken = false;                            // its last byte has come,
     std::chrono::steady_clock::time_point came{};  // then
@@ -69,36 +69,36 @@
     bool ended = false;                            // answered, or its client left
   };
 
-  ochrehill::Time now() const;
-  ochrehill::Time moduleTime(std::int64_t unixMs) const;
+  balancer::Time now() const;
+  balancer::Time moduleTime(std::int64_t unixMs) const;
 
   void received(ClientRequest request);
-  boost::beast::http::status describe(const HttpRequest& message, ochrehill::Request& request) const;
+  boost::beast::http::status describe(const HttpRequest& message, balancer::Request& request) const;
   void clientGone(ExchangeId exchange);
   void uploaded(ExchangeId exchange);
-  void told(const HostList& list, ochrehill::ListKind kind);
+  void told(const HostList& list, balancer::ListKind kind);
 
   void drainActions();
-  void carryOut(const ochrehill::Action& action);
-  void send(const ochrehill::Action& action);
-  void giveUp(const ochrehill::Action& action);
+  void carryOut(const balancer::Action& action);
+  void send(const balancer::Action& action);
+  void giveUp(const balancer::Action& action);
   void settle(AttemptEnd end);
   void answer(Exchange& exchange, HttpResponse response, Statistics::End end,
               std::shared_ptr<BodyStream> body = nullptr, std::optional<std::uint64_t> length = {});
   ClientServer::Answered counting(const Exchange& exchange, Statistics::End end);
   Statistics::Gauges gauges() const;
   bool takesClients() const { return ready_ && !shuttingDown_ && clients_.takesClients(); }
-  void take(const ochrehill::Settings& settings);
+  void take(const balancer::Settings& settings);
   void join(const Config& config);
   void divide();
   void open();
   void share();
-  void wakeAt(ochrehill::Time at);
+  void wakeAt(balancer::Time at);
 
   boost::asio::io_context& io_;
   std::chrono::steady_clock::time_point start_;
   std::chrono::system_clock::time_point unixStart_;
-  ochrehill::Settings settings_;
+  balancer::Settings settings_;
   std::unordered_map<std::string, std::uint32_t> classOf_, tenantOf_;
   std::unordered_map<std::string, boost::asio::ip::tcp::endpoint> endpoints_;
   Log& log_;
@@ -106,16 +106,16 @@
   std::size_t sockets_, clientsMost_;
   std::size_t bodyBytes_;
   std::shared_ptr<BodyBudget> budget_;
-  ochrehill::Balancer balancer_;
+  balancer::Balancer balancer_;
   HostPool hosts_;
   Discovery discovery_;
-  std::unordered_map<ochrehill::RequestId, Exchange> exchanges_;
-  std::unordered_map<ExchangeId, ochrehill::RequestId> byClient_;
-  std::vector<ochrehill::RequestId> over_;  // may be dropped once the actions are done
-  std::deque<AttemptEnd> ends_;             // raised while actions are carried out
+  std::unordered_map<balancer::RequestId, Exchange> exchanges_;
+  std::unordered_map<ExchangeId, balancer::RequestId> byClient_;
+  std::vector<balancer::RequestId> over_;  // may be dropped once the actions are done
+  std::deque<AttemptEnd> ends_;            // raised while actions are carried out
   boost::asio::steady_timer waker_, shutDownTimer_, openTimer_;
-  ochrehill::Time wakeAt_{};
-  ochrehill::RequestId lastRequest_ = 0;
+  balancer::Time wakeAt_{};
+  balancer::RequestId lastRequest_ = 0;
   std::function<void()> down_;
   std::uint32_t groupSize_ = 1;  // as configured
   bool carrying_ = false, ready_ = false, shuttingDown_ = false;
@@ -126,4 +126,4 @@
   ClientServer clients_;  // last: it may hand over requests from here on
 };
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/host_list.cpp
+++ b/src/gateway/host_list.cpp
@@ -1,4 +1,4 @@
-#include "net/host_list.hpp"
+#include "gateway/host_list.hpp"
 
 #include <boost/asio/ip/address.hpp>
 #include <charconv>
@@ -6,9 +6,9 @@
 #include <stdexcept>
 #include <unordered_set>
 
-#include "net/json_number.hpp"
+#include "gateway/json_number.hpp"
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 
 boost::asio::ip::tcp::endpoint parseEndpoint(std::string_view text) {
   const std::size_t colon = text.rfind(':');
@@ -78,4 +78,4 @@
   }
 }
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/host_list.hpp
+++ b/src/gateway/host_list.hpp
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 
 enum class HostState { serving, draining, gone };
 
@@ -32,4 +32,4 @@
 HostList parseHostList(const nlohmann::json& json);
 boost::asio::ip::tcp::endpoint parseEndpoint(std::string_view text);  // "127.0.0.1:8080"
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/host_pool.cpp
+++ b/src/gateway/host_pool.cpp
@@ -1,4 +1,4 @@
-#include "net/host_pool.hpp"
+#include "gateway/host_pool.hpp"
 
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
@@ -14,15 +14,15 @@
 #include <sstream>
 #include <utility>
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 namespace {
 
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
+using balancer::Duration;
+using balancer::HostId;
+using balancer::Outcome;
 using boost::system::error_code;
-using ochrehill::Duration;
-using ochrehill::HostId;
-using ochrehill::Outcome;
 using tcp = asio::ip::tcp;
 using Clock = std::chrono::steady_clock;
 
@@ -548,4 +548,4 @@
   });
 }
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/host_pool.hpp
+++ b/src/gateway/host_pool.hpp
@@ -17,10 +17,10 @@
 #include <unordered_set>
 #include <vector>
 
-#include "net/body_stream.hpp"
-#include "ochrehill/ochrehill.hpp"
+#include "gateway/body_stream.hpp"
+#include "hollyrun/balancer.hpp"
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
@@ -34,16 +34,16 @@
 }
 
 struct AttemptKey {
-  ochrehill::RequestId request = 0;
+  balancer::RequestId request = 0;
   std::uint32_t attempt = 0;
   bool operator==(const AttemptKey&) const = default;
 };
 
 struct AttemptEnd {
   AttemptKey key;
-  ochrehill::HostId host = ochrehill::kNone;
-  ochrehill::Outcome outcome = ochrehill::Outcome::reset;
-  ochrehill::Duration taken{};
+  balancer::HostId host = balancer::kNone;
+  balancer::Outcome outcome = balancer::Outcome::reset;
+  balancer::Duration taken{};
   HttpResponse answer;                         // with Outcome::served: whole, or
   std::shared_ptr<BodyStream> body = nullptr;  // its body comes in pieces,
   std::optional<std::uint64_t> length = {};    // so many bytes, if that is known
@@ -52,9 +52,9 @@
 class HostPool {
  public:
   struct Limits {
-    std::size_t connections = 256;         // over all hosts
-    ochrehill::Duration connectTimeout{};  // for a new one
-    ochrehill::Duration idleClose{};       // the host closes idle ones after this at the latest; 0 = never
+    std::size_t connections = 256;        // over all hosts
+    balancer::Duration connectTimeout{};  // for a new one
+    balancer::Duration idleClose{};       // the host closes idle ones after this at the latest; 0 = never
   };
   using Ended = std::function<void(AttemptEnd)>;  // may be called from within start() and cancel()
 
@@ -63,23 +63,23 @@
   HostPool(const HostPool&) = delete;
   HostPool& operator=(const HostPool&) = delete;
 
-  void setEndpoint(ochrehill::HostId host, const boost::asio::ip::tcp::endpoint& endpoint);
+  void setEndpoint(balancer::HostId host, const boost::asio::ip::tcp::endpoint& endpoint);
   // Sends the request, on the latest used idle connection if there is one. Ends exactly once. `beginWithin`:
   // it may not be written later than so long from now.
-  void start(AttemptKey key, ochrehill::HostId host, HttpRequest request, ochrehill::Duration limit,
-             ochrehill::Duration beginWithin = ochrehill::Duration::max());
+  void start(AttemptKey key, balancer::HostId host, HttpRequest request, balancer::Duration limit,
+             balancer::Duration beginWithin = balancer::Duration::max());
   // The body comes in pieces, in chunks if its length is not known. While it comes, uploaded() sets the
   // limit.
-  void start(AttemptKey key, ochrehill::HostId host, HttpRequest head, std::shared_ptr<BodyStream> upload,
-             std::optional<std::uint64_t> length, ochrehill::Duration limit,
-             ochrehill::Duration beginWithin = ochrehill::Duration::max());
-  void uploaded(AttemptKey key, ochrehill::Duration limit);
+  void start(AttemptKey key, balancer::HostId host, HttpRequest head, std::shared_ptr<BodyStream> upload,
+             std::optional<std::uint64_t> length, balancer::Duration limit,
+             balancer::Duration beginWithin = balancer::Duration::max());
+  void uploaded(AttemptKey key, balancer::Duration limit);
   void cancel(AttemptKey key);
-  void drop(AttemptKey key);           // if nothing of it was written yet
-  void drain(ochrehill::HostId host);  // it takes nothing new: what is under way to it may end
-  void closeIdle(ochrehill::HostId host);
+  void drop(AttemptKey key);          // if nothing of it was written yet
+  void drain(balancer::HostId host);  // it takes nothing new: what is under way to it may end
+  void closeIdle(balancer::HostId host);
   void stop();  // closes all without a word
-  void setTimes(ochrehill::Duration connectTimeout, ochrehill::Duration idleClose);
+  void setTimes(balancer::Duration connectTimeout, balancer::Duration idleClose);
   void allow(std::size_t connections);  // fewer than are open: idle ones go
   std::size_t connections() const { return open_; }
   std::uint64_t written() const { return written_; }  // attempts, up to their last byte
@@ -97,10 +97,10 @@
     }
   };
 
-  void begin(AttemptKey key, ochrehill::HostId host, HttpRequest request, ochrehill::Duration limit,
-             ochrehill::Duration beginWithin, std::shared_ptr<BodyStream> upload);
-  Host& hostOf(ochrehill::HostId host);
-  std::shared_ptr<Connection> takeIdle(ochrehill::HostId host);
+  void begin(AttemptKey key, balancer::HostId host, HttpRequest request, balancer::Duration limit,
+             balancer::Duration beginWithin, std::shared_ptr<BodyStream> upload);
+  Host& hostOf(balancer::HostId host);
+  std::shared_ptr<Connection> takeIdle(balancer::HostId host);
   bool closeOldestIdle();
   bool outlived(const Connection& connection) const;
   void dropIdle(const std::shared_ptr<Connection>& connection);
@@ -118,4 +118,4 @@
   boost::asio::steady_timer sweeper_;
 };
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/json_number.hpp
+++ b/src/gateway/json_number.hpp
@@ -7,7 +7,7 @@
 #include <stdexcept>
 #include <string>
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 
 // Both throw std::invalid_argument with a plain reason.
 inline std::int64_t wholeNumber(const nlohmann::json& value, std::int64_t most) {
@@ -28,4 +28,4 @@
                               std::to_string(static_cast<std::int64_t>(most)));
 }
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/keys.cpp
+++ b/src/gateway/keys.cpp
@@ -1,4 +1,4 @@
-#include "net/keys.hpp"
+#include "gateway/keys.hpp"
 
 #define TOML_EXCEPTIONS 1
 #include <toml++/toml.h>
@@ -11,10 +11,10 @@
 #include <set>
 #include <sstream>
 
-#include "net/endpoint_text.hpp"
-#include "net/host_list.hpp"
+#include "gateway/endpoint_text.hpp"
+#include "gateway/host_list.hpp"
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 namespace {
 
 using nlohmann::json;
@@ -206,7 +206,7 @@
   return out;
 }
 
-std::string inMs(ochrehill::Duration d) { return plain(static_cast<double>(d.count()) / kMs); }
+std::string inMs(balancer::Duration d) { return plain(static_cast<double>(d.count()) / kMs); }
 std::string yes(bool flag) { return flag ? "true" : "false"; }
 std::string quoted(const std::string& text) { return json(text).dump(); }
 
@@ -216,7 +216,7 @@
   return form;
 }
 
-std::string classValue(const Key& key, const ochrehill::ClassSettings& c) {
+std::string classValue(const Key& key, const balancer::ClassSettings& c) {
   const std::string_view name = key.toml;
   if (name == "name") return quoted(c.name);
   if (name == "aim_ms") return inMs(c.aim);
@@ -226,8 +226,8 @@
   if (name == "late_share") return plain(c.lateShare);
   if (name == "aim_stretch") return plain(c.aimStretch);
   if (name == "in_turn") return yes(c.inTurn);
-  using ochrehill::Effect;
-  using ochrehill::Group;
+  using balancer::Effect;
+  using balancer::Group;
   if (name == "effect")
     return quoted(std::string(wordOf(key, c.effect == Effect::retryable ? "retryable"
                                           : c.effect == Effect::dedup   ? "dedup"
@@ -242,7 +242,7 @@
 std::string topValue(std::string_view name, const Config& c) {
   const auto address = [](const auto& e) { return quoted(textOf(e)); };
   const MembershipConfig member = c.membership.value_or(MembershipConfig{});
-  const ochrehill::Settings& s = c.module;
+  const balancer::Settings& s = c.module;
   const std::map<std::string_view, std::function<std::string()>> values{
       {"name", [&] { return quoted(c.name); }},
       {"listen", [&] { return address(c.listen); }},
@@ -436,7 +436,7 @@
     }
   for (std::size_t i = 0; i < config.module.tenants.size(); ++i) {
     const std::string prefix = "tenant[" + std::to_string(i) + "].";
-    const ochrehill::TenantSettings& tenant = config.module.tenants[i];
+    const balancer::TenantSettings& tenant = config.module.tenants[i];
     all.push_back({prefix + "name", quoted(tenant.name), from(prefix + "name", none, "/name")});
     all.push_back({prefix + "quota_per_s", plain(tenant.quotaPerSecond),
                    from(prefix + "quota_per_s", none, "/quotaRps")});
@@ -444,4 +444,4 @@
   return all;
 }
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/keys.hpp
+++ b/src/gateway/keys.hpp
@@ -9,9 +9,9 @@
 #include <string_view>
 #include <vector>
 
-#include "net/config.hpp"
+#include "gateway/config.hpp"
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 
 enum class Holds { text, word, endpoint, flag, whole, real, texts };
 
@@ -54,4 +54,4 @@
 /// As a TOML file with the origins as comments; read again, it gives the same settings.
 std::string textOf(const std::vector<Shown>& all);
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/log.cpp
+++ b/src/gateway/log.cpp
@@ -1,4 +1,4 @@
-#include "net/log.hpp"
+#include "gateway/log.hpp"
 
 #include <limits.h>
 #include <poll.h>
@@ -11,7 +11,7 @@
 #include <cstdio>
 #include <nlohmann/json.hpp>
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 namespace {
 
 spdlog::level::level_enum levelOf(LogLevel level) {
@@ -133,4 +133,4 @@
   if (sink_->dropped == before) droppedTold_ = before;
 }
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/log.hpp
+++ b/src/gateway/log.hpp
@@ -15,7 +15,7 @@
 class logger;
 }
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 
 enum class LogLevel { debug, info, warning, error, off };
 
@@ -64,4 +64,4 @@
   std::uint64_t droppedTold_ = 0;
 };
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/management.cpp
+++ b/src/gateway/management.cpp
@@ -1,4 +1,4 @@
-#include "net/management.hpp"
+#include "gateway/management.hpp"
 
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/http/parser.hpp>
@@ -7,7 +7,7 @@
 #include <boost/beast/http/write.hpp>
 #include <utility>
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 namespace {
 
 namespace asio = boost::asio;
@@ -188,4 +188,4 @@
   });
 }
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/management.hpp
+++ b/src/gateway/management.hpp
@@ -11,7 +11,7 @@
 #include <memory>
 #include <string>
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 
 class Management {
  public:
@@ -46,4 +46,4 @@
   std::list<std::shared_ptr<Call>> calls_;  // the oldest first
 };
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/ops_client.cpp
+++ b/src/gateway/ops_client.cpp
@@ -1,4 +1,4 @@
-#include "net/ops_client.hpp"
+#include "gateway/ops_client.hpp"
 
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
@@ -14,10 +14,10 @@
 #include <set>
 #include <stdexcept>
 
-#include "net/endpoint_text.hpp"
-#include "net/host_list.hpp"
+#include "gateway/endpoint_text.hpp"
+#include "gateway/host_list.hpp"
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 namespace {
 
 namespace asio = boost::asio;
@@ -107,4 +107,4 @@
   return out + (agree ? "all agree\n" : remarks);
 }
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/ops_client.hpp
+++ b/src/gateway/ops_client.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 
 /// The body of a 200 answer to GET `target`. Throws std::runtime_error that names the address and what was
 /// wrong.
@@ -17,4 +17,4 @@
 /// another's or members serve by other settings. Throws as askOps, and std::invalid_argument on an address.
 std::string fleetTable(const std::vector<std::string>& addresses, bool& agree);
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/statistics.cpp
+++ b/src/gateway/statistics.cpp
@@ -1,4 +1,4 @@
-#include "net/statistics.hpp"
+#include "gateway/statistics.hpp"
 
 #include <prometheus/metric_family.h>
 #include <prometheus/text_serializer.h>
@@ -6,7 +6,7 @@
 #include <sstream>
 #include <utility>
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 namespace {
 
 // Seconds. From a warm answer to the longest that a client waits, doubled each time.
@@ -103,4 +103,4 @@
   return out.str();
 }
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/statistics.hpp
+++ b/src/gateway/statistics.hpp
@@ -15,7 +15,7 @@
 #include <unordered_map>
 #include <vector>
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 
 class Statistics {
  public:
@@ -55,4 +55,4 @@
   std::uint64_t inflight_ = 0, reconfigOk_ = 0, reconfigFailed_ = 0;
 };
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/twin.cpp
+++ b/src/gateway/twin.cpp
@@ -1,4 +1,4 @@
-#include "net/twin.hpp"
+#include "gateway/twin.hpp"
 
 #include <fcntl.h>
 #include <linux/filter.h>
@@ -13,7 +13,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 namespace {
 
 constexpr auto kLook = std::chrono::milliseconds(100);
@@ -82,4 +82,4 @@
   ::setsockopt(listener, SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, &program, sizeof program);
 }
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/net/twin.hpp
+++ b/src/gateway/twin.hpp
@@ -7,7 +7,7 @@
 #include <functional>
 #include <string>
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 
 class Twin {
  public:
@@ -35,4 +35,4 @@
   bool present_ = false;
 };
 
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -13,15 +13,15 @@
 #include <fstream>
 #include <map>
 
-#include "lab/experiment.hpp"
-#include "lab/explore.hpp"
-#include "lab/fleet.hpp"
-#include "lab/load.hpp"
-#include "lab/members.hpp"
-#include "lab/platform.hpp"
-#include "lab/report.hpp"
-#include "lab/scenario.hpp"
-#include "lab/store.hpp"
+#include "lab/report/experiment.hpp"
+#include "lab/report/report.hpp"
+#include "lab/report/store.hpp"
+#include "lab/rig/fleet.hpp"
+#include "lab/rig/load.hpp"
+#include "lab/rig/platform.hpp"
+#include "lab/simulation/explore.hpp"
+#include "lab/simulation/members.hpp"
+#include "lab/simulation/scenario.hpp"
 
 using namespace hollyrun::lab;
 
--- a/src/lab/experiment.cpp
+++ b/src/lab/report/experiment.cpp
@@ -1,4 +1,4 @@
-#include "lab/experiment.hpp"
+#include "lab/report/experiment.hpp"
 
 #include <algorithm>
 #include <atomic>
--- a/src/lab/experiment.hpp
+++ b/src/lab/report/experiment.hpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "lab/scenario.hpp"
-#include "lab/world.hpp"
+#include "lab/simulation/scenario.hpp"
+#include "lab/simulation/world.hpp"
 
 namespace hollyrun::lab {
 
--- a/src/lab/report.cpp
+++ b/src/lab/report/report.cpp
@@ -1,4 +1,4 @@
-#include "lab/report.hpp"
+#include "lab/report/report.hpp"
 
 #include <spdlog/fmt/fmt.h>
 #include <stdlib.h>
--- a/src/lab/report.hpp
+++ b/src/lab/report/report.hpp
@@ -4,8 +4,8 @@
 #include <string>
 #include <vector>
 
-#include "lab/store.hpp"
-#include "lab/world.hpp"
+#include "lab/report/store.hpp"
+#include "lab/simulation/world.hpp"
 
 namespace hollyrun::lab {
 
--- a/src/lab/store.cpp
+++ b/src/lab/report/store.cpp
@@ -1,4 +1,4 @@
-#include "lab/store.hpp"
+#include "lab/report/store.hpp"
 
 #include <sqlite3.h>
 
--- a/src/lab/store.hpp
+++ b/src/lab/report/store.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/world.hpp"
+#include "lab/simulation/world.hpp"
 
 struct sqlite3;
 
--- a/src/lab/fleet.cpp
+++ b/src/lab/rig/fleet.cpp
@@ -1,4 +1,4 @@
-#include "lab/fleet.hpp"
+#include "lab/rig/fleet.hpp"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -20,8 +20,8 @@
 #include <set>
 #include <stdexcept>
 
-#include "lab/relay.hpp"
-#include "lab/report.hpp"
+#include "lab/report/report.hpp"
+#include "lab/rig/relay.hpp"
 
 namespace hollyrun::lab {
 namespace {
@@ -650,15 +650,15 @@
         "\n[[class]]\nname = \"{}\"\neffect = \"{}\"\naim_ms = {}\ngive_up_ms = {}\nworth = {:.3f}\n"
         "late_share = {:.3f}\n",
         set.name,
-        set.effect == ochrehill::Effect::retryable ? "safe"
-        : set.effect == ochrehill::Effect::dedup   ? "keyed"
-                                                   : "unsafe",
+        set.effect == balancer::Effect::retryable ? "safe"
+        : set.effect == balancer::Effect::dedup   ? "keyed"
+                                                  : "unsafe",
         ms(set.aim), ms(set.giveUp), set.worth, set.lateShare);
-    if (set.effect == ochrehill::Effect::dedup)
+    if (set.effect == balancer::Effect::dedup)
       text += fmt::format("group = \"{}\"\nwindow_ms = {}\n",
-                          set.group == ochrehill::Group::all    ? "all"
-                          : set.group == ochrehill::Group::zone ? "zone"
-                                                                : "cell",
+                          set.group == balancer::Group::all    ? "all"
+                          : set.group == balancer::Group::zone ? "zone"
+                                                               : "cell",
                           ms(set.window));
   }
   return text;
--- a/src/lab/fleet.hpp
+++ b/src/lab/rig/fleet.hpp
@@ -12,8 +12,8 @@
 #include <string>
 #include <vector>
 
-#include "lab/load.hpp"
-#include "lab/platform.hpp"
+#include "lab/rig/load.hpp"
+#include "lab/rig/platform.hpp"
 
 namespace hollyrun::lab {
 
--- a/src/lab/load.cpp
+++ b/src/lab/rig/load.cpp
@@ -1,4 +1,4 @@
-#include "lab/load.hpp"
+#include "lab/rig/load.hpp"
 
 #include <algorithm>
 #include <boost/asio/write.hpp>
@@ -12,8 +12,8 @@
 namespace hollyrun::lab {
 
 namespace http = boost::beast::http;
-using ochrehill::ClassSettings;
-using ochrehill::Effect;
+using balancer::ClassSettings;
+using balancer::Effect;
 
 namespace {
 
--- a/src/lab/load.hpp
+++ b/src/lab/rig/load.hpp
@@ -10,9 +10,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lab/latencies.hpp"
-#include "lab/platform.hpp"
-#include "lab/world.hpp"
+#include "lab/rig/platform.hpp"
+#include "lab/simulation/latencies.hpp"
+#include "lab/simulation/world.hpp"
 
 namespace hollyrun::lab {
 
--- a/src/lab/platform.cpp
+++ b/src/lab/rig/platform.cpp
@@ -1,4 +1,4 @@
-#include "lab/platform.hpp"
+#include "lab/rig/platform.hpp"
 
 #include <sys/socket.h>
 
@@ -17,10 +17,10 @@
 namespace hollyrun::lab {
 
 namespace http = boost::beast::http;
+using balancer::HostEntry;
+using balancer::Outcome;
+using balancer::Phase;
 using nlohmann::json;
-using ochrehill::HostEntry;
-using ochrehill::Outcome;
-using ochrehill::Phase;
 
 namespace {
 
--- a/src/lab/platform.hpp
+++ b/src/lab/rig/platform.hpp
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
-#include "lab/checker.hpp"
-#include "lab/draw.hpp"
-#include "lab/scenario.hpp"
-#include "net/endpoint_text.hpp"
+#include "gateway/endpoint_text.hpp"
+#include "lab/simulation/checker.hpp"
+#include "lab/simulation/draw.hpp"
+#include "lab/simulation/scenario.hpp"
 
 namespace hollyrun::lab {
 
@@ -23,7 +23,7 @@
 
 /// The rig's clock: nanoseconds that never go back, well above zero, for zero reads as "long past".
 Time clockNow();
-using cairnjunction::textOf;
+using gateway::textOf;
 /// A request's id as it stands on the wire: 16 hexadecimal digits.
 std::string hex(std::uint64_t id);
 
--- a/src/lab/relay.cpp
+++ b/src/lab/rig/relay.cpp
@@ -1,4 +1,4 @@
-#include "lab/relay.hpp"
+#include "lab/rig/relay.hpp"
 
 #include <unistd.h>
 
--- a/src/lab/relay.hpp
+++ b/src/lab/rig/relay.hpp
@@ -10,12 +10,12 @@
 #include <string>
 #include <vector>
 
-#include "lab/members.hpp"
-#include "net/endpoint_text.hpp"
+#include "gateway/endpoint_text.hpp"
+#include "lab/simulation/members.hpp"
 
 namespace hollyrun::lab {
 
-using cairnjunction::textOf;
+using gateway::textOf;
 
 class Relay {
  public:
--- a/src/lab/checker.cpp
+++ b/src/lab/simulation/checker.cpp
@@ -1,14 +1,14 @@
-#include "lab/checker.hpp"
+#include "lab/simulation/checker.hpp"
 
 #include <algorithm>
 #include <cstdio>
 
 namespace hollyrun::lab {
 
-using ochrehill::Effect;
-using ochrehill::Group;
-using ochrehill::Outcome;
-using ochrehill::Phase;
+using balancer::Effect;
+using balancer::Group;
+using balancer::Outcome;
+using balancer::Phase;
 
 const char* nameOf(Rule rule) {
   switch (rule) {
@@ -34,13 +34,13 @@
   if (std::none_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; })) open_.erase(it);
 }
 
-void Checker::taken(std::uint64_t request, const ochrehill::ClassSettings& set, Time deadline) {
+void Checker::taken(std::uint64_t request, const balancer::ClassSettings& set, Time deadline) {
   open_[request] = Taken{set, deadline, false, false, {}, {}};
 }
 
 // What is wrong with a further attempt there, given an earlier one; empty if nothing is.
 std::string Checker::repeatFault(const Taken& t, const Attempt& a, Time now,
-                                 const ochrehill::HostEntry& entry) const {
+                                 const balancer::HostEntry& entry) const {
   if (a.out && !figures_.parallelTries) return "two attempts out at a time";
   if (!a.mayHaveRun || t.set.effect == Effect::retryable) return {};
   if (t.set.effect == Effect::fragile) return "sent again though it may have run";
@@ -51,7 +51,7 @@
 }
 
 void Checker::sent(Time now, std::uint32_t gateway, std::uint64_t request, std::uint32_t server,
-                   const ochrehill::HostEntry& entry) {
+                   const balancer::HostEntry& entry) {
   const auto closed = closedSince_.find(pair(gateway, server));
   if (closed != closedSince_.end() && now - closed->second > figures_.drainGrace) {
     char text[96];
--- a/src/lab/checker.hpp
+++ b/src/lab/simulation/checker.hpp
@@ -6,8 +6,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lab/server.hpp"
-#include "ochrehill/ochrehill.hpp"
+#include "hollyrun/balancer.hpp"
+#include "lab/simulation/server.hpp"
 
 namespace hollyrun::lab {
 
@@ -33,10 +33,10 @@
   explicit Checker(RuleFigures figures) : figures_(figures) {}
 
   /// A gateway has taken a request; it is owed an answer by `deadline`.
-  void taken(std::uint64_t request, const ochrehill::ClassSettings& set, Time deadline);
+  void taken(std::uint64_t request, const balancer::ClassSettings& set, Time deadline);
   void sent(Time now, std::uint32_t gateway, std::uint64_t request, std::uint32_t server,
-            const ochrehill::HostEntry& entry);
-  void outcome(std::uint64_t request, std::uint32_t attempt, ochrehill::Outcome outcome);
+            const balancer::HostEntry& entry);
+  void outcome(std::uint64_t request, std::uint32_t attempt, balancer::Outcome outcome);
   /// The gateway's own final answer: refused or failed.
   void answered(Time now, std::uint64_t request, bool refused);
   /// An outcome that ended the request has reached the gateway.
@@ -48,7 +48,7 @@
   void excused(std::uint64_t request);
   /// To be called once the answer's time is over.
   void due(Time now, std::uint64_t request);
-  void told(Time now, std::uint32_t gateway, std::uint32_t server, ochrehill::Phase phase);
+  void told(Time now, std::uint32_t gateway, std::uint32_t server, balancer::Phase phase);
   /// A gateway starts afresh, with what it is told from here on.
   void restarted(std::uint32_t gateway);
   /// Anything else that must not be: an end that nobody asked for, or a check of a scenario.
@@ -69,7 +69,7 @@
     bool out = true, mayHaveRun = true;
   };
   struct Taken {
-    ochrehill::ClassSettings set;
+    balancer::ClassSettings set;
     Time deadline;
     bool ended = false, excused = false;
     std::vector<Attempt> attempts;
@@ -78,8 +78,7 @@
   static std::uint64_t pair(std::uint32_t gateway, std::uint32_t server) {
     return static_cast<std::uint64_t>(gateway) << 32 | server;
   }
-  std::string repeatFault(const Taken& t, const Attempt& a, Time now,
-                          const ochrehill::HostEntry& entry) const;
+  std::string repeatFault(const Taken& t, const Attempt& a, Time now, const balancer::HostEntry& entry) const;
   void forget(std::uint64_t request);
 
   RuleFigures figures_;
--- a/src/lab/draw.cpp
+++ b/src/lab/simulation/draw.cpp
@@ -1,4 +1,4 @@
-#include "lab/draw.hpp"
+#include "lab/simulation/draw.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -31,9 +31,9 @@
   for (const RequestClass& c : s.classes) {
     DrawnClass d;
     d.set = c.set;
-    d.set.aim = ochrehill::Duration(static_cast<std::int64_t>(static_cast<double>(c.set.aim.count()) * pace));
+    d.set.aim = balancer::Duration(static_cast<std::int64_t>(static_cast<double>(c.set.aim.count()) * pace));
     d.set.giveUp =
-        ochrehill::Duration(static_cast<std::int64_t>(static_cast<double>(c.set.giveUp.count()) * pace));
+        balancer::Duration(static_cast<std::int64_t>(static_cast<double>(c.set.giveUp.count()) * pace));
     d.share = c.share.draw(draw);
     d.work = c.workMs.draw(draw) / 1000 * pace;
     d.cv = c.cv.draw(draw);
@@ -99,10 +99,10 @@
 }
 
 std::optional<double> retryWait(const DrawnDay& day, std::uint64_t seed, std::uint32_t call, unsigned tries,
-                                unsigned left, const ochrehill::ClassSettings& set, const Unserved& how,
+                                unsigned left, const balancer::ClassSettings& set, const Unserved& how,
                                 Duration passed) {
-  const bool may = set.effect == ochrehill::Effect::retryable || how.refused || how.unreachable ||
-                   (set.effect == ochrehill::Effect::dedup && set.group == ochrehill::Group::all);
+  const bool may = set.effect == balancer::Effect::retryable || how.refused || how.unreachable ||
+                   (set.effect == balancer::Effect::dedup && set.group == balancer::Group::all);
   Stream habit(seed, "habit", static_cast<std::uint64_t>(call) * 32 + tries);
   double wait = day.backoff + day.clientHop * 2;
   if (how.after > Duration(0) && habit.chance(day.honour)) wait = std::max(wait, inSeconds(how.after));
@@ -191,8 +191,8 @@
   return sum;
 }
 
-ochrehill::Settings moduleSettings(const Scenario& s, const DrawnDay& day) {
-  ochrehill::Settings set;
+balancer::Settings moduleSettings(const Scenario& s, const DrawnDay& day) {
+  balancer::Settings set;
   for (const DrawnClass& d : day.classes) set.classes.push_back(d.set);
   set.parallelTries = s.secondCopies;
   set.warmKeys = s.warmKeys;
--- a/src/lab/draw.hpp
+++ b/src/lab/simulation/draw.hpp
@@ -6,13 +6,13 @@
 #include <optional>
 #include <vector>
 
-#include "lab/scenario.hpp"
-#include "lab/server.hpp"
+#include "lab/simulation/scenario.hpp"
+#include "lab/simulation/server.hpp"
 
 namespace hollyrun::lab {
 
 struct DrawnClass {
-  ochrehill::ClassSettings set;
+  balancer::ClassSettings set;
   double share = 1, work = 0, cv = 0, noise = 0;  // share of 1; work in seconds
 };
 
@@ -56,7 +56,7 @@
 /// Seconds until a client tries again by its class and habits, after its `tries`th try of a call.
 /// `left` are the retries it still has, `passed` the time since its first try. None: it leaves it at that.
 std::optional<double> retryWait(const DrawnDay& day, std::uint64_t seed, std::uint32_t call, unsigned tries,
-                                unsigned left, const ochrehill::ClassSettings& set, const Unserved& how,
+                                unsigned left, const balancer::ClassSettings& set, const Unserved& how,
                                 Duration passed);
 
 struct DrawnFleet {
@@ -73,7 +73,7 @@
 
 struct DrawnMachine {
   ServerFigures figures;
-  ochrehill::HostEntry entry;
+  balancer::HostEntry entry;
 };
 
 DrawnMachine drawMachine(const Scenario& scenario, std::uint64_t seed, const DrawnFleet& fleet, bool chokes,
@@ -83,6 +83,6 @@
 double capacityOf(const Scenario& scenario, std::uint64_t seed, const DrawnFleet& fleet);
 
 /// The module's settings on that day, but for what tells one gateway from another.
-ochrehill::Settings moduleSettings(const Scenario& scenario, const DrawnDay& day);
+balancer::Settings moduleSettings(const Scenario& scenario, const DrawnDay& day);
 
 }  // namespace hollyrun::lab
--- a/src/lab/explore.cpp
+++ b/src/lab/simulation/explore.cpp
@@ -1,4 +1,4 @@
-#include "lab/explore.hpp"
+#include "lab/simulation/explore.hpp"
 
 #include <algorithm>
 #include <array>
@@ -8,16 +8,16 @@
 #include <unordered_map>
 #include <utility>
 
-#include "fleet/membership.hpp"
-#include "lab/members.hpp"
+#include "lab/simulation/members.hpp"
+#include "membership/membership.hpp"
 
 namespace hollyrun::lab {
 namespace {
 
-using fleet::Membership;
-using fleet::Record;
-using fleet::State;
-using fleet::Time;
+using membership::Membership;
+using membership::Record;
+using membership::State;
+using membership::Time;
 
 constexpr std::size_t kMembers = 3;
 constexpr std::size_t kUnderWay = 6;  // datagrams at a time; the oldest are lost beyond
@@ -37,13 +37,13 @@
   std::array<std::uint64_t, kMembers> incarnations{};
 };
 
-fleet::MembershipSettings settings() {
-  fleet::MembershipSettings s;
+membership::MembershipSettings settings() {
+  membership::MembershipSettings s;
   s.seeds = {{0x7f000001, 1000}, {0x7f000001, 1001}};
   return s;
 }
 
-fleet::Address addressOf(std::size_t i) { return {0x7f000001, static_cast<std::uint16_t>(1000 + i)}; }
+membership::Address addressOf(std::size_t i) { return {0x7f000001, static_cast<std::uint16_t>(1000 + i)}; }
 
 void start(World& w, std::size_t i) {
   Record self;
@@ -56,7 +56,7 @@
 
 void collect(World& w, std::size_t i) {
   Membership& m = *w.members[i];
-  for (fleet::Datagram& d : std::exchange(m.datagrams(), {}))
+  for (membership::Datagram& d : std::exchange(m.datagrams(), {}))
     for (std::size_t to = 0; to < kMembers; ++to)
       if (addressOf(to) == d.to && to != i) w.way.push_back({i, to, std::move(d.bytes)});
   m.events().clear();
@@ -86,8 +86,8 @@
   for (const auto& m : w.members) key += (m ? m->fingerprint(w.now) : "-") + ";";
   std::vector<std::string> way;
   for (const UnderWay& one : w.way) {
-    fleet::Bad why{};
-    const auto m = fleet::decode(one.bytes, settings().fleet, why);
+    membership::Bad why{};
+    const auto m = membership::decode(one.bytes, settings().fleet, why);
     std::string text = std::to_string(one.from) + std::to_string(one.to) +
                        std::to_string(static_cast<int>(m->type)) + "," + std::to_string(m->self.incarnation) +
                        "," + std::to_string(static_cast<int>(m->self.state));
@@ -113,7 +113,7 @@
 }
 
 bool heals(World w) {
-  const Time end = w.now + std::chrono::duration_cast<fleet::Duration>(settings().period * kHealPeriods);
+  const Time end = w.now + std::chrono::duration_cast<membership::Duration>(settings().period * kHealPeriods);
   while (w.now < end) {
     while (!w.way.empty()) arrive(w, 0);
     if (agree(w)) return true;
--- a/src/lab/members.cpp
+++ b/src/lab/simulation/members.cpp
@@ -1,4 +1,4 @@
-#include "lab/members.hpp"
+#include "lab/simulation/members.hpp"
 
 #include <spdlog/fmt/fmt.h>
 
@@ -8,13 +8,13 @@
 
 namespace hollyrun::lab {
 
-using fleet::Address;
-using fleet::Duration;
-using fleet::Membership;
-using fleet::State;
-using fleet::Time;
+using membership::Address;
+using membership::Duration;
+using membership::Membership;
+using membership::State;
+using membership::Time;
 
-MemberWorld::MemberWorld(std::uint64_t seed, fleet::MembershipSettings settings, Weather weather)
+MemberWorld::MemberWorld(std::uint64_t seed, membership::MembershipSettings settings, Weather weather)
     : passes([](std::size_t, std::size_t) { return true; }),
       seed_(seed),
       settings_(std::move(settings)),
@@ -34,7 +34,7 @@
 
 void MemberWorld::start(std::size_t i) {
   Node& n = nodes_[i];
-  fleet::Record self;
+  membership::Record self;
   self.name = n.name;
   self.address = n.address;
   self.zone = n.zone;
@@ -83,7 +83,7 @@
 
 void MemberWorld::collect(std::size_t i) {
   Membership& logic = *nodes_[i].logic;
-  for (fleet::Datagram& d : std::exchange(logic.datagrams(), {})) {
+  for (membership::Datagram& d : std::exchange(logic.datagrams(), {})) {
     const auto to = nodeAt(d.to);
     if (tap && to) tap(i, *to, d.bytes);
     if (!to || !passes(i, *to) || draw_.chance(weather_.loss)) continue;
@@ -100,7 +100,7 @@
       due_.push(std::move(due));
     }
   }
-  for (fleet::Event& e : std::exchange(logic.events(), {})) seen_.push_back({now_, i, std::move(e)});
+  for (membership::Event& e : std::exchange(logic.events(), {})) seen_.push_back({now_, i, std::move(e)});
   if (logic.wakeAt() >= wakes_[i]) return;
   wakes_[i] = logic.wakeAt();
   Due due;
@@ -159,11 +159,11 @@
   return true;
 }
 
-fleet::Counters MemberWorld::counters() const {
-  fleet::Counters sum;
+membership::Counters MemberWorld::counters() const {
+  membership::Counters sum;
   for (const Node& n : nodes_) {
     if (!n.logic) continue;
-    const fleet::Counters& c = n.logic->counters();
+    const membership::Counters& c = n.logic->counters();
     sum.sent += c.sent;
     sum.bytesOut += c.bytesOut;
     sum.deaths += c.deaths;
@@ -176,7 +176,7 @@
 
 namespace {
 
-double inPeriods(Duration d, const fleet::MembershipSettings& s) {
+double inPeriods(Duration d, const membership::MembershipSettings& s) {
   return static_cast<double>(d.count()) / static_cast<double>(s.period.count());
 }
 
@@ -192,7 +192,7 @@
   MembersRow row;
   row.members = members;
   row.loss = loss;
-  fleet::MembershipSettings settings;
+  membership::MembershipSettings settings;
   settings.seeds = {{0x7f000001, 1000}, {0x7f000001, 1001}};
   Weather weather;
   weather.loss = loss;
@@ -201,7 +201,7 @@
   for (std::size_t i = 0; i < members; ++i) world.start(world.add("gateway-" + std::to_string(i)));
   world.runUntil([&] { return world.agreed(); }, settings.period * 60);  // under loss views never rest
 
-  const fleet::Counters before = world.counters();
+  const membership::Counters before = world.counters();
   const std::uint64_t steps = world.steps();
   const auto clock = std::chrono::steady_clock::now();
   const int quiet = 120;  // periods
@@ -209,14 +209,14 @@
   world.runFor(settings.period * quiet);
   const double took =
       std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - clock).count();
-  const fleet::Counters after = world.counters();
+  const membership::Counters after = world.counters();
   const double each = static_cast<double>(members) * quiet;
   row.micros = took / static_cast<double>(world.steps() - steps);
   row.datagrams = static_cast<double>(after.sent - before.sent) / each;
   row.bytes = static_cast<double>(after.bytesOut - before.bytesOut) / each;
   std::set<std::pair<std::string, std::uint64_t>> killed;  // wrongly, each once
   for (const auto& s : world.seen())
-    if (s.event.kind == fleet::Event::Kind::died)
+    if (s.event.kind == membership::Event::Kind::died)
       killed.insert({s.event.member.name, s.event.member.incarnation});
   row.falseDeaths = static_cast<double>(killed.size()) / each * 3600;
 
@@ -231,14 +231,14 @@
     const auto gone = [&] {
       for (const std::size_t i : world.living()) {
         const auto it = world.at(i).others().find(name);
-        if (it != world.at(i).others().end() && fleet::present(it->second.record.state)) return false;
+        if (it != world.at(i).others().end() && membership::present(it->second.record.state)) return false;
       }
       return true;
     };
     world.runUntil(gone, settings.period * 400);
     all.push_back(inPeriods(world.now() - at, settings));
     for (const auto& s : world.seen())
-      if (s.event.kind == fleet::Event::Kind::died && s.event.member.name == name) {
+      if (s.event.kind == membership::Event::Kind::died && s.event.member.name == name) {
         detect.push_back(inPeriods(s.at - at, settings));
         break;
       }
@@ -248,7 +248,7 @@
       for (const std::size_t i : world.living()) {
         if (i == victim) continue;
         const auto it = world.at(i).others().find(name);
-        if (it == world.at(i).others().end() || !fleet::present(it->second.record.state)) return false;
+        if (it == world.at(i).others().end() || !membership::present(it->second.record.state)) return false;
       }
       return true;
     };
--- a/src/lab/members.hpp
+++ b/src/lab/simulation/members.hpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "fleet/membership.hpp"
-#include "lab/random.hpp"
+#include "lab/simulation/random.hpp"
+#include "membership/membership.hpp"
 
 namespace hollyrun::lab {
 
@@ -23,21 +23,21 @@
 class MemberWorld {
  public:
   struct Node {
-    std::unique_ptr<fleet::Membership> logic;  ///< null: dead
+    std::unique_ptr<membership::Membership> logic;  ///< null: dead
     std::string name, zone;
-    fleet::Address address;
+    membership::Address address;
     bool stopped = false;
     std::uint64_t lives = 0;
-    std::vector<std::pair<fleet::Time, std::string>> inbox;  ///< while stopped
-    std::vector<fleet::Address> from;
+    std::vector<std::pair<membership::Time, std::string>> inbox;  ///< while stopped
+    std::vector<membership::Address> from;
   };
   struct Seen {  // an event at a member
-    fleet::Time at;
+    membership::Time at;
     std::size_t node;
-    fleet::Event event;
+    membership::Event event;
   };
 
-  MemberWorld(std::uint64_t seed, fleet::MembershipSettings settings, Weather weather = {});
+  MemberWorld(std::uint64_t seed, membership::MembershipSettings settings, Weather weather = {});
 
   std::size_t add(const std::string& name, const std::string& zone = "a");
   void start(std::size_t node);
@@ -45,19 +45,19 @@
   void leave(std::size_t node);
   void stop(std::size_t node) { nodes_[node].stopped = true; }
   void wake(std::size_t node);
-  void runUntil(fleet::Time until);
-  void runFor(fleet::Duration d) { runUntil(now_ + d); }
+  void runUntil(membership::Time until);
+  void runFor(membership::Duration d) { runUntil(now_ + d); }
   /// Runs until `done`, looked at four times a period; false if it is not within `most`.
-  bool runUntil(const std::function<bool()>& done, fleet::Duration most);
+  bool runUntil(const std::function<bool()>& done, membership::Duration most);
   /// A datagram out of nowhere.
-  void inject(std::size_t to, const fleet::Address& from, std::string bytes);
+  void inject(std::size_t to, const membership::Address& from, std::string bytes);
 
-  fleet::Time now() const { return now_; }
+  membership::Time now() const { return now_; }
   std::vector<Node>& nodes() { return nodes_; }
-  const fleet::Membership& at(std::size_t node) const { return *nodes_[node].logic; }
+  const membership::Membership& at(std::size_t node) const { return *nodes_[node].logic; }
   std::vector<Seen>& seen() { return seen_; }
   Weather& weather() { return weather_; }
-  fleet::MembershipSettings& settings() { return settings_; }
+  membership::MembershipSettings& settings() { return settings_; }
   /// Whether a datagram may pass; default all.
   std::function<bool(std::size_t from, std::size_t to)> passes;
   /// Sees each datagram as it is sent.
@@ -67,32 +67,32 @@
   /// All living, running members hold each other and nobody else for present.
   bool agreed() const;
   /// Sums over all members that live now.
-  fleet::Counters counters() const;
+  membership::Counters counters() const;
   std::uint64_t steps() const { return steps_; }
 
  private:
   struct Due {
-    fleet::Time at;
+    membership::Time at;
     std::uint64_t order;
     std::size_t node;
     bool wake = false;
     std::uint64_t life = 0;
-    fleet::Address from;
+    membership::Address from;
     std::string bytes;
     bool operator>(const Due& o) const { return at != o.at ? at > o.at : order > o.order; }
   };
   void collect(std::size_t node);
-  std::optional<std::size_t> nodeAt(const fleet::Address& address) const;
+  std::optional<std::size_t> nodeAt(const membership::Address& address) const;
 
   std::uint64_t seed_;
-  fleet::MembershipSettings settings_;
+  membership::MembershipSettings settings_;
   Weather weather_;
   Stream draw_;
-  fleet::Time now_ = std::chrono::hours(1);
+  membership::Time now_ = std::chrono::hours(1);
   std::uint64_t order_ = 0, steps_ = 0;
   std::vector<Node> nodes_;
-  std::map<fleet::Address, std::size_t> byAddress_;
-  std::vector<fleet::Time> wakes_;
+  std::map<membership::Address, std::size_t> byAddress_;
+  std::vector<membership::Time> wakes_;
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
   std::vector<Seen> seen_;
 };
--- a/src/lab/policy.cpp
+++ b/src/lab/simulation/policy.cpp
@@ -1,4 +1,4 @@
-#include "lab/policy.hpp"
+#include "lab/simulation/policy.hpp"
 
 #include <algorithm>
 #include <limits>
@@ -7,11 +7,11 @@
 #include <stdexcept>
 #include <unordered_map>
 
-#include "lab/random.hpp"
+#include "lab/simulation/random.hpp"
 
 namespace hollyrun::lab {
 
-using namespace ochrehill;
+using namespace balancer;
 
 namespace {
 
--- a/src/lab/policy.hpp
+++ b/src/lab/simulation/policy.hpp
@@ -6,24 +6,24 @@
 #include <string>
 #include <vector>
 
-#include "ochrehill/ochrehill.hpp"
+#include "hollyrun/balancer.hpp"
 
 namespace hollyrun::lab {
 
-/// One gateway's decisions. The calls are those of ochrehill::Balancer and mean the same.
+/// One gateway's decisions. The calls are those of balancer::Balancer and mean the same.
 class Policy {
  public:
   virtual ~Policy() = default;
-  virtual void onSettings(ochrehill::Time now, const ochrehill::Settings& settings) = 0;
-  virtual void onHosts(ochrehill::Time now, ochrehill::ListKind kind,
-                       const std::vector<ochrehill::HostEntry>& entries) = 0;
-  virtual void onRequest(ochrehill::Time now, const ochrehill::Request& request) = 0;
-  virtual void onResult(ochrehill::Time now, const ochrehill::AttemptResult& result) = 0;
-  virtual void onClientGone(ochrehill::Time now, ochrehill::RequestId request) = 0;
-  virtual void onWake(ochrehill::Time now) = 0;
-  virtual std::vector<ochrehill::Action>& actions() = 0;
-  virtual ochrehill::HostId findHost(std::string_view address) const = 0;
-  virtual const std::string& address(ochrehill::HostId host) const = 0;
+  virtual void onSettings(balancer::Time now, const balancer::Settings& settings) = 0;
+  virtual void onHosts(balancer::Time now, balancer::ListKind kind,
+                       const std::vector<balancer::HostEntry>& entries) = 0;
+  virtual void onRequest(balancer::Time now, const balancer::Request& request) = 0;
+  virtual void onResult(balancer::Time now, const balancer::AttemptResult& result) = 0;
+  virtual void onClientGone(balancer::Time now, balancer::RequestId request) = 0;
+  virtual void onWake(balancer::Time now) = 0;
+  virtual std::vector<balancer::Action>& actions() = 0;
+  virtual balancer::HostId findHost(std::string_view address) const = 0;
+  virtual const std::string& address(balancer::HostId host) const = 0;
   virtual double cutoff() const { return 0; }  ///< 0 to 100
 };
 
@@ -41,7 +41,7 @@
 };
 
 using PolicyMaker =
-    std::function<std::unique_ptr<Policy>(const ochrehill::Settings&, ochrehill::Time, const Truth&)>;
+    std::function<std::unique_ptr<Policy>(const balancer::Settings&, balancer::Time, const Truth&)>;
 
 /// module, random, least, two, truth. Throws std::invalid_argument on another name.
 PolicyMaker policyNamed(const std::string& name);
--- a/src/lab/scenario.cpp
+++ b/src/lab/simulation/scenario.cpp
@@ -1,4 +1,4 @@
-#include "lab/scenario.hpp"
+#include "lab/simulation/scenario.hpp"
 
 #define TOML_EXCEPTIONS 1
 #include <toml++/toml.h>
@@ -12,8 +12,8 @@
 namespace hollyrun::lab {
 namespace {
 
-using ochrehill::Effect;
-using ochrehill::Group;
+using balancer::Effect;
+using balancer::Group;
 constexpr double kMost = std::numeric_limits<double>::max();
 
 std::string placeOf(const toml::node* node) {
@@ -157,8 +157,8 @@
   std::set<std::string> asked_;
 };
 
-ochrehill::Duration millis(double ms) {
-  return ochrehill::Duration(static_cast<std::int64_t>(std::llround(ms * 1e6)));
+balancer::Duration millis(double ms) {
+  return balancer::Duration(static_cast<std::int64_t>(std::llround(ms * 1e6)));
 }
 
 void readKind(const toml::table* table, std::size_t at, Scenario& s, Faults& faults) {
--- a/src/lab/scenario.hpp
+++ b/src/lab/simulation/scenario.hpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "lab/random.hpp"
-#include "ochrehill/ochrehill.hpp"
+#include "hollyrun/balancer.hpp"
+#include "lab/simulation/random.hpp"
 
 namespace hollyrun::lab {
 
@@ -38,7 +38,7 @@
 };
 
 struct RequestClass {
-  ochrehill::ClassSettings set;
+  balancer::ClassSettings set;
   Range share = 1;         // of the requests
   Range workMs = 40;       // mean, on a core of speed 1
   Range cv = 1;            // of the work
@@ -115,7 +115,7 @@
 };
 
 /// safe, keyed or unsafe, as the scenario words it.
-ochrehill::Effect effectNamed(const std::string& name);
+balancer::Effect effectNamed(const std::string& name);
 
 /// Reads a scenario and the one that it `extends`. `set` are settings of the command line, `load.level=0.9`,
 /// that go over the file's. Throws ScenarioError that names all faults.
--- a/src/lab/server.cpp
+++ b/src/lab/simulation/server.cpp
@@ -1,4 +1,4 @@
-#include "lab/server.hpp"
+#include "lab/simulation/server.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/lab/server.hpp
+++ b/src/lab/simulation/server.hpp
@@ -9,12 +9,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "ochrehill/ochrehill.hpp"
+#include "hollyrun/balancer.hpp"
 
 namespace hollyrun::lab {
 
-using ochrehill::Duration;
-using ochrehill::Time;
+using balancer::Duration;
+using balancer::Time;
 
 inline Duration seconds(double s) { return Duration(static_cast<std::int64_t>(s * 1e9)); }
 inline double inSeconds(Duration d) { return static_cast<double>(d.count()) * 1e-9; }
--- a/src/lab/world.cpp
+++ b/src/lab/simulation/world.cpp
@@ -1,4 +1,4 @@
-#include "lab/world.hpp"
+#include "lab/simulation/world.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -10,13 +10,13 @@
 #include <stdexcept>
 #include <unordered_map>
 
-#include "fleet/membership.hpp"
-#include "lab/draw.hpp"
-#include "lab/latencies.hpp"
+#include "lab/simulation/draw.hpp"
+#include "lab/simulation/latencies.hpp"
+#include "membership/membership.hpp"
 
 namespace hollyrun::lab {
 
-using namespace ochrehill;
+using namespace balancer;
 
 namespace {
 
@@ -96,7 +96,7 @@
   Time lastTold{};
   double weight = 1;
   std::uint32_t groupSize = 0;  // as its module has it
-  std::optional<fleet::Membership> member;
+  std::optional<membership::Membership> member;
   Time memberWake = Time::max();
 };
 
@@ -270,7 +270,7 @@
   void clientTry(std::uint32_t id) {
     Call& c = clientCalls_[id];
     const DrawnClass& d = d_.classes[c.cls];
-    Duration left = ochrehill::Duration(
+    Duration left = balancer::Duration(
         static_cast<std::int64_t>(static_cast<double>(d.set.giveUp.count()) * d_.tryShare));
     left = std::min(left, d.set.giveUp - (now_ - c.first));
     if (left <= Duration(0)) return leave(c, false);
@@ -331,18 +331,18 @@
 
   // --- The gateways among themselves ---
 
-  static fleet::Address addressOf(std::uint32_t g) {
+  static membership::Address addressOf(std::uint32_t g) {
     return {0x7f000001 + (g >> 14), static_cast<std::uint16_t>(1 + (g & 0x3fff))};
   }
 
   void startMember(std::uint32_t g) {
     if (s_.membershipPeriodMs <= 0) return;
     Gateway& w = gateways_[g];
-    fleet::MembershipSettings set;
+    membership::MembershipSettings set;
     set.period = millis(s_.membershipPeriodMs);
     for (std::uint32_t i = 0; i < std::min<std::size_t>(3, gateways_.size()); ++i)
       set.seeds.push_back(addressOf(i));
-    fleet::Record self;
+    membership::Record self;
     self.name = w.name;
     self.address = addressOf(g);
     self.zone = s_.zones[w.zone];
@@ -355,7 +355,7 @@
   // Sends what the member wants to say, wakes it when it asks for it, and gives the module a new size.
   void settleMember(std::uint32_t g) {
     Gateway& w = gateways_[g];
-    for (fleet::Datagram& d : std::exchange(w.member->datagrams(), {})) {
+    for (membership::Datagram& d : std::exchange(w.member->datagrams(), {})) {
       const std::uint32_t to = (d.to.ip - 0x7f000001) << 14 | (d.to.port - 1u);
       if (to >= gateways_.size() ||
           (w.zone != gateways_[to].zone && (cut(w.zone) || cut(gateways_[to].zone))))
--- a/src/lab/world.hpp
+++ b/src/lab/simulation/world.hpp
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/checker.hpp"
-#include "lab/policy.hpp"
-#include "lab/scenario.hpp"
+#include "lab/simulation/checker.hpp"
+#include "lab/simulation/policy.hpp"
+#include "lab/simulation/scenario.hpp"
 
 namespace hollyrun::lab {
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -14,14 +14,14 @@
 #include <utility>
 #include <vector>
 
-#include "net/config.hpp"
-#include "net/gateway.hpp"
-#include "net/keys.hpp"
-#include "net/ops_client.hpp"
+#include "gateway/config.hpp"
+#include "gateway/gateway.hpp"
+#include "gateway/keys.hpp"
+#include "gateway/ops_client.hpp"
 
 namespace {
 
-using namespace cairnjunction;
+using namespace hollyrun::gateway;
 
 constexpr int kFailed = 1, kWrong = 2;
 
--- a/src/fleet/membership.cpp
+++ b/src/membership/membership.cpp
@@ -1,4 +1,4 @@
-#include "fleet/membership.hpp"
+#include "membership/membership.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -8,7 +8,7 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-namespace hollyrun::fleet {
+namespace hollyrun::membership {
 namespace {
 
 // --- Constants, each with its reason ------------------------------------------------------------------
@@ -166,14 +166,14 @@
       if (refilled) return;
       refilled = true;
       for (const auto& [name, m] : others_)
-        if (fleet::present(m.record.state)) round_.push_back(name);
+        if (membership::present(m.record.state)) round_.push_back(name);
       for (std::size_t i = round_.size(); i > 1; --i) std::swap(round_[i - 1], round_[drawBelow(i)]);
       if (round_.empty()) return;
     }
     const std::string name = std::move(round_.back());
     round_.pop_back();
     const auto it = others_.find(name);
-    if (it == others_.end() || !fleet::present(it->second.record.state)) continue;
+    if (it == others_.end() || !membership::present(it->second.record.state)) continue;
     probe_ = ask(name, it->second.record.address, scaled(settings_.period), true);
     lateAt_ = now_ + scaled(timeout());
     // One that we suspect is told so first, so that it can refute.
@@ -223,7 +223,7 @@
   std::vector<Address> missing;
   std::set<Address> here{self_.address};
   for (const auto& [name, m] : others_)
-    if (fleet::present(m.record.state)) here.insert(m.record.address);
+    if (membership::present(m.record.state)) here.insert(m.record.address);
   for (const Address& seed : settings_.seeds)
     if (!here.count(seed)) missing.push_back(seed);
   const auto ping = [this](const Address& at) { send(at, Type::ping, ask({}, at, settings_.period, false)); };
@@ -279,7 +279,7 @@
 std::map<std::string, std::size_t> Membership::presentByZone() const {
   std::map<std::string, std::size_t> all{{self_.zone, 1}};
   for (const auto& [name, m] : others_)
-    if (fleet::present(m.record.state)) ++all[m.record.zone];
+    if (membership::present(m.record.state)) ++all[m.record.zone];
   return all;
 }
 
@@ -294,7 +294,7 @@
   std::vector<std::string> names;
   const std::uint64_t own = digest();
   for (const auto& [name, m] : others_)
-    if (fleet::present(m.record.state) && m.heard > Time{} && m.digest != own) names.push_back(name);
+    if (membership::present(m.record.state) && m.heard > Time{} && m.digest != own) names.push_back(name);
   return names;
 }
 
@@ -436,7 +436,7 @@
     if (who.incarnation == 0 || who.epoch == rivalEpoch_) rivalHeard_ = now_;
   }
   auto it = others_.find(who.name);
-  const bool later = it != others_.end() && fleet::present(it->second.record.state) &&
+  const bool later = it != others_.end() && membership::present(it->second.record.state) &&
                      it->second.record.epoch == who.epoch && it->second.record.address == from &&
                      m.sequence > it->second.sequence;
   if (!proven && !later) {
@@ -457,7 +457,7 @@
   // Danger: after a cut each side holds the other dead. Taken as it is, that would kill all a second time; a
   // suspicion lets them answer.
   const bool doubt =
-      m.type == Type::view || (it != others_.end() && !fleet::present(it->second.record.state));
+      m.type == Type::view || (it != others_.end() && !membership::present(it->second.record.state));
   bool known = yielded_ && who.name == self_.name;
   for (std::size_t i = 0; i < std::min(kNewsMost, m.news.size()); ++i) {
     Record claim = m.news[i];
@@ -478,7 +478,7 @@
   it->second.digest = m.digest;
   it->second.heard = now_;
   if (m.digest == digest()) it->second.differs.clear();
-  if (fleet::present(it->second.record.state) && !yielded_) compareViews(who.name, from, m.digest);
+  if (membership::present(it->second.record.state) && !yielded_) compareViews(who.name, from, m.digest);
 }
 
 void Membership::take(const Record& claim, bool ofItself) {
@@ -486,11 +486,11 @@
   auto it = others_.find(claim.name);
   if (it == others_.end()) {
     // Of one that we never knew, an end is no news.
-    if (claim.state == State::suspect || !fleet::present(claim.state)) return;
+    if (claim.state == State::suspect || !membership::present(claim.state)) return;
     if (others_.size() >= settings_.mostMembers) {
       auto oldest = others_.end();
       for (auto at = others_.begin(); at != others_.end(); ++at)
-        if (!fleet::present(at->second.record.state) &&
+        if (!membership::present(at->second.record.state) &&
             (oldest == others_.end() || at->second.since < oldest->second.since))
           oldest = at;
       if (oldest == others_.end()) {
@@ -524,7 +524,7 @@
   }
   if (claim.against(before) <= 0) return;
   Record next = claim;
-  if (claim.state == State::suspect || !fleet::present(claim.state)) {  // they speak of no place
+  if (claim.state == State::suspect || !membership::present(claim.state)) {  // they speak of no place
     next = before;
     next.epoch = claim.epoch;
     next.incarnation = claim.incarnation;
@@ -533,7 +533,7 @@
   }
   put(m, next);
   spread(claim.name);
-  const bool was = fleet::present(before.state), is = fleet::present(next.state);
+  const bool was = membership::present(before.state), is = membership::present(next.state);
   if (is && (!was || before.epoch != next.epoch)) raise(Event::Kind::joined, next);
   else if (next.state == State::suspect) ++counters_.suspicions, raise(Event::Kind::suspected, next);
   else if (is && before.state == State::suspect) raise(Event::Kind::cleared, next);
@@ -544,7 +544,8 @@
 
 void Membership::put(Member& m, const Record& record) {
   const Record before = std::exchange(m.record, record);
-  const bool was = fleet::present(before.state) && !before.name.empty(), is = fleet::present(record.state);
+  const bool was = membership::present(before.state) && !before.name.empty(),
+             is = membership::present(record.state);
   const std::size_t bucket = bucketOf(record.name);
   if (was) buckets_[bucket] -= digestOf(before), --present_;
   if (is) buckets_[bucket] += digestOf(record), ++present_;
@@ -564,13 +565,13 @@
   }
   if (yielded_) {
     // Our rival is gone: the name is ours again.
-    if (fleet::present(claim.state)) return;
+    if (membership::present(claim.state)) return;
     yielded_ = false;
     rivalTimes_ = 0;
     return refute(claim.incarnation);
   }
   if (std::tie(claim.incarnation, claim.epoch) < std::tie(self_.incarnation, self_.epoch)) return;
-  if (fleet::present(claim.state)) {
+  if (membership::present(claim.state)) {
     if (claim.epoch != rivalEpoch_) rivalTimes_ = 0, rivalOver_ = 0;
     rivalEpoch_ = claim.epoch;
     if (claim.state != State::suspect) rivalAt_ = claim.address;
@@ -619,7 +620,7 @@
 void Membership::forgetGone() {
   std::erase_if(others_, [&](const auto& entry) {
     const Member& m = entry.second;
-    return !fleet::present(m.record.state) && now_ - m.since > settings_.keepGone;
+    return !membership::present(m.record.state) && now_ - m.since > settings_.keepGone;
   });
 }
 
@@ -715,7 +716,7 @@
   self_.state = State::left;
   std::vector<Address> there;
   for (const auto& [name, m] : others_)
-    if (fleet::present(m.record.state)) there.push_back(m.record.address);
+    if (membership::present(m.record.state)) there.push_back(m.record.address);
   for (std::size_t i = 0; i < std::min(kFarewells, there.size()); ++i) {
     std::swap(there[i], there[i + drawBelow(there.size() - i)]);
     send(there[i], Type::leave, 0);
@@ -745,4 +746,4 @@
   return text;
 }
 
-}  // namespace hollyrun::fleet
+}  // namespace hollyrun::membership
--- a/src/fleet/membership.hpp
+++ b/src/membership/membership.hpp
@@ -16,9 +16,9 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/message.hpp"
+#include "membership/message.hpp"
 
-namespace hollyrun::fleet {
+namespace hollyrun::membership {
 
 using Duration = std::chrono::nanoseconds;
 using Time = std::chrono::nanoseconds;  ///< of a clock that never goes back; its start means nothing
@@ -187,4 +187,4 @@
   Counters counters_;
 };
 
-}  // namespace hollyrun::fleet
+}  // namespace hollyrun::membership
--- a/src/fleet/message.cpp
+++ b/src/membership/message.cpp
@@ -1,4 +1,4 @@
-#include "fleet/message.hpp"
+#include "membership/message.hpp"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -7,7 +7,7 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-namespace hollyrun::fleet {
+namespace hollyrun::membership {
 namespace {
 
 using nlohmann::json;
@@ -198,4 +198,4 @@
   return in.good() ? std::optional(std::move(m)) : no(Bad::nonsense);
 }
 
-}  // namespace hollyrun::fleet
+}  // namespace hollyrun::membership
--- a/src/fleet/message.hpp
+++ b/src/membership/message.hpp
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-namespace hollyrun::fleet {
+namespace hollyrun::membership {
 
 inline constexpr std::size_t kMostBytes = 1200;  ///< of a datagram: it passes every path whole
 inline constexpr std::size_t kMostText = 64;     ///< bytes of a name, zone, region, version or fleet
@@ -74,4 +74,4 @@
 /// Never throws, whatever the bytes; `why` is set where nothing is returned.
 std::optional<Message> decode(std::string_view bytes, std::string_view fleet, Bad& why);
 
-}  // namespace hollyrun::fleet
+}  // namespace hollyrun::membership
--- a/src/wirehost_main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "wire.hpp"
+#include "simulator_adapter/wire.hpp"
 
 namespace {
 
@@ -24,7 +24,7 @@
 }  // namespace
 
 int main() {
-  ochrehill::wire::Adapter adapter(std::cerr);
+  hollyrun::simulator_adapter::Adapter adapter(std::cerr);
   std::vector<char> block(1 << 16);
   std::string pending, reply;
   for (;;) {
--- a/src/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -1,10 +1,13 @@
-#include "wire.hpp"
+#include "simulator_adapter/wire.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <stdexcept>
 
-namespace ochrehill::wire {
+namespace hollyrun::simulator_adapter {
+
+using namespace balancer;
+
 namespace {
 
 struct BadLine : std::runtime_error {
@@ -540,4 +543,4 @@
   g.balancer.actions().clear();
 }
 
-}  // namespace ochrehill::wire
+}  // namespace hollyrun::simulator_adapter
--- a/src/wire.hpp
+++ b/src/simulator_adapter/wire.hpp
@@ -12,9 +12,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "ochrehill/ochrehill.hpp"
+#include "hollyrun/balancer.hpp"
 
-namespace ochrehill::wire {
+namespace hollyrun::simulator_adapter {
+
+using balancer::HostEntry;
+using balancer::Settings;
 
 // Hosts many gateways, each with a Balancer of its own. Feed it line by line.
 class Adapter {
@@ -64,4 +67,4 @@
 // Reads the settings of an ENLIST line; unknown ones are skipped. Throws std::invalid_argument.
 Settings readSettings(std::string_view pairs);
 
-}  // namespace ochrehill::wire
+}  // namespace hollyrun::simulator_adapter
--- a/test.sh
+++ b/test.sh
@@ -6,6 +6,6 @@
 dir=build-test sanitize=OFF
 if [ "${1:-}" = sanitize ]; then dir=build-sanitize sanitize=ON; fi
 cmake -B "$dir" -DCMAKE_BUILD_TYPE=RelWithDebInfo -DCMAKE_CXX_FLAGS=-Werror \
-  -DOCHREHILL_TESTS=ON -DHOLLYRUN_LAB=ON -DOCHREHILL_SANITIZE="$sanitize"
+  -DHOLLYRUN_TESTS=ON -DHOLLYRUN_LAB=ON -DHOLLYRUN_SANITIZE="$sanitize"
 cmake --build "$dir" -j"$(nproc)"
 tools/ctest-known-red.sh "$dir"
--- a/tests/bank_test.cpp
+++ b/tests/bank_test.cpp
@@ -6,7 +6,7 @@
 
 #include "driver.hpp"
 
-namespace ochrehill::testing {
+namespace hollyrun::balancer::testing {
 namespace {
 
 class Bank {
@@ -501,4 +501,4 @@
 }
 
 }  // namespace
-}  // namespace ochrehill::testing
+}  // namespace hollyrun::balancer::testing
--- a/tests/bodies_test.cpp
+++ b/tests/bodies_test.cpp
@@ -1,7 +1,7 @@
 // Bodies in pieces and the forms of HTTP/1.1 that carry them.
 #include "gateway_fixture.hpp"
 
-namespace cairnjunction::testing {
+namespace hollyrun::gateway::testing {
 namespace {
 
 class BodiesTest : public GatewayTest {
@@ -181,4 +181,4 @@
 }
 
 }  // namespace
-}  // namespace cairnjunction::testing
+}  // namespace hollyrun::gateway::testing
--- a/tests/bounds_test.cpp
+++ b/tests/bounds_test.cpp
@@ -3,7 +3,7 @@
 
 #include "driver.hpp"
 
-namespace ochrehill::testing {
+namespace hollyrun::balancer::testing {
 namespace {
 
 Settings inTurnSettings() {
@@ -203,4 +203,4 @@
 }
 
 }  // namespace
-}  // namespace ochrehill::testing
+}  // namespace hollyrun::balancer::testing
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,15 +1,15 @@
 // What the gateway makes of its variables and its JSON file.
-#include "net/config.hpp"
+#include "gateway/config.hpp"
 
 #include <cstdio>
 #include <fstream>
 #include <map>
 #include <set>
 
-#include "net/keys.hpp"
+#include "gateway/keys.hpp"
 #include "net_peers.hpp"
 
-namespace cairnjunction::testing {
+namespace hollyrun::gateway::testing {
 namespace {
 
 Config parse(const json& j) {
@@ -33,8 +33,8 @@
   j["settings"]["ceilings"]["streamsPerConn"] = 100;
   const Config c = parse(j);
   EXPECT_EQ(c.module.classes.size(), 3u);
-  EXPECT_EQ(c.module.classes[2].effect, ochrehill::Effect::dedup);
-  EXPECT_EQ(c.module.classes[2].group, ochrehill::Group::zone);
+  EXPECT_EQ(c.module.classes[2].effect, balancer::Effect::dedup);
+  EXPECT_EQ(c.module.classes[2].group, balancer::Group::zone);
   EXPECT_EQ(c.module.classes[0].aim, std::chrono::seconds(20));
   EXPECT_EQ(c.module.seed, 0x8c1f30d27a5be964u);
   EXPECT_TRUE(c.module.askDiscovery && c.module.cancel && !c.module.parallelTries);
@@ -221,7 +221,7 @@
     for (const Key& key : *keys) EXPECT_TRUE(mentioned(key.toml)) << key.toml;
   const Config c = parseConfig(file.json, [](const char*) { return nullptr; });
   EXPECT_EQ(c.module.classes[0].aim, std::chrono::milliseconds(400));
-  EXPECT_EQ(c.module.classes[2].effect, ochrehill::Effect::dedup);
+  EXPECT_EQ(c.module.classes[2].effect, balancer::Effect::dedup);
   EXPECT_EQ(c.memoryBytes, 64u << 20);
 }
 
@@ -311,4 +311,4 @@
 }
 
 }  // namespace
-}  // namespace cairnjunction::testing
+}  // namespace hollyrun::gateway::testing
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -8,7 +8,7 @@
 
 #include "gateway_fixture.hpp"
 
-namespace cairnjunction::testing {
+namespace hollyrun::gateway::testing {
 namespace {
 
 using namespace std::chrono_literals;
@@ -492,7 +492,7 @@
   host.connections[0]->reply(ok());
   spinPast(began + 1000ms);
   ASSERT_TRUE(until([&] { return !ends.empty(); }));
-  EXPECT_EQ(ends[0].outcome, ochrehill::Outcome::served);
+  EXPECT_EQ(ends[0].outcome, balancer::Outcome::served);
   EXPECT_EQ(ends.size(), 1u);
 }
 
@@ -506,7 +506,7 @@
   host.connections[0]->reply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
   spinPast(began + 1000ms);
   ASSERT_TRUE(until([&] { return !ends.empty(); }));
-  EXPECT_EQ(ends[0].outcome, ochrehill::Outcome::timeout);
+  EXPECT_EQ(ends[0].outcome, balancer::Outcome::timeout);
 }
 
 TEST_F(Attempts, AnAnswerThatCrossesItsCancelEndsItOnce) {
@@ -516,7 +516,7 @@
   ASSERT_TRUE(until([&] { return host.requests.size() == 1; }));
   if (ends.empty()) pool.cancel({1, 0});
   ASSERT_TRUE(until(
-      [&] { return host.connections[0]->closedByPeer || ends[0].outcome == ochrehill::Outcome::served; }));
+      [&] { return host.connections[0]->closedByPeer || ends[0].outcome == balancer::Outcome::served; }));
   EXPECT_EQ(ends.size(), 1u);
 }
 
@@ -529,7 +529,7 @@
   ASSERT_TRUE(runPast(began + 50ms));
   host.resume();  // it comes up a second after it was dialled
   ASSERT_TRUE(until([&] { return !ends.empty(); }));
-  EXPECT_EQ(ends[0].outcome, ochrehill::Outcome::connectFailed);
+  EXPECT_EQ(ends[0].outcome, balancer::Outcome::connectFailed);
   EXPECT_TRUE(host.requests.empty());
 }
 
@@ -540,7 +540,7 @@
   pool.start({1, 0}, 0, get(), 20s, 5ms);
   spinPast(began + 6ms);  // up since its first moment, and nobody looked
   ASSERT_TRUE(until([&] { return !ends.empty(); }));
-  EXPECT_EQ(ends[0].outcome, ochrehill::Outcome::connectFailed);
+  EXPECT_EQ(ends[0].outcome, balancer::Outcome::connectFailed);
   EXPECT_TRUE(host.requests.empty());
 }
 
@@ -796,4 +796,4 @@
 }
 
 }  // namespace
-}  // namespace cairnjunction::testing
+}  // namespace hollyrun::gateway::testing
--- a/tests/driver.hpp
+++ b/tests/driver.hpp
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "ochrehill/ochrehill.hpp"
+#include "hollyrun/balancer.hpp"
 
-namespace ochrehill::testing {
+namespace hollyrun::balancer::testing {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -148,4 +148,4 @@
   std::map<RequestId, Duration> retryAfter;
 };
 
-}  // namespace ochrehill::testing
+}  // namespace hollyrun::balancer::testing
--- a/tests/embed/main.cpp
+++ b/tests/embed/main.cpp
@@ -1,30 +1,30 @@
 // The example of the README, kept the same by .ci/run.
 #include <cstdio>
-#include <ochrehill/ochrehill.hpp>
+#include <hollyrun/balancer.hpp>
 
 int main() {
   using namespace std::chrono_literals;
-  ochrehill::Settings settings;
+  hollyrun::balancer::Settings settings;
   settings.seed = 42;
-  ochrehill::ClassSettings reads;
+  hollyrun::balancer::ClassSettings reads;
   reads.name = "read";
-  reads.effect = ochrehill::Effect::retryable;
+  reads.effect = hollyrun::balancer::Effect::retryable;
   reads.aim = 200ms;
   reads.giveUp = 1s;
   settings.classes = {reads};
 
-  ochrehill::Balancer balancer(settings, 0ns);  // throws std::invalid_argument on nonsense
-  ochrehill::HostEntry host;
+  hollyrun::balancer::Balancer balancer(settings, 0ns);  // throws std::invalid_argument on nonsense
+  hollyrun::balancer::HostEntry host;
   host.address = "10.0.0.1:8080";
-  balancer.onHosts(0ns, ochrehill::ListKind::replace, {host});
+  balancer.onHosts(0ns, hollyrun::balancer::ListKind::replace, {host});
 
-  ochrehill::Request request;
+  hollyrun::balancer::Request request;
   request.id = 1;
   request.classIndex = 0;
   request.left = 1s;
   balancer.onRequest(1ms, request);
-  for (const ochrehill::Action& action : balancer.actions())
-    if (action.kind == ochrehill::ActionKind::send)
+  for (const hollyrun::balancer::Action& action : balancer.actions())
+    if (action.kind == hollyrun::balancer::ActionKind::send)
       std::printf("send %llu to %s\n", static_cast<unsigned long long>(action.request),
                   balancer.address(action.host).c_str());
   balancer.actions().clear();
--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -1,7 +1,7 @@
 // One test for each failure met: what must not happen again.
 #include "driver.hpp"
 
-namespace ochrehill::testing {
+namespace hollyrun::balancer::testing {
 namespace {
 
 // Serves what is due: `time(host)` gives how long a host takes, zero for never.
@@ -766,4 +766,4 @@
 }
 
 }  // namespace
-}  // namespace ochrehill::testing
+}  // namespace hollyrun::balancer::testing
--- a/tests/fleet_link_test.cpp
+++ b/tests/fleet_link_test.cpp
@@ -1,6 +1,6 @@
 // Gateways that are members of one fleet, on real loopback sockets: off by default, joined by seeds, told of
 // those that leave, asked by operators.
-#include "net/fleet_link.hpp"
+#include "gateway/fleet_link.hpp"
 
 #include <atomic>
 #include <filesystem>
@@ -8,10 +8,10 @@
 #include <sstream>
 #include <thread>
 
+#include "gateway/ops_client.hpp"
 #include "gateway_fixture.hpp"
-#include "net/ops_client.hpp"
 
-namespace cairnjunction::testing {
+namespace hollyrun::gateway::testing {
 namespace {
 
 class FleetLinkTest : public GatewayTest {
@@ -188,4 +188,4 @@
 }
 
 }  // namespace
-}  // namespace cairnjunction::testing
+}  // namespace hollyrun::gateway::testing
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,6 +1,6 @@
 // The rig: several real processes with faults between them, and a checker that has to catch a gateway that
 // breaks a rule. The programs' paths are the arguments: the gateway, then the rogues by name.
-#include "lab/fleet.hpp"
+#include "lab/rig/fleet.hpp"
 
 #include <gtest/gtest.h>
 #include <signal.h>
--- a/tests/gateway_fixture.hpp
+++ b/tests/gateway_fixture.hpp
@@ -5,10 +5,10 @@
 #include <memory>
 #include <set>
 
-#include "net/gateway.hpp"
+#include "gateway/gateway.hpp"
 #include "net_peers.hpp"
 
-namespace cairnjunction::testing {
+namespace hollyrun::gateway::testing {
 class GatewayTest : public ::testing::Test {
  protected:
   asio::io_context io;
@@ -90,4 +90,4 @@
 
 inline const char* const kNotRun = "X-Not-Run: 1\r\n";
 
-}  // namespace cairnjunction::testing
+}  // namespace hollyrun::gateway::testing
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -1,7 +1,7 @@
 // The gateway on real loopback sockets: outcomes, limits on repeats, drains, clients, bounds.
 #include "gateway_fixture.hpp"
 
-namespace cairnjunction::testing {
+namespace hollyrun::gateway::testing {
 namespace {
 
 // --- What goes through ----------------------------------------------------------------------------------
@@ -552,4 +552,4 @@
 }
 
 }  // namespace
-}  // namespace cairnjunction::testing
+}  // namespace hollyrun::gateway::testing
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -6,15 +6,15 @@
 #include <fstream>
 #include <map>
 
-#include "lab/experiment.hpp"
-#include "lab/report.hpp"
-#include "lab/scenario.hpp"
-#include "lab/store.hpp"
+#include "lab/report/experiment.hpp"
+#include "lab/report/report.hpp"
+#include "lab/report/store.hpp"
+#include "lab/simulation/scenario.hpp"
 
 namespace hollyrun::lab {
 namespace {
 
-using namespace ochrehill;
+using namespace balancer;
 using std::chrono::milliseconds;
 
 std::string shortScenario(const std::string& name) { return HOLLYRUN_SCENARIOS "/short/" + name + ".toml"; }
@@ -272,7 +272,7 @@
       for (HostEntry& h : hosts_) h.phase = Phase::out;
     for (const HostEntry& e : entries) {
       HostId id = findHost(e.address);
-      if (id == ochrehill::kNone) id = static_cast<HostId>(hosts_.size()), hosts_.push_back(e);
+      if (id == balancer::kNone) id = static_cast<HostId>(hosts_.size()), hosts_.push_back(e);
       hosts_[id] = e;
       if (fault_ == Fault::ignoresDrains) hosts_[id].phase = Phase::in;
     }
@@ -286,7 +286,7 @@
     if (r.terminal || r.outcome == Outcome::moot) return;
     if (fault_ == Fault::repeats && r.attempt == 0 && now < deadline_[r.request])
       return send(now, r.request, 1);
-    actions_.push_back({ActionKind::fail, r.request, 0, ochrehill::kNone, {}, {}});
+    actions_.push_back({ActionKind::fail, r.request, 0, balancer::kNone, {}, {}});
   }
   void onClientGone(Time, RequestId) override {}
   void onWake(Time) override {}
@@ -294,7 +294,7 @@
   HostId findHost(std::string_view address) const override {
     for (HostId i = 0; i < hosts_.size(); ++i)
       if (hosts_[i].address == address) return i;
-    return ochrehill::kNone;
+    return balancer::kNone;
   }
   const std::string& address(HostId host) const override { return hosts_.at(host).address; }
 
@@ -310,7 +310,7 @@
       const Duration limit = fault_ == Fault::repeats ? Duration(milliseconds(30)) : deadline_[id] - now;
       return actions_.push_back({ActionKind::send, id, attempt, host, limit, {}});
     }
-    actions_.push_back({ActionKind::refuse, id, 0, ochrehill::kNone, {}, {}});
+    actions_.push_back({ActionKind::refuse, id, 0, balancer::kNone, {}, {}});
   }
   bool anyCold() const {
     for (const HostEntry& h : hosts_)
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -1,5 +1,5 @@
 // The log: lines as text and as JSON, limits, and a pipe that nobody reads.
-#include "net/log.hpp"
+#include "gateway/log.hpp"
 
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 #include <sstream>
 #include <vector>
 
-namespace cairnjunction {
+namespace hollyrun::gateway {
 namespace {
 
 class LogTest : public ::testing::Test {
@@ -104,4 +104,4 @@
 }
 
 }  // namespace
-}  // namespace cairnjunction
+}  // namespace hollyrun::gateway
--- a/tests/management_test.cpp
+++ b/tests/management_test.cpp
@@ -1,7 +1,7 @@
 // The operators' side: the management address, its figures, and what they count.
 #include "gateway_fixture.hpp"
 
-namespace cairnjunction::testing {
+namespace hollyrun::gateway::testing {
 namespace {
 
 class ManagementTest : public GatewayTest {
@@ -240,4 +240,4 @@
 }
 
 }  // namespace
-}  // namespace cairnjunction::testing
+}  // namespace hollyrun::gateway::testing
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,6 +1,6 @@
 // Membership in virtual time: the hard cases of docs/membership.md, each by its name, and properties over
 // drawn schedules.
-#include "fleet/membership.hpp"
+#include "membership/membership.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -9,19 +9,19 @@
 #include <nlohmann/json.hpp>
 #include <numeric>
 
-#include "lab/explore.hpp"
-#include "lab/members.hpp"
+#include "lab/simulation/explore.hpp"
+#include "lab/simulation/members.hpp"
 
 namespace hollyrun::lab {
 namespace {
 
-using fleet::Bad;
-using fleet::Event;
-using fleet::MembershipSettings;
-using fleet::Message;
-using fleet::Record;
-using fleet::State;
-using fleet::Type;
+using membership::Bad;
+using membership::Event;
+using membership::MembershipSettings;
+using membership::Message;
+using membership::Record;
+using membership::State;
+using membership::Type;
 
 MembershipSettings settingsOf(std::size_t seeds = 2) {
   MembershipSettings s;
@@ -36,8 +36,9 @@
       : MemberWorld(seed, settings, weather) {
     for (std::size_t i = 0; i < n; ++i) start(add("m" + std::to_string(i)));
   }
-  fleet::Duration periods(double n) const {
-    return fleet::Duration(static_cast<std::int64_t>(n * static_cast<double>(settingsOf().period.count())));
+  membership::Duration periods(double n) const {
+    return membership::Duration(
+        static_cast<std::int64_t>(n * static_cast<double>(settingsOf().period.count())));
   }
   bool agreeWithin(double n) {
     return runUntil([&] { return agreed(); }, periods(n));
@@ -319,7 +320,7 @@
 TEST(MembershipHardCase, HostileSizesAndNonsense) {
   Fleet f(3);
   ASSERT_TRUE(f.agreeWithin(10));
-  const fleet::Address stranger{0x7f000001, 9};
+  const membership::Address stranger{0x7f000001, 9};
   std::vector<std::string> hostile{
       "",
       std::string(1, '\x9f'),
@@ -338,7 +339,7 @@
   for (const std::string& bytes : hostile) f.inject(0, stranger, bytes);
   // The same with a true checksum reach the decoder.
   for (const std::string& bytes : std::vector<std::string>(hostile))
-    f.inject(0, stranger, bytes + fleet::sumOf(bytes)), hostile.push_back(bytes);
+    f.inject(0, stranger, bytes + membership::sumOf(bytes)), hostile.push_back(bytes);
   const auto& bad = f.at(0).counters().bad;
   EXPECT_EQ(std::accumulate(bad.begin(), bad.end(), std::uint64_t{0}), hostile.size());
   EXPECT_GT(bad[static_cast<std::size_t>(Bad::undecodable)], 1000u);
@@ -364,7 +365,7 @@
       Record victim = f.at(2).self();
       victim.incarnation += above;
       const Message m = forged(f.at(1).self(), state, victim);
-      f.inject(0, f.nodes()[1].address, fleet::encode(m, "fleet", took));
+      f.inject(0, f.nodes()[1].address, membership::encode(m, "fleet", took));
       f.runFor(f.periods(1));
     }
   EXPECT_TRUE(f.agreeWithin(kHealPeriods));
@@ -386,7 +387,7 @@
     ghost.address.port = static_cast<std::uint16_t>(20000 + i);
     Message m = forged(f.at(1).self(), State::alive, ghost);
     m.sequence += static_cast<std::uint64_t>(i);
-    f.inject(0, f.nodes()[1].address, fleet::encode(m, "fleet", took));
+    f.inject(0, f.nodes()[1].address, membership::encode(m, "fleet", took));
   }
   EXPECT_LE(f.at(0).others().size(), 50u);
   EXPECT_GT(f.at(0).counters().full, 0u);
@@ -403,10 +404,10 @@
     Message m;
     m.self = big;
     std::size_t took = 0;
-    f.inject(0, f.nodes()[1].address, fleet::encode(m, "fleet", took));
+    f.inject(0, f.nodes()[1].address, membership::encode(m, "fleet", took));
     (name ? big.name : big.zone) = std::string(65, 'x');  // the least that is too much
     m.self = big;
-    f.inject(0, f.nodes()[1].address, fleet::encode(m, "fleet", took));
+    f.inject(0, f.nodes()[1].address, membership::encode(m, "fleet", took));
   }
   EXPECT_EQ(f.at(0).counters().bad[static_cast<std::size_t>(Bad::tooLong)], 2u);
   EXPECT_EQ(f.at(0).counters().bad[static_cast<std::size_t>(Bad::nonsense)], 2u);
@@ -437,7 +438,7 @@
     m.self = changed;
     std::size_t took = 0;
     Bad why{};
-    EXPECT_TRUE(fleet::decode(fleet::encode(m, "fleet", took), "fleet", why).has_value()) << step;
+    EXPECT_TRUE(membership::decode(membership::encode(m, "fleet", took), "fleet", why).has_value()) << step;
     f.nodes()[1].logic->onSettings(f.now(), f.settings(), changed);
     f.runFor(f.periods(5));
     EXPECT_TRUE(f.agreed());
@@ -458,21 +459,21 @@
   Message m;
   m.self = f.at(1).self();
   std::size_t took = 0;
-  f.inject(0, f.nodes()[1].address, fleet::encode(m, "other", took));
+  f.inject(0, f.nodes()[1].address, membership::encode(m, "other", took));
   EXPECT_EQ(f.at(0).counters().bad[static_cast<std::size_t>(Bad::otherFleet)], 1u);
   // What a later version adds behind what we know is passed over.
-  const std::string whole = fleet::encode(m, "fleet", took);
-  nlohmann::json j = nlohmann::json::from_cbor(whole.substr(0, whole.size() - fleet::sumOf("").size()));
+  const std::string whole = membership::encode(m, "fleet", took);
+  nlohmann::json j = nlohmann::json::from_cbor(whole.substr(0, whole.size() - membership::sumOf("").size()));
   j.push_back("more");
   j[6].push_back(5);
   std::string bytes;
   nlohmann::json::to_cbor(j, bytes);
   Bad why{};
-  EXPECT_TRUE(fleet::decode(bytes + fleet::sumOf(bytes), "fleet", why).has_value());
+  EXPECT_TRUE(membership::decode(bytes + membership::sumOf(bytes), "fleet", why).has_value());
   j[0] = 2;
   bytes.clear();
   nlohmann::json::to_cbor(j, bytes);
-  EXPECT_FALSE(fleet::decode(bytes + fleet::sumOf(bytes), "fleet", why).has_value());
+  EXPECT_FALSE(membership::decode(bytes + membership::sumOf(bytes), "fleet", why).has_value());
   EXPECT_EQ(why, Bad::otherVersion);
 }
 
--- a/tests/net_peers.hpp
+++ b/tests/net_peers.hpp
@@ -20,7 +20,7 @@
 #include <utility>
 #include <vector>
 
-namespace cairnjunction::testing {
+namespace hollyrun::gateway::testing {
 
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
@@ -266,4 +266,4 @@
           {"state", state}, {"capacity_hint", 1.0},         {"boot_ms", 0}};
 }
 
-}  // namespace cairnjunction::testing
+}  // namespace hollyrun::gateway::testing
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -11,7 +11,7 @@
 
 #include "net_peers.hpp"
 
-namespace cairnjunction::testing {
+namespace hollyrun::gateway::testing {
 namespace {
 
 std::string program;  // set once, by main
@@ -233,11 +233,11 @@
 }
 
 }  // namespace
-}  // namespace cairnjunction::testing
+}  // namespace hollyrun::gateway::testing
 
 int main(int argc, char** argv) {
   ::testing::InitGoogleTest(&argc, argv);
   if (argc < 2) return 1;
-  cairnjunction::testing::program = argv[1];
+  hollyrun::gateway::testing::program = argv[1];
   return RUN_ALL_TESTS();
 }
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -4,7 +4,7 @@
 
 #include "driver.hpp"
 
-namespace ochrehill::testing {
+namespace hollyrun::balancer::testing {
 namespace {
 
 // --- Score and cutoff ---
@@ -600,4 +600,4 @@
 }
 
 }  // namespace
-}  // namespace ochrehill::testing
+}  // namespace hollyrun::balancer::testing
--- a/tests/sites_test.cpp
+++ b/tests/sites_test.cpp
@@ -3,7 +3,7 @@
 
 #include "gateway_fixture.hpp"
 
-namespace cairnjunction::testing {
+namespace hollyrun::gateway::testing {
 namespace {
 
 class Sites : public GatewayTest {
@@ -126,4 +126,4 @@
 }
 
 }  // namespace
-}  // namespace cairnjunction::testing
+}  // namespace hollyrun::gateway::testing
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,10 +1,13 @@
-#include "wire.hpp"
+#include "simulator_adapter/wire.hpp"
 
 #include <gtest/gtest.h>
 
 #include <sstream>
 
-namespace ochrehill::wire {
+namespace hollyrun::simulator_adapter {
+
+using namespace balancer;
+
 namespace {
 
 const char* kSettings =
@@ -230,4 +233,4 @@
 }
 
 }  // namespace
-}  // namespace ochrehill::wire
+}  // namespace hollyrun::simulator_adapter
