--- a/src/gateway/client_server.cpp
+++ b/src/gateway/client_server.cpp
@@ -42,6 +42,11 @@
 constexpr auto kFresh = std::chrono::milliseconds(250);
 // Connections that linger beyond the limit, after they made room: of the descriptors that no one else has.
 constexpr std::size_t kLeaving = 8;
+// Connections accepted in one turn of the event loop: what was accepted before, answers and timers come
+// between.
+constexpr std::size_t kAcceptBatch = 32;
+// Sessions whose socket is asked for unread bytes in a search for room; the next turn reads what these have.
+constexpr std::size_t kRoomCandidates = 16;
 
 }  // namespace
 
@@ -84,7 +89,7 @@
 
   void close() {
     if (state_ == State::closed) return;
-    state_ = State::closed;
+    enter(State::closed);
     error_code ignored;
     socket_.close(ignored);
     dropBodies();
@@ -96,7 +101,7 @@
   // the close, is reset, and the reset may overtake the answer. So our side ends first, and what the client
   // still sends is read and thrown away until it ends, too: it sends a request that met our end once more.
   void linger() {
-    state_ = State::lingering;
+    enter(State::lingering);
     since_ = Clock::now();
     buffer_.consume(buffer_.size());
     held_ = {};
@@ -108,11 +113,25 @@
   bool idle() const { return state_ == State::idle && !unread(socket_); }
   // A part of a request has come, and nothing waits to be read.
   bool unfinished() const { return (state_ == State::head || state_ == State::body) && !unread(socket_); }
-  bool lingering() const { return state_ == State::lingering; }
   bool fresh(Clock::time_point now) const { return first_ && now - connected_ <= kFresh; }
   Clock::time_point since() const { return since_; }
   Clock::time_point lastCame() const { return lastCame_; }
 
+  // Whether the client has ended its side, seen at once. Danger: an end that lies behind unread bytes is no
+  // event of the loop, nor is one that it has not come to yet.
+  bool hungUp() {
+    pollfd look{socket_.native_handle(), POLLRDHUP, 0};
+    return ::poll(&look, 1, 0) > 0 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR));
+  }
+
+  // Its client left while its request was waiting.
+  void gone() {
+    const ExchangeId exchange = exchange_;
+    server_->waiting_.erase(exchange);
+    close();
+    server_->callbacks_.gone(exchange);
+  }
+
   // What has to happen by itself, looked for from time to time.
   void sweep(Clock::time_point now) {
     if ((state_ == State::waiting || state_ == State::uploading) && !watching_ && hungUp()) return gone();
@@ -126,11 +145,22 @@
   // docs/connections.md has the table of states and events.
   enum class State { idle, head, body, uploading, waiting, answering, lingering, closed };
 
-  // Danger: while what was sent ahead fills the buffer, or an upload is paused, nothing is read, and the end
-  // of the client's side lies behind bytes that nobody wants yet.
-  bool hungUp() {
-    pollfd look{socket_.native_handle(), POLLRDHUP, 0};
-    return ::poll(&look, 1, 0) > 0 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR));
+  // The server's list of the sessions in this state that may be closed to make room, if there is one.
+  SessionList* listOf(State state) {
+    switch (state) {
+      case State::idle: return &server_->idle_;
+      case State::head:
+      case State::body: return &server_->unfinished_;
+      case State::lingering: return &server_->lingering_;
+      default: return nullptr;
+    }
+  }
+
+  void enter(State next) {
+    state_ = next;
+    if (list_) list_->erase(inList_);
+    list_ = listOf(next);
+    if (list_) inList_ = list_->insert(list_->end(), this);
   }
 
   bool overdue(Clock::time_point now) const {
@@ -167,7 +197,7 @@
   void beginAnswer(HttpResponse& response, Answered answered) {
     if (state_ == State::uploading) keepAlive_ = false;  // the rest of its body is not wanted
     dropBodies();
-    state_ = State::answering;
+    enter(State::answering);
     exchange_ = 0;
     answered_ = std::move(answered);
     since_ = Clock::now();
@@ -235,7 +265,7 @@
     parser_->body_limit(kMostBody);
     held_ = {};
     bodyBytes_ = 0;
-    state_ = State::idle;
+    enter(State::idle);
     since_ = Clock::now();
   }
 
@@ -264,6 +294,7 @@
     if (ec) return clientEnded();
     buffer_.commit(n);
     lastCame_ = Clock::now();
+    if (list_) list_->splice(list_->end(), *list_, inList_);
     if (state_ == State::waiting || state_ == State::answering) return watchAhead();
     consume();
   }
@@ -294,7 +325,7 @@
 
   void consume() {
     if (state_ == State::idle) {
-      state_ = State::head;
+      enter(State::head);
       since_ = Clock::now();
     }
     while (buffer_.size() > 0 && !parser_->is_done()) {
@@ -321,7 +352,7 @@
 
   // False if it was answered.
   bool headCame() {
-    state_ = State::body;
+    enter(State::body);
     bodyBegan_ = Clock::now();
     const auto& head = parser_->get();
     const auto length = parser_->content_length();
@@ -388,7 +419,7 @@
     const auto upload = std::exchange(upload_, nullptr);
     upload->onRoom = nullptr;
     first_ = false;
-    state_ = State::waiting;
+    enter(State::waiting);
     watchAhead();
     const ExchangeId exchange = exchange_;
     server_->callbacks_.uploaded(exchange);
@@ -398,7 +429,7 @@
   ClientRequest handOver(State next) {
     keepAlive_ = parser_->get().keep_alive();
     first_ = first_ && !parser_->is_done();
-    state_ = next;
+    enter(next);
     exchange_ = ++server_->lastExchange_;
     server_->waiting_.emplace(exchange_, shared_from_this());
     ClientRequest request;
@@ -430,13 +461,6 @@
                                            : http::status::bad_request);
   }
 
-  void gone() {
-    const ExchangeId exchange = exchange_;
-    server_->waiting_.erase(exchange);
-    close();
-    server_->callbacks_.gone(exchange);
-  }
-
   ClientServer* server_;
   tcp::socket socket_;
   boost::beast::flat_buffer buffer_{kHeaderLimit + 2 * kBodyChunk};
@@ -447,6 +471,8 @@
   std::shared_ptr<BodyStream> upload_, download_;
   std::string piece_;  // of the download, being written
   State state_ = State::idle;
+  SessionList* list_ = nullptr;   // that holds this session,
+  SessionList::iterator inList_;  // here
   ExchangeId exchange_ = 0;
   const Clock::time_point connected_ = Clock::now();
   Clock::time_point since_;  // of the state; of a request's first byte, once it is there
@@ -514,10 +540,20 @@
     session->answer(std::move(head), std::move(body), length, std::move(answered));
 }
 
+bool ClientServer::present(ExchangeId exchange) const {
+  const auto it = waiting_.find(exchange);
+  return it != waiting_.end() && !it->second->hungUp();
+}
+
+void ClientServer::leave(ExchangeId exchange) {
+  const auto it = waiting_.find(exchange);
+  if (it != waiting_.end()) std::shared_ptr<Session>(it->second)->gone();
+}
+
 void ClientServer::accept() {
   acceptor_.async_wait(tcp::acceptor::wait_read, [this](error_code ec) {
     if (ec || !acceptor_.is_open()) return;
-    if (takeWaiting()) return accept();
+    if (takeWaiting() != Accepted::noRoom) return accept();
     // Danger: with no descriptor left the listener stays readable, and the loop would spin.
     again_.expires_after(kAcceptAgain);
     again_.async_wait([this](error_code waitError) {
@@ -526,21 +562,23 @@
   });
 }
 
-// Takes all that wait; false if there was no room for more. Danger: at the limit, room may be made only for
-// a connection that is there: an idle client is not sent away for nobody. So there may be one over it.
-bool ClientServer::takeWaiting() {
-  for (;;) {
-    if (admitted() > limits_.connections && !makeRoom()) return false;
+// Takes a batch of those that wait. Danger: at the limit, room may be made only for a connection that is
+// there: an idle client is not sent away for nobody. So there may be one over it.
+ClientServer::Accepted ClientServer::takeWaiting() {
+  for (std::size_t taken = 0; taken < kAcceptBatch;) {
+    if (admitted() > limits_.connections && !makeRoom()) return Accepted::noRoom;
     error_code ec;
     tcp::socket socket(io_);
     acceptor_.accept(socket, ec);
-    if (ec == asio::error::would_block || ec == asio::error::try_again) return true;
+    if (ec == asio::error::would_block || ec == asio::error::try_again) return Accepted::all;
     if (ec == asio::error::connection_aborted || ec == asio::error::interrupted) continue;
-    if (ec) return makeRoom();
+    if (ec) return makeRoom() ? Accepted::some : Accepted::noRoom;
+    ++taken;
     if (admitted() >= limits_.connections) makeRoom();
     admit(std::move(socket));
-    if (admitted() > limits_.connections) return false;
+    if (admitted() > limits_.connections) return Accepted::noRoom;
   }
+  return Accepted::some;
 }
 
 void ClientServer::admit(tcp::socket socket) {
@@ -557,25 +595,47 @@
 // that was taken. Danger: its next request may be on its way to the one that leaves, so that lingers, too,
 // and only the first of several has to go at once.
 bool ClientServer::makeRoom() {
-  std::shared_ptr<Session> idle, silent, lingering;
-  const auto quiet = Clock::now() - kSilent;
-  const auto before = [](const auto& a, const auto& b) { return !b || a->since() < b->since(); };
-  for (const auto& session : sessions_) {
-    if (before(session, idle) && session->idle()) idle = session;
-    if (session->unfinished() && session->lastCame() < (silent ? silent->lastCame() : quiet))
-      silent = session;
-    if (before(session, lingering) && session->lingering() && !leaves(session)) lingering = session;
-  }
-  if (const auto leaving = idle ? idle : silent) {
+  std::shared_ptr<Session> leaving = oldestIdle();
+  if (!leaving) leaving = oldestUnfinished();
+  if (leaving) {
     leaving_.push_back(leaving);
     leaving->linger();
     if (leaving_.size() > kLeaving) std::shared_ptr<Session>(leaving_.front())->close();
     return true;
   }
+  const std::shared_ptr<Session> lingering = oldestLingering();
   if (lingering) lingering->close();
   return lingering != nullptr;
 }
 
+std::shared_ptr<ClientServer::Session> ClientServer::oldestIdle() const {
+  std::size_t looked = 0;
+  for (Session* session : idle_) {
+    if (session->idle()) return session->shared_from_this();
+    if (++looked == kRoomCandidates) break;
+  }
+  return nullptr;
+}
+
+std::shared_ptr<ClientServer::Session> ClientServer::oldestUnfinished() const {
+  const auto quiet = Clock::now() - kSilent;
+  std::size_t looked = 0;
+  for (Session* session : unfinished_) {
+    if (session->lastCame() >= quiet) break;
+    if (session->unfinished()) return session->shared_from_this();
+    if (++looked == kRoomCandidates) break;
+  }
+  return nullptr;
+}
+
+std::shared_ptr<ClientServer::Session> ClientServer::oldestLingering() const {
+  for (Session* session : lingering_) {
+    std::shared_ptr<Session> candidate = session->shared_from_this();
+    if (!leaves(candidate)) return candidate;
+  }
+  return nullptr;
+}
+
 bool ClientServer::leaves(const std::shared_ptr<Session>& session) const {
   return std::find(leaving_.begin(), leaving_.end(), session) != leaving_.end();
 }
@@ -598,7 +658,8 @@
     sock_filter none[] = {{BPF_RET | BPF_K, 0, 0, 0}};
     const sock_fprog program{1, none};
     ::setsockopt(acceptor_.native_handle(), SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof program);
-    takeWaiting();
+    while (takeWaiting() == Accepted::some) {
+    }
     if (onLastAccept) onLastAccept();
   }
   error_code ignored;
--- a/src/gateway/client_server.hpp
+++ b/src/gateway/client_server.hpp
@@ -9,6 +9,7 @@
 #include <cstdint>
 #include <deque>
 #include <functional>
+#include <list>
 #include <memory>
 #include <optional>
 #include <unordered_map>
@@ -64,7 +65,11 @@
   // The body comes in pieces; in chunks if its length is not known.
   void answer(ExchangeId exchange, HttpResponse head, std::shared_ptr<BodyStream> body,
               std::optional<std::uint64_t> length, Answered answered);
-  void lastAnswers();    // from now on every answer closes its connection
+  // Whether the client that waits for this answer is still there, asked of its socket: what the event loop
+  // has not come to yet counts, too. For one that left, `gone` is due: see leave().
+  bool present(ExchangeId exchange) const;
+  void leave(ExchangeId exchange);  // its client left: closes the connection and tells `gone`
+  void lastAnswers();               // from now on every answer closes its connection
   void stopAccepting();  // takes what waits to be accepted, then closes the listener and idle connections
   std::size_t connections() const { return sessions_.size(); }
 
@@ -73,12 +78,17 @@
 
  private:
   class Session;
+  using SessionList = std::list<Session*>;
+  enum class Accepted { all, some, noRoom };
 
   void accept();
   std::shared_ptr<Session> takeWaiter(ExchangeId exchange);
-  bool takeWaiting();
+  Accepted takeWaiting();
   void admit(boost::asio::ip::tcp::socket socket);
   bool makeRoom();
+  std::shared_ptr<Session> oldestIdle() const;
+  std::shared_ptr<Session> oldestUnfinished() const;
+  std::shared_ptr<Session> oldestLingering() const;
   bool leaves(const std::shared_ptr<Session>& session) const;
   std::size_t admitted() const { return sessions_.size() - leaving_.size(); }
   void ended(const std::shared_ptr<Session>& session);
@@ -90,6 +100,9 @@
   Callbacks callbacks_;
   std::shared_ptr<BodyBudget> budget_;
   boost::asio::steady_timer sweeper_, again_;
+  // What may be closed to make room, by state, the oldest first. Danger: the accept queue of a flood is long,
+  // and a search among all sessions for each connection in it holds up the event loop for a second.
+  SessionList idle_, unfinished_, lingering_;
   std::unordered_set<std::shared_ptr<Session>> sessions_;
   std::deque<std::shared_ptr<Session>> leaving_;  // they made room and linger, the first for longest
   std::unordered_map<ExchangeId, std::shared_ptr<Session>> waiting_;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -142,7 +142,7 @@
             ends_.push_back(std::move(end));
             drainActions();
           },
-          budget_),
+          budget_, [this](const AttemptKey& attempt) { return stillWanted(attempt); }),
       discovery_(
           io, config.discovery,
           {[this](const HostList& list) { told(list, list.full ? ListKind::replace : ListKind::update); },
@@ -333,6 +333,13 @@
       statistics_.answered(counted, Statistics::End::failure, std::nullopt);
     });
   }
+  // Danger: a connection may wait to be accepted until its client has given up; the request and the end of
+  // the client's side are then found together.
+  if (!clients_.present(request.exchange)) {
+    statistics_.answered(statistics_.classOf(settings_.classes[asked.classIndex].name),
+                         Statistics::End::failure, std::nullopt);
+    return clients_.leave(request.exchange);
+  }
   asked.id = ++lastRequest_;
   const Duration left = asked.left - kAnswerMargin;
   asked.left = left - (Clock::now() - request.came);
@@ -405,6 +412,16 @@
   for (std::uint32_t attempt = 0; attempt < begun; ++attempt) hosts_.drop({id, attempt});
 }
 
+// Danger: a client may leave in the turn of the event loop in which an attempt of its request begins, and its
+// socket tells so before the loop does.
+bool Gateway::stillWanted(const AttemptKey& attempt) {
+  const auto it = exchanges_.find(attempt.request);
+  if (it == exchanges_.end() || it->second.ended) return false;
+  if (clients_.present(it->second.client)) return true;
+  departed_.push_back(it->second.client);
+  return false;
+}
+
 // The time of an upload runs from its last byte.
 void Gateway::uploaded(ExchangeId client) {
   const auto known = byClient_.find(client);
@@ -451,8 +468,10 @@
   if (carrying_) return;
   carrying_ = true;
   for (;;) {
+    for (const ExchangeId client : std::exchange(departed_, {})) clients_.leave(client);
     const std::vector<Action> actions = std::exchange(balancer_.actions(), {});
     for (const Action& action : actions) carryOut(action);
+    if (!departed_.empty()) continue;  // before the ends of the attempts that were not begun for them
     // Entries are dropped only after all actions that name them are done.
     if (balancer_.actions().empty())
       for (const RequestId id : std::exchange(over_, {}))
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -75,6 +75,7 @@
   void received(ClientRequest request);
   boost::beast::http::status describe(const HttpRequest& message, balancer::Request& request) const;
   void clientGone(ExchangeId exchange);
+  bool stillWanted(const AttemptKey& attempt);
   void uploaded(ExchangeId exchange);
   void told(const HostList& list, balancer::ListKind kind);
 
@@ -113,6 +114,7 @@
   std::unordered_map<ExchangeId, balancer::RequestId> byClient_;
   std::vector<balancer::RequestId> over_;  // may be dropped once the actions are done
   std::deque<AttemptEnd> ends_;            // raised while actions are carried out
+  std::vector<ExchangeId> departed_;       // clients found to have left as an attempt was to begin
   boost::asio::steady_timer waker_, shutDownTimer_, openTimer_;
   balancer::Time wakeAt_{};
   balancer::RequestId lastRequest_ = 0;
--- a/src/gateway/host_pool.cpp
+++ b/src/gateway/host_pool.cpp
@@ -134,6 +134,7 @@
       if (connectError || Clock::now() > self->beginBy) return self->end(Outcome::connectFailed);
       error_code ignored;
       self->socket.set_option(tcp::no_delay(true), ignored);
+      if (!self->pool->wanted(self->key)) return self->end(Outcome::moot, true);
       self->write();
     });
   }
@@ -393,8 +394,14 @@
   }
 };
 
-HostPool::HostPool(asio::io_context& io, Limits limits, Ended ended, std::shared_ptr<BodyBudget> budget)
-    : io_(io), limits_(limits), ended_(std::move(ended)), budget_(std::move(budget)), sweeper_(io) {
+HostPool::HostPool(asio::io_context& io, Limits limits, Ended ended, std::shared_ptr<BodyBudget> budget,
+                   Wanted wanted)
+    : io_(io),
+      limits_(limits),
+      ended_(std::move(ended)),
+      wanted_(std::move(wanted)),
+      budget_(std::move(budget)),
+      sweeper_(io) {
   sweep();
 }
 
@@ -451,6 +458,7 @@
 
 void HostPool::begin(AttemptKey key, HostId host, HttpRequest request, Duration limit, Duration beginWithin,
                      std::shared_ptr<BodyStream> upload) {
+  if (!wanted(key)) return ended_({key, host, Outcome::moot, {}, {}});
   const auto now = Clock::now();
   std::shared_ptr<Connection> connection = takeIdle(host);
   const bool fresh = !connection;
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -7,6 +7,7 @@
 #include <filesystem>
 
 #include "gateway_fixture.hpp"
+#include "leaving_clients.hpp"
 
 namespace hollyrun::gateway::testing {
 namespace {
@@ -14,51 +15,7 @@
 using namespace std::chrono_literals;
 using Clock = std::chrono::steady_clock;
 
-// A client's socket without a loop: what it writes is at the gateway's machine when the call returns.
-class PlainClient {
- public:
-  PlainClient(asio::io_context& io, const tcp::endpoint& to) : socket_(io) {
-    socket_.connect(to);
-    socket_.non_blocking(true);
-  }
-  void send(const std::string& text) {
-    error_code ec;
-    asio::write(socket_, asio::buffer(text), ec);
-    reset = reset || (ec && ec != asio::error::would_block);
-  }
-  // Reads what is there; true while the connection is open.
-  bool open() {
-    char bytes[16384];
-    for (;;) {
-      error_code ec;
-      const std::size_t n = socket_.read_some(asio::buffer(bytes), ec);
-      come.append(bytes, n);
-      if (ec == asio::error::would_block) return true;
-      reset = reset || ec == asio::error::connection_reset || ec == asio::error::broken_pipe;
-      if (ec) return false;
-    }
-  }
-  bool got(const std::string& text) {
-    open();
-    return come.find(text) != std::string::npos;
-  }
-  void halfClose() {
-    error_code ec;
-    socket_.shutdown(tcp::socket::shutdown_send, ec);
-  }
-
-  std::string come;
-  bool reset = false;
-
- private:
-  tcp::socket socket_;
-};
-
-enum class Leaving { close, halfClose, reset };
 enum class Ahead { nothing, request, much };
-std::string nameOf(Leaving l) {
-  return l == Leaving::close ? "ByClose" : l == Leaving::halfClose ? "ByHalfClose" : "ByReset";
-}
 std::string nameOf(Ahead a) {
   return a == Ahead::nothing ? "" : a == Ahead::request ? "WithARequestAhead" : "WithMuchAhead";
 }
@@ -82,13 +39,6 @@
   void waitLong() {  // no time limit ends what a test waits for
     for (auto& grade : config["settings"]["grades"]) grade["giveUpNs"] = grade["aimNs"] = 600'000'000'000;
   }
-  static void leave(Client& c, Leaving how) {
-    switch (how) {
-      case Leaving::close: return c.close();
-      case Leaving::halfClose: return c.halfClose();
-      case Leaving::reset: return c.reset();
-    }
-  }
   // The second of a key waits for its turn while its client leaves, and may not be sent on any more.
   void leaveInTurn(const std::string& kind, const std::string& body, const std::string& ahead, Leaving how) {
     waitLong();
--- a/tests/net_peers.hpp
+++ b/tests/net_peers.hpp
@@ -3,6 +3,7 @@
 #pragma once
 
 #include <gtest/gtest.h>
+#include <poll.h>
 
 #include <boost/asio/connect.hpp>
 #include <boost/asio/io_context.hpp>
@@ -123,6 +124,11 @@
     filler_.connect(endpoint);
     paused_ = true;
   }
+  // Whether a connection has come up that is not accepted yet.
+  bool dialled() {
+    pollfd look{acceptor_.native_handle(), POLLIN, 0};
+    return ::poll(&look, 1, 0) > 0;
+  }
   void resume() {
     paused_ = false;
     acceptor_.listen();
