--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -1,17 +1,13 @@
 #include "lab/fleet.hpp"
 
-#include <fcntl.h>
 #include <signal.h>
 #include <spdlog/fmt/fmt.h>
 #include <stdlib.h>
-#include <sys/prctl.h>
 #include <sys/resource.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
 #include <algorithm>
-#include <boost/asio/read_until.hpp>
-#include <boost/asio/streambuf.hpp>
 #include <cmath>
 #include <cstring>
 #include <filesystem>
@@ -20,6 +16,7 @@
 #include <set>
 #include <stdexcept>
 
+#include "lab/process.hpp"
 #include "lab/relay.hpp"
 #include "lab/report.hpp"
 
@@ -39,61 +36,6 @@
 constexpr std::size_t kSeeds = 3;
 constexpr int kStartsMost = 3;  // a port may be taken between its choice and its use
 
-// A process of the program. Its standard error is read line by line; it dies with the rig.
-struct Process : std::enable_shared_from_this<Process> {
-  Process(asio::io_context& io, std::string named) : name(std::move(named)), pipe(io) {}
-
-  void start(const std::string& program, const std::vector<std::string>& variables) {
-    int ends[2];
-    if (::pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("no pipe for " + name);
-    std::vector<char*> env;
-    for (const std::string& v : variables) env.push_back(const_cast<char*>(v.c_str()));
-    env.push_back(nullptr);
-    char* const argv[] = {const_cast<char*>(program.c_str()), nullptr};
-    const pid_t parent = ::getpid();
-    pid = ::fork();
-    if (pid == 0) {
-      ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-      if (::getppid() != parent) ::_exit(127);  // the rig went in between
-      ::dup2(ends[1], 1);
-      ::dup2(ends[1], 2);
-      // Danger: a process that inherits the rig's sockets keeps a dead server's port listening.
-      ::close_range(3, ~0U, 0);
-      ::execve(program.c_str(), argv, env.data());
-      ::_exit(127);
-    }
-    ::close(ends[1]);
-    pipe.assign(ends[0]);
-    if (pid < 0) throw std::runtime_error("no process for " + name);
-    read();
-  }
-  void send(int signal) {
-    if (!ended) ::kill(pid, signal);
-  }
-
-  std::string name, lastLine;
-  pid_t pid = -1;
-  bool asked = false, ended = false, ready = false;  // asked: the rig wanted it to end
-  int code = 0;
-  std::function<void(const std::string&)> said;
-  std::function<void()> over;
-
- private:
-  void read() {
-    asio::async_read_until(pipe, buffer, '\n', [self = shared_from_this()](error_code ec, std::size_t n) {
-      if (ec) return;
-      std::string line(asio::buffers_begin(self->buffer.data()),
-                       asio::buffers_begin(self->buffer.data()) + static_cast<std::ptrdiff_t>(n) - 1);
-      self->buffer.consume(n);
-      self->lastLine = line;
-      if (self->said) self->said(line);
-      self->read();
-    });
-  }
-  asio::posix::stream_descriptor pipe;
-  asio::streambuf buffer{1 << 20};
-};
-
 // A gateway of the fleet: an address that stays and the processes that serve it, two during an upgrade.
 struct Member {
   Member(asio::io_context& io, std::uint32_t n) : number(n), name("gateway-" + std::to_string(n)), port(io) {}
--- a/src/lab/fleet.hpp
+++ b/src/lab/fleet.hpp
@@ -3,7 +3,6 @@
 #pragma once
 
 #include <boost/asio/io_context.hpp>
-#include <boost/asio/posix/stream_descriptor.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <functional>
