--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -27,6 +27,8 @@
 
 }  // namespace
 
+std::string tenantName(std::size_t number) { return "tenant-" + std::to_string(number); }
+
 struct Load::Try {
   std::uint64_t id = 0;
   std::uint32_t call = 0, gateway = 0;
@@ -119,6 +121,7 @@
     : io_(io),
       s_(scenario),
       seed_(seed),
+      tenants_(plan.tenants),
       day_(scenario, seed),
       targets_(std::move(targets)),
       idle_(targets_.size()),
@@ -255,6 +258,7 @@
                      " HTTP/1.1\r\nHost: gateway\r\nX-Class: " + set.name +
                      parameter("\r\nX-Request-Id: ", t.id) + "\r\nX-Deadline-Ms: " + std::to_string(left);
   if (c.arrival.key != 0) head += parameter("\r\nCookie: obj=", c.arrival.key);
+  if (tenants_ > 0) head += "\r\nX-Tenant: " + tenantName(Stream(seed_, "tenant", t.call).below(tenants_));
   if (set.effect == Effect::retryable) return "GET " + head + "\r\n\r\n";
   if (set.effect == Effect::dedup) head += parameter("\r\nIdempotency-Key: ", seed_ ^ t.call);
   return "POST " + head + "\r\nContent-Length: " + std::to_string(kAmendment) + "\r\n\r\n" +
--- a/src/lab/load.hpp
+++ b/src/lab/load.hpp
@@ -25,11 +25,15 @@
 };
 
 struct LoadPlan {
-  double rate = 0;      ///< first tries a second; 0: by the scenario's level
-  double seconds = 10;  ///< of arrivals
-  std::string cls;      ///< only this class; empty: the scenario's mix
+  double rate = 0;          ///< first tries a second; 0: by the scenario's level
+  double seconds = 10;      ///< of arrivals
+  std::string cls;          ///< only this class; empty: the scenario's mix
+  std::size_t tenants = 0;  ///< each request is one of tenant-0, tenant-1, ...; 0: of none
 };
 
+/// The name of a tenant by its number, in a load and in the settings of a gateway for it.
+std::string tenantName(std::size_t number);
+
 class Load final : public Witness {
  public:
   static constexpr double kLongest = 3600;         // seconds
@@ -80,6 +84,7 @@
   asio::io_context& io_;
   const Scenario& s_;
   std::uint64_t seed_;
+  std::size_t tenants_;
   DrawnDay day_;
   std::vector<Target> targets_;
   std::vector<Arrival> arrivals_;
