--- /dev/null
+++ b/src/lab/hollow_gateway.cpp
@@ -0,0 +1,177 @@
+#include "lab/hollow_gateway.hpp"
+
+#include <algorithm>
+#include <boost/asio/signal_set.hpp>
+#include <chrono>
+#include <csignal>
+#include <iostream>
+#include <memory>
+#include <utility>
+#include <vector>
+
+#include "lab/hollow_report.hpp"
+#include "lab/lag_meter.hpp"
+#include "lab/platform.hpp"
+
+namespace hollyrun::lab {
+
+namespace asio = boost::asio;
+using boost::system::error_code;
+using cairnjunction::Config;
+using cairnjunction::HostList;
+using ochrehill::ActionKind;
+using ochrehill::ListKind;
+using Clock = std::chrono::steady_clock;
+
+namespace {
+
+constexpr auto kReportEvery = std::chrono::seconds(1);
+constexpr const char* kNoClients = "127.0.0.1:1";  // the settings need an address; nobody listens there
+constexpr const char* kAnyPort = "127.0.0.1:0";
+
+}  // namespace
+
+HollowGateway::HollowGateway(asio::io_context& io, const HollowGatewayPlan& plan, std::size_t number,
+                             std::function<void()> changed)
+    : config_(configOf(plan, number)),
+      log_(config_.name, config_.log),
+      balancer_(config_.module, now()),
+      discovery_(io, config_.discovery,
+                 {[this](const HostList& list) { told(list); }, [this] { unavailable(); }}, {}),
+      waker_(io),
+      changed_(std::move(changed)) {
+  if (config_.membership) fleet_.emplace(io, config_, log_, [this] { divide(); });
+  balancer_.onHosts(now(), ListKind::restored, {});
+  carryOut();
+}
+
+HollowGateway::~HollowGateway() { discovery_.stop(); }
+
+Config HollowGateway::configOf(const HollowGatewayPlan& plan, std::size_t number) {
+  const std::string name = "hollow-" + std::to_string(number);
+  const auto environment = [&](const char* variable) -> const char* {
+    const std::string_view asked = variable;
+    if (asked == "GW_CONFIG") return plan.config.c_str();
+    if (asked == "GW_NAME") return name.c_str();
+    if (asked == "GW_LISTEN") return kNoClients;
+    if (asked == "GW_DISCOVERY") return plan.discovery.c_str();
+    if (plan.seeds.empty()) return nullptr;
+    if (asked == "GW_MEMBERSHIP") return kAnyPort;
+    if (asked == "GW_SEEDS") return plan.seeds.c_str();
+    return nullptr;
+  };
+  Config config = cairnjunction::readConfig(environment);
+  config.module.seed += number;  // or all would ask discovery anew at the same moment
+  config.module.number = static_cast<std::uint32_t>(number);
+  config.log.level = cairnjunction::LogLevel::off;
+  return config;
+}
+
+ochrehill::Time HollowGateway::now() { return clockNow(); }
+
+void HollowGateway::told(const HostList& list) {
+  revision_ = list.version;
+  if (list.full) ++wholeLists_;
+  balancer_.onHosts(now(), list.full ? ListKind::replace : ListKind::update, {});
+  carryOut();
+  changed_();
+}
+
+void HollowGateway::unavailable() {
+  balancer_.onHosts(now(), ListKind::unavailable, {});
+  carryOut();
+}
+
+// As in a gateway: what the whole fleet may do is divided by its members.
+void HollowGateway::divide() {
+  const std::uint32_t size = std::max(config_.module.groupSize, fleet_ ? fleet_->holders() : 1);
+  if (size == config_.module.groupSize) return;
+  config_.module.groupSize = size;
+  balancer_.onSettings(now(), config_.module);
+  carryOut();
+}
+
+void HollowGateway::carryOut() {
+  for (const ochrehill::Action& action : std::exchange(balancer_.actions(), {})) {
+    if (action.kind == ActionKind::subscribe) discovery_.watch();
+    else if (action.kind == ActionKind::wake) wakeAt(action.span);
+  }
+}
+
+// Only the earliest counts: the module asks anew at each event.
+void HollowGateway::wakeAt(ochrehill::Time at) {
+  if (wakeAt_ > ochrehill::Time{} && wakeAt_ <= at) return;
+  wakeAt_ = at;
+  waker_.expires_after(at - now());
+  waker_.async_wait([this](error_code ec) {
+    if (ec) return;
+    wakeAt_ = ochrehill::Time{};
+    balancer_.onWake(now());
+    carryOut();
+  });
+}
+
+namespace {
+
+// The gateways of one process, and what they have come to together.
+class HollowGateways {
+ public:
+  HollowGateways(asio::io_context& io, const HollowGatewayPlan& plan) : lag_(io), timer_(io) {
+    for (std::size_t i = 0; i < plan.count; ++i)
+      gateways_.push_back(std::make_unique<HollowGateway>(io, plan, plan.first + i, [this] { changed(); }));
+    reportRegularly();
+  }
+
+ private:
+  void changed() {
+    if (gateways_.empty()) return;
+    HollowReport now = last_;
+    sum(now);
+    if (now.revision == last_.revision && now.wholeLists == last_.wholeLists) return;
+    now.changedAtNs = std::chrono::nanoseconds(Clock::now().time_since_epoch()).count();
+    say(now);
+  }
+  void sum(HollowReport& into) const {
+    into.revision = gateways_.front()->revision();
+    into.wholeLists = gateways_.front()->wholeLists();
+    into.membersSeen = gateways_.front()->membersSeen();
+    for (const auto& gateway : gateways_) {
+      into.revision = std::min(into.revision, gateway->revision());
+      into.wholeLists = std::min(into.wholeLists, gateway->wholeLists());
+      into.membersSeen = std::min(into.membersSeen, gateway->membersSeen());
+    }
+  }
+  void say(const HollowReport& report) {
+    last_ = report;
+    std::cout << textOf(report) << std::endl;
+  }
+  void reportRegularly() {
+    HollowReport now = last_;
+    sum(now);
+    now.lagMs = lag_.mostMs();
+    lag_.reset();
+    say(now);
+    timer_.expires_after(kReportEvery);
+    timer_.async_wait([this](error_code ec) {
+      if (!ec) reportRegularly();
+    });
+  }
+
+  std::vector<std::unique_ptr<HollowGateway>> gateways_;
+  LagMeter lag_;
+  asio::steady_timer timer_;
+  HollowReport last_;
+};
+
+}  // namespace
+
+int runHollowGateways(const HollowGatewayPlan& plan) {
+  asio::io_context io(1);
+  asio::signal_set stops(io, SIGTERM, SIGINT);
+  stops.async_wait([&io](error_code, int) { io.stop(); });
+  HollowGateways gateways(io, plan);
+  io.run();
+  return 0;
+}
+
+}  // namespace hollyrun::lab
--- /dev/null
+++ b/src/lab/hollow_gateway.hpp
@@ -0,0 +1,67 @@
+// Hollow gateways: many to a process, each with the gateway's own settings, discovery and membership code on
+// sockets of its own, and without clients or servers. The decision module holds no servers here; it only says
+// when a watch that broke is asked for anew, as it does in a gateway.
+#pragma once
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <cstdint>
+#include <functional>
+#include <optional>
+#include <string>
+
+#include "net/config.hpp"
+#include "net/discovery.hpp"
+#include "net/fleet_link.hpp"
+#include "net/log.hpp"
+#include "ochrehill/ochrehill.hpp"
+
+namespace hollyrun::lab {
+
+struct HollowGatewayPlan {
+  std::size_t first = 0, count = 1;  ///< numbers of this process's gateways
+  std::string config;                ///< the file that all of them read
+  std::string discovery;             ///< address:port
+  std::string seeds;                 ///< of membership, with commas between; empty: they are no members
+};
+
+class HollowGateway {
+ public:
+  /// `changed` is called whenever it has taken a list.
+  HollowGateway(boost::asio::io_context& io, const HollowGatewayPlan& plan, std::size_t number,
+                std::function<void()> changed);
+  ~HollowGateway();
+  HollowGateway(const HollowGateway&) = delete;
+  HollowGateway& operator=(const HollowGateway&) = delete;
+
+  std::int64_t revision() const { return revision_; }  ///< of the list that it holds, -1: none yet
+  std::uint64_t wholeLists() const { return wholeLists_; }
+  /// Members that it counts, itself included; 0 if it is no member.
+  std::uint32_t membersSeen() const { return fleet_ ? fleet_->holders() : 0; }
+
+ private:
+  static cairnjunction::Config configOf(const HollowGatewayPlan& plan, std::size_t number);
+  static ochrehill::Time now();
+
+  void told(const cairnjunction::HostList& list);
+  void unavailable();
+  void divide();
+  void carryOut();
+  void wakeAt(ochrehill::Time at);
+
+  cairnjunction::Config config_;
+  cairnjunction::Log log_;
+  ochrehill::Balancer balancer_;
+  cairnjunction::Discovery discovery_;
+  boost::asio::steady_timer waker_;
+  ochrehill::Time wakeAt_{};  // zero: no wake is asked for
+  std::function<void()> changed_;
+  std::int64_t revision_ = -1;
+  std::uint64_t wholeLists_ = 0;
+  std::optional<cairnjunction::FleetLink> fleet_;
+};
+
+/// Runs them until the process is ended, and reports on its output. Returns an exit code.
+int runHollowGateways(const HollowGatewayPlan& plan);
+
+}  // namespace hollyrun::lab
--- /dev/null
+++ b/src/lab/lag_meter.hpp
@@ -0,0 +1,36 @@
+// How late an event loop is: a timer that should come every 10 ms, and how long after that it did.
+#pragma once
+
+#include <algorithm>
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <chrono>
+
+namespace hollyrun::lab {
+
+class LagMeter {
+ public:
+  explicit LagMeter(boost::asio::io_context& io) : timer_(io) { wait(); }
+
+  /// The longest that the loop was late since the last reset, in milliseconds.
+  double mostMs() const { return mostMs_; }
+  void reset() { mostMs_ = 0; }
+
+ private:
+  static constexpr auto kLook = std::chrono::milliseconds(10);
+
+  void wait() {
+    timer_.expires_after(kLook);
+    timer_.async_wait([this, due = timer_.expiry()](boost::system::error_code ec) {
+      if (ec) return;
+      const std::chrono::duration<double, std::milli> late = std::chrono::steady_clock::now() - due;
+      mostMs_ = std::max(mostMs_, late.count());
+      wait();
+    });
+  }
+
+  boost::asio::steady_timer timer_;
+  double mostMs_ = 0;
+};
+
+}  // namespace hollyrun::lab
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -1,8 +1,8 @@
 // hollyrun-lab: plays scenarios of the platform with the decision module or a plain policy.
 //
 // Exit codes: 0 all well; 1 a rule was broken (a line each on standard output); 2 the command line, a
-// scenario or a file is wrong (the reason on standard error); 3 a fleet's run is void, for this machine was
-// late itself; 130 interrupted.
+// scenario or a file is wrong (the reason on standard error); 3 a run on processes is void, for this machine
+// was late itself; 130 interrupted.
 #include <spdlog/fmt/fmt.h>
 #include <spdlog/sinks/stdout_color_sinks.h>
 #include <spdlog/spdlog.h>
@@ -20,6 +20,7 @@
 #include "lab/members.hpp"
 #include "lab/platform.hpp"
 #include "lab/report.hpp"
+#include "lab/scale_command.hpp"
 #include "lab/scenario.hpp"
 #include "lab/store.hpp"
 
@@ -489,6 +490,7 @@
   all->add_option("--explore", o.depth, "instead: three members through every schedule of so many steps")
       ->check(CLI::Range(1, 12));
   all->add_option("--crashes", o.crashes, "with it: the most on a way")->capture_default_str();
+  ScaleCommand scale(app);
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
@@ -496,7 +498,7 @@
     return code == 0 ? 0 : kWrong;
   }
   try {
-    return command(o);
+    return command ? command(o) : scale.run(argc, argv);
   } catch (const std::exception& e) {
     fmt::print(stderr, "{}\n", e.what());
     return kWrong;
--- /dev/null
+++ b/src/lab/scale_rig.hpp
@@ -0,0 +1,130 @@
+// The processes of one step of a scale run: real gateways, hollow gateways and hollow servers, with an
+// emulated discovery in the rig itself. All of them end with it.
+#pragma once
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/signal_set.hpp>
+#include <filesystem>
+#include <functional>
+#include <memory>
+#include <optional>
+#include <stdexcept>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "lab/hollow_discovery.hpp"
+#include "lab/hollow_report.hpp"
+#include "lab/lag_meter.hpp"
+#include "lab/load.hpp"
+#include "lab/process.hpp"
+#include "lab/process_usage.hpp"
+#include "lab/scale_plan.hpp"
+
+namespace hollyrun::lab {
+
+/// SIGINT or SIGTERM came.
+struct ScaleInterrupted : std::runtime_error {
+  ScaleInterrupted() : std::runtime_error("interrupted") {}
+};
+
+struct RealGateway {
+  RealGateway(asio::io_context& io, std::size_t n);
+
+  std::size_t number;
+  std::string name;
+  HeldPort port, management;
+  std::size_t discovery = 0;  ///< its address at discovery
+  std::string membership;     ///< address:port; empty: it is no member
+  std::filesystem::path config;
+  std::shared_ptr<Process> process;
+  double startProcessorS = 0;  ///< until it was ready
+};
+
+class ScaleRig {
+ public:
+  /// Throws std::runtime_error if a process does not start.
+  ScaleRig(const ScalePlan& plan, const ScaleSize& size);
+  ~ScaleRig();
+  ScaleRig(const ScaleRig&) = delete;
+  ScaleRig& operator=(const ScaleRig&) = delete;
+
+  /// Plays on until the condition holds; false if it did not in that time. Throws ScaleInterrupted, and
+  /// std::runtime_error if a process ended or the memory of all is beyond the bound.
+  bool playUntil(const std::function<bool()>& holds, double mostS);
+  void playFor(double s);
+  /// GET from a gateway's management address; throws std::runtime_error if it does not answer 200.
+  std::string ask(const RealGateway& gateway, const std::string& target);
+
+  const std::vector<std::unique_ptr<RealGateway>>& gateways() const { return gateways_; }
+  HollowDiscovery& discovery() { return *discovery_; }
+  std::size_t hollowDiscovery() const { return hollowAddress_; }  ///< address of the hollow gateways there
+  tcp::endpoint serverEndpoint(std::size_t number) const;
+
+  /// A load on these targets; its results once it has ended.
+  const Load& play(std::vector<Target> targets, double seconds);
+  /// Has changes of the list come at the size's rate from now on, or none.
+  void changeRegularly(bool on);
+
+  /// Other text with the same meaning for most, to be taken at a SIGHUP.
+  void writeChangedConfig(const RealGateway& gateway, unsigned version);
+
+  /// What all hollow processes have come to.
+  std::int64_t hollowRevision() const;
+  std::uint64_t hollowWholeLists() const;
+  std::uint32_t hollowMembersSeen() const;
+  Time hollowChangedAt() const;  ///< clock of clockNow()
+
+  /// Of the rig and of its helper processes, to judge whether they were fast enough.
+  std::vector<std::pair<std::string, ProcessUsage>> helperUsage() const;
+  double lagMs() const;
+  void resetLag();
+
+ private:
+  struct Helper {
+    std::shared_ptr<Process> process;
+    HollowReport report;
+    double lagMs = 0;  // the most since the last reset
+  };
+
+  void startServers();
+  void startGateways();
+  void startGateway(RealGateway& gateway, const std::string& seeds);
+  void startHollowGateways(const std::string& seeds);
+  Helper& startHelper(const std::string& name, std::vector<std::string> arguments);
+  std::string seeds() const;
+  struct OpsAnswer {
+    int status = -1;  // 0: it did not answer
+    std::string body;
+  };
+  OpsAnswer answerOf(const RealGateway& gateway, const std::string& target);
+  std::string configOf(const RealGateway& gateway, const std::string& seeds, unsigned version) const;
+  std::string hollowConfig() const;
+  void changeOne();
+  void watchChildren();
+  void reap();
+  void checkMemory() const;
+  void killAll();
+
+  const ScalePlan& plan_;
+  ScaleSize size_;
+  Scenario scenario_;
+  DrawnDay day_;
+  asio::io_context io_{1};
+  asio::signal_set signals_, children_;
+  LagMeter lag_;
+  asio::steady_timer changes_;
+  std::filesystem::path dir_;
+  std::vector<std::shared_ptr<Process>> processes_;
+  std::vector<std::unique_ptr<Helper>> hollow_;
+  std::unique_ptr<Helper> servers_;
+  std::unique_ptr<HollowDiscovery> discovery_;
+  std::size_t hollowAddress_ = 0, changed_ = 0;
+  std::vector<std::unique_ptr<RealGateway>> gateways_;
+  std::vector<std::unique_ptr<Load>> loads_;  // their connections stay with the loop
+  std::uint64_t loadSeed_;
+  std::string failure_;
+  bool interrupted_ = false;
+};
+
+}  // namespace hollyrun::lab
--- a/src/lab/store.cpp
+++ b/src/lab/store.cpp
@@ -29,6 +29,11 @@
     server TEXT, what TEXT);
   CREATE TABLE IF NOT EXISTS happened (run INTEGER REFERENCES runs, text TEXT);
   CREATE INDEX IF NOT EXISTS runs_by_label ON runs (label);
+  CREATE TABLE IF NOT EXISTS scale_runs (id INTEGER PRIMARY KEY, label TEXT NOT NULL, at TEXT NOT NULL,
+    dimension TEXT, command TEXT);
+  CREATE TABLE IF NOT EXISTS scale_steps (id INTEGER PRIMARY KEY, run INTEGER REFERENCES scale_runs,
+    size REAL, round INTEGER, voided TEXT);
+  CREATE TABLE IF NOT EXISTS scale_figures (step INTEGER REFERENCES scale_steps, name TEXT, value REAL);
 )";
 
 [[noreturn]] void raise(sqlite3* db, const std::string& what) {
@@ -271,4 +276,64 @@
   return s;
 }
 
+void Store::putScale(const ScaleRun& run) {
+  sqlite3* db = db_.get();
+  execute("BEGIN IMMEDIATE");
+  try {
+    Statement(db, "INSERT INTO scale_runs (label, at, dimension, command) VALUES (?, datetime('now'), ?, ?)")
+        .insert(run.label, run.dimension, run.command);
+    const std::int64_t id = sqlite3_last_insert_rowid(db);
+    Statement stepRow(db, "INSERT INTO scale_steps (run, size, round, voided) VALUES (?, ?, ?, ?)");
+    Statement figureRow(db, "INSERT INTO scale_figures (step, name, value) VALUES (?, ?, ?)");
+    for (const StepResult& step : run.steps) {
+      stepRow.insert(id, step.size, step.round, step.voided);
+      const std::int64_t stepId = sqlite3_last_insert_rowid(db);
+      for (std::size_t i = 0; i < kFigures; ++i)
+        if (step.figures[i])
+          figureRow.insert(stepId, std::string(textOf(static_cast<Figure>(i)).name), *step.figures[i]);
+    }
+    execute("COMMIT");
+  } catch (...) {
+    sqlite3_exec(db, "ROLLBACK", nullptr, nullptr, nullptr);
+    throw;
+  }
+}
+
+std::vector<ScaleRun> Store::scaleRuns(const std::string& label) {
+  Statement rows(
+      db_.get(),
+      "SELECT id, label, dimension, command FROM scale_runs WHERE ?1 = '' OR label = ?1 ORDER BY id");
+  rows.bind(label);
+  std::vector<ScaleRun> all;
+  while (rows.row()) {
+    ScaleRun run;
+    std::int64_t id = 0;
+    rows.columns(id, run.label, run.dimension, run.command);
+    run.steps = scaleSteps(id);
+    all.push_back(std::move(run));
+  }
+  return all;
+}
+
+std::vector<StepResult> Store::scaleSteps(std::int64_t run) {
+  Statement rows(db_.get(), "SELECT id, size, round, voided FROM scale_steps WHERE run = ? ORDER BY id");
+  rows.bind(run);
+  std::vector<StepResult> all;
+  while (rows.row()) {
+    StepResult step;
+    std::int64_t id = 0;
+    rows.columns(id, step.size, step.round, step.voided);
+    Statement figures(db_.get(), "SELECT name, value FROM scale_figures WHERE step = ?");
+    figures.bind(id);
+    while (figures.row()) {
+      std::string name;
+      double value = 0;
+      figures.columns(name, value);
+      if (const auto figure = figureNamed(name)) step[*figure] = value;
+    }
+    all.push_back(std::move(step));
+  }
+  return all;
+}
+
 }  // namespace hollyrun::lab
--- a/src/lab/store.hpp
+++ b/src/lab/store.hpp
@@ -6,6 +6,7 @@
 #include <string>
 #include <vector>
 
+#include "lab/scale_figures.hpp"
 #include "lab/world.hpp"
 
 struct sqlite3;
@@ -33,11 +34,17 @@
   /// One run whole. Throws std::runtime_error if there is none of that number.
   StoredRun run(std::int64_t id);
 
+  /// Keeps a scale run with all its steps, or nothing of it.
+  void putScale(const ScaleRun& run);
+  /// Those of this label, the first kept first. An empty label asks for all.
+  std::vector<ScaleRun> scaleRuns(const std::string& label = {});
+
  private:
   struct Close {
     void operator()(sqlite3* db) const;
   };
   void execute(const char* text);
+  std::vector<StepResult> scaleSteps(std::int64_t run);
   std::unique_ptr<sqlite3, Close> db_;
 };
 
--- /dev/null
+++ b/tests/scale_test.cpp
@@ -0,0 +1,387 @@
+// The scale run: its figures and bounds, the hollow parts against the gateway's own code, and small runs on
+// processes. The programs' paths are the arguments: the gateway and the lab.
+#include "lab/scale.hpp"
+
+#include <gtest/gtest.h>
+#include <signal.h>
+#include <sys/wait.h>
+#include <unistd.h>
+
+#include <chrono>
+#include <filesystem>
+#include <fstream>
+#include <sstream>
+#include <thread>
+
+#include "lab/hollow_discovery.hpp"
+#include "lab/hollow_report.hpp"
+#include "lab/hollow_server.hpp"
+#include "lab/platform.hpp"
+#include "lab/store.hpp"
+#include "net/discovery.hpp"
+
+namespace hollyrun::lab {
+namespace {
+
+using cairnjunction::Discovery;
+using cairnjunction::HostList;
+using cairnjunction::HostState;
+
+constexpr std::uint32_t kTestAddresses = 0x7f3c0001;  // 127.60.0.1, where no rig has its servers
+std::string program, lab;                             // set once, by main
+
+ScaleRun runOf(const std::vector<std::pair<double, double>>& points) {
+  ScaleRun run;
+  run.dimension = "servers";
+  for (const auto& [size, value] : points) {
+    StepResult step;
+    step.size = size;
+    step[Figure::requestUs] = value;
+    run.steps.push_back(step);
+  }
+  return run;
+}
+
+// --- Figures --------------------------------------------------------------------------------------------
+
+TEST(ScaleFiguresTest, PointsOnALineGiveItsSlopeWithoutError) {
+  const auto fit = slopeOf(runOf({{200, 30}, {1000, 110}, {4800, 490}}), Figure::requestUs);
+  ASSERT_TRUE(fit && fit->standardError);
+  EXPECT_NEAR(fit->slope, 0.1, 1e-9);
+  EXPECT_NEAR(fit->intercept, 10, 1e-9);
+  EXPECT_NEAR(*fit->standardError, 0, 1e-9);
+}
+
+TEST(ScaleFiguresTest, TheStandardErrorIsThatOfLeastSquares) {
+  // Residuals 1/6, -1/3, 1/6 around 5/6 + x / 2: their squares over one degree of freedom and over 2 in x.
+  const auto fit = slopeOf(runOf({{1, 1.5}, {2, 1.5}, {3, 2.5}}), Figure::requestUs);
+  ASSERT_TRUE(fit && fit->standardError);
+  EXPECT_NEAR(fit->slope, 0.5, 1e-9);
+  EXPECT_NEAR(*fit->standardError, std::sqrt(1.0 / 6 / 2), 1e-9);
+}
+
+TEST(ScaleFiguresTest, TwoPointsHaveASlopeAndNoErrorAndOneSizeHasNone) {
+  const auto two = slopeOf(runOf({{1, 1}, {2, 3}}), Figure::requestUs);
+  ASSERT_TRUE(two);
+  EXPECT_NEAR(two->slope, 2, 1e-9);
+  EXPECT_FALSE(two->standardError);
+  EXPECT_FALSE(slopeOf(runOf({{1, 1}, {1, 3}}), Figure::requestUs));
+  EXPECT_FALSE(slopeOf(runOf({{1, 1}, {2, 3}}), Figure::stallMs));
+}
+
+TEST(ScaleFiguresTest, AVoidStepCountsForNothingAndIsShown) {
+  ScaleRun run = runOf({{1, 1}, {2, 2}, {3, 99}});
+  run.steps.back().voided = "the rig was late";
+  const auto fit = slopeOf(run, Figure::requestUs);
+  ASSERT_TRUE(fit);
+  EXPECT_NEAR(fit->slope, 1, 1e-9);
+  EXPECT_TRUE(hasVoidStep(run));
+  EXPECT_NE(tableOf(run).find("3 (1 void)"), std::string::npos) << tableOf(run);
+}
+
+TEST(ScaleFiguresTest, TheTableHasARowAFigureWithMeansErrorsAndTheSlope) {
+  const std::string table = tableOf(runOf({{1000, 10}, {1000, 12}, {2000, 20}, {2000, 22}}));
+  EXPECT_EQ(table,
+            "| servers | 1000 | 2000 | slope for 1000 |\n| --- | --- | --- | --- |\n"
+            "| processor time a request, us | 11.0 ± 1.0 | 21.0 ± 1.0 | 10.00 ± 1.41 |\n");
+}
+
+TEST(ScaleFiguresTest, GrowthBeyondABoundIsAFaultAndSoIsAFigureThatIsMissing) {
+  const ScaleRun run = runOf({{200, 100}, {800, 250}});
+  EXPECT_TRUE(shapeFaults(run, {parseShapeBound("request_us=2.5")}).empty());
+  const auto faults =
+      shapeFaults(run, {parseShapeBound("request_us=2.4"), parseShapeBound("idle_percent=9")});
+  ASSERT_EQ(faults.size(), 2u);
+  EXPECT_NE(faults[0].find("2.50 times, allowed 2.4"), std::string::npos) << faults[0];
+  EXPECT_NE(faults[1].find("idle_percent: not measured"), std::string::npos) << faults[1];
+  EXPECT_THROW(parseShapeBound("request_us"), std::invalid_argument);
+  EXPECT_THROW(parseShapeBound("speed=2"), std::invalid_argument);
+  EXPECT_THROW(parseShapeBound("request_us=0"), std::invalid_argument);
+}
+
+TEST(ScaleFiguresTest, KeptStepsComeBackAsTheyWere) {
+  const std::string file = ::testing::TempDir() + "scale_" + std::to_string(::getpid()) + ".db";
+  ScaleRun run = runOf({{200, 30.5}, {1000, 110}});
+  run.label = "before";
+  run.command = "hollyrun-lab scale";
+  run.steps[1].voided = "late";
+  run.steps[1].round = 1;
+  Store(file).putScale(run);
+  const auto kept = Store(file).scaleRuns("before");
+  ASSERT_EQ(kept.size(), 1u);
+  EXPECT_EQ(kept[0].dimension, "servers");
+  EXPECT_EQ(kept[0].command, "hollyrun-lab scale");
+  ASSERT_EQ(kept[0].steps.size(), 2u);
+  EXPECT_EQ(kept[0].steps[0][Figure::requestUs], 30.5);
+  EXPECT_FALSE(kept[0].steps[0][Figure::stallMs]);
+  EXPECT_EQ(kept[0].steps[1].voided, "late");
+  EXPECT_EQ(kept[0].steps[1].round, 1u);
+  EXPECT_TRUE(Store(file).scaleRuns("after").empty());
+  std::filesystem::remove(file);
+}
+
+// --- Plans ----------------------------------------------------------------------------------------------
+
+Scenario kyushu() { return readScenario(HOLLYRUN_SCENARIOS "/kyushu.toml"); }
+
+TEST(ScalePlanTest, AsManyClassesAsAskedForEachOfAName) {
+  ScalePlan plan;
+  plan.scenario = kyushu();
+  ScaleSize size;
+  size.classes = 10;
+  const Scenario s = scenarioOf(plan, size);
+  ASSERT_EQ(s.classes.size(), 10u);
+  std::set<std::string> names;
+  for (const RequestClass& c : s.classes) names.insert(c.set.name);
+  EXPECT_EQ(names.size(), 10u);
+  size.classes = 0;
+  EXPECT_EQ(scenarioOf(plan, size).classes.size(), plan.scenario.classes.size());
+}
+
+TEST(ScalePlanTest, APlanBeyondABoundIsTurnedDown) {
+  ScalePlan plan;
+  plan.values = {200};
+  EXPECT_NO_THROW(checkPlan(plan));
+  plan.values = {200, 100000};
+  EXPECT_THROW(checkPlan(plan), std::invalid_argument);
+  plan.values = {0};
+  EXPECT_THROW(checkPlan(plan), std::invalid_argument);
+  plan.values = {};
+  EXPECT_THROW(checkPlan(plan), std::invalid_argument);
+  plan.values = {200};
+  plan.loadS = 1e6;
+  EXPECT_THROW(checkPlan(plan), std::invalid_argument);
+}
+
+// --- Hollow parts -----------------------------------------------------------------------------------------
+
+TEST(HollowReportTest, ALineComesBackAndAnotherTextIsNone) {
+  HollowReport report;
+  report.port = 4711;
+  report.revision = 7;
+  report.wholeLists = 2;
+  report.changedAtNs = 123456789012345;
+  report.membersSeen = 411;
+  report.lagMs = 1.5;
+  const auto read = parseHollowReport(textOf(report));
+  ASSERT_TRUE(read);
+  EXPECT_EQ(read->port, 4711);
+  EXPECT_EQ(read->revision, 7);
+  EXPECT_EQ(read->wholeLists, 2u);
+  EXPECT_EQ(read->changedAtNs, 123456789012345);
+  EXPECT_EQ(read->membersSeen, 411u);
+  EXPECT_EQ(read->lagMs, 1.5);
+  EXPECT_FALSE(parseHollowReport("hollow servers: Address already in use"));
+  EXPECT_FALSE(parseHollowReport("{\"port\":1}"));
+  EXPECT_FALSE(parseHollowReport(""));
+}
+
+// Plays until the condition holds, for ten seconds at the most.
+template <class Condition>
+bool playUntil(asio::io_context& io, Condition holds) {
+  const auto most = std::chrono::steady_clock::now() + std::chrono::seconds(10);
+  while (!holds() && std::chrono::steady_clock::now() < most) io.run_one_for(std::chrono::milliseconds(100));
+  return holds();
+}
+
+std::vector<ListedServer> listed(std::size_t count) {
+  std::vector<ListedServer> all;
+  for (std::size_t i = 0; i < count; ++i)
+    all.push_back({"server-" + std::to_string(i), "hall", hollowServerEndpoint(kTestAddresses, i, 80), 0});
+  return all;
+}
+
+// The gateway's own client of discovery against the emulated one.
+class HollowDiscoveryTest : public ::testing::Test {
+ protected:
+  HollowDiscoveryTest() : discovery(io, listed(30)) {
+    address = discovery.addAddress();
+    client.emplace(
+        io, discovery.endpoint(address),
+        Discovery::Callbacks{[this](const HostList& list) { told.push_back(list); }, [this] { ++failures; }},
+        Discovery::Waits{});
+  }
+
+  asio::io_context io;
+  HollowDiscovery discovery;
+  std::size_t address = 0, failures = 0;
+  std::vector<HostList> told;
+  std::optional<Discovery> client;
+};
+
+TEST_F(HollowDiscoveryTest, AClientTakesTheWholeListAndThenEachChange) {
+  client->watch();
+  ASSERT_TRUE(playUntil(io, [&] { return told.size() == 1; }));
+  EXPECT_TRUE(told[0].full);
+  EXPECT_EQ(told[0].hosts.size(), 30u);
+  // A watch is asked for once the list was taken; the change may come before or after it.
+  const std::int64_t revision = discovery.change(4);
+  ASSERT_TRUE(playUntil(io, [&] { return told.size() == 2; }));
+  EXPECT_FALSE(told[1].full);
+  EXPECT_EQ(told[1].version, revision);
+  ASSERT_EQ(told[1].hosts.size(), 1u);
+  EXPECT_EQ(told[1].hosts[0].uid, "server-4");
+  EXPECT_EQ(told[1].hosts[0].state, HostState::draining);
+  EXPECT_EQ(failures, 0u);
+  const auto& counts = discovery.counts(address);
+  EXPECT_EQ(counts.wholeLists, 1u);
+  EXPECT_GE(counts.calls, 2u);
+  EXPECT_GT(counts.bytesOut, 30u * 100);
+  EXPECT_GT(counts.bytesIn, 50u);
+}
+
+TEST_F(HollowDiscoveryTest, AfterACutAClientTakesWhatChangedAndFromOneThatForgotAllTheWholeList) {
+  client->watch();
+  ASSERT_TRUE(playUntil(io, [&] { return told.size() == 1; }));
+  discovery.suspend();
+  ASSERT_TRUE(playUntil(io, [&] { return failures == 1; }));
+  client->watch();
+  ASSERT_TRUE(playUntil(io, [&] { return failures == 2; })) << "nobody listens";
+  const std::int64_t revision = discovery.change(1);
+  discovery.resume(false);
+  client->watch();
+  ASSERT_TRUE(playUntil(io, [&] { return told.size() == 2; }));
+  EXPECT_FALSE(told[1].full);
+  EXPECT_EQ(told[1].version, revision);
+  discovery.suspend();
+  ASSERT_TRUE(playUntil(io, [&] { return failures == 3; }));
+  discovery.resume(true);
+  client->watch();
+  ASSERT_TRUE(playUntil(io, [&] { return told.size() == 3; }));
+  EXPECT_TRUE(told[2].full);
+  EXPECT_EQ(told[2].hosts.size(), 30u);
+}
+
+TEST(HollowServerTest, EachOfManyAddressesAnswers) {
+  asio::io_context io;
+  HollowServers servers(io, {kTestAddresses, 300, 0.5});
+  int well = 0, all = 0;
+  for (const std::size_t number : {0, 150, 299})
+    ask(io, hollowServerEndpoint(kTestAddresses, number, servers.port()), "/lookup/1",
+        std::chrono::seconds(5), [&](int status, const std::string& body) {
+          ++all;
+          well += status == 200 && body.find("\"id\"") != std::string::npos;
+        });
+  EXPECT_TRUE(playUntil(io, [&] { return all == 3; }));
+  EXPECT_EQ(well, 3);
+  EXPECT_EQ(servers.answered(), 3u);
+}
+
+// --- Small runs on processes ------------------------------------------------------------------------------
+
+ScalePlan smallPlan() {
+  ScalePlan plan;
+  plan.scenario = kyushu();
+  plan.program = program;
+  plan.lab = lab;
+  plan.size.servers = 20;
+  plan.size.rate = 100;
+  plan.dimension = Dimension::servers;
+  plan.values = {20};
+  plan.idleS = 0.3;
+  plan.loadS = 0.5;
+  plan.warmS = 0.2;
+  plan.hangups = 1;
+  plan.listChanges = 2;
+  plan.outageS = 0.2;
+  plan.voidTries = 5;
+  return plan;
+}
+
+TEST(ScaleRunTest, RealAndHollowGatewaysGiveAllFigures) {
+  ScalePlan plan = smallPlan();
+  plan.size.hollow = 6;
+  plan.size.tenants = 50;
+  plan.size.classes = 9;
+  plan.size.changes = 10;
+  plan.membershipPeriodMs = 200;
+  std::size_t heard = 0;
+  const ScaleRun run = playScale(plan, [&](const StepResult&) { ++heard; });
+  EXPECT_EQ(heard, 1u);
+  ASSERT_EQ(run.steps.size(), 1u);
+  const StepResult& step = run.steps.front();
+  for (std::size_t i = 0; i < kFigures; ++i)
+    EXPECT_TRUE(step.figures[i]) << textOf(static_cast<Figure>(i)).name << " is missing: " << step.voided;
+  EXPECT_GT(*step[Figure::requestUs], 0);
+  EXPECT_LT(*step[Figure::unservedPercent], 20) << "the load is light and its servers answer at once";
+  EXPECT_GT(*step[Figure::hangupMs], 0);
+  EXPECT_GT(*step[Figure::relistKb], 6 * 20 * 0.1) << "each of six took a list of twenty servers";
+}
+
+TEST(ScaleRunTest, AStepForWhichTheRigWasTooSlowIsVoid) {
+  ScalePlan plan = smallPlan();
+  plan.lagMostMs = 0;  // no loop is never late
+  plan.voidTries = 2;
+  const ScaleRun run = playScale(plan, [](const StepResult&) {});
+  EXPECT_TRUE(hasVoidStep(run));
+  EXPECT_NE(run.steps.front().voided.find("ms late"), std::string::npos) << run.steps.front().voided;
+}
+
+TEST(ScaleRunTest, AProgramThatIsMissingOrEndsIsNamed) {
+  ScalePlan plan = smallPlan();
+  plan.program = "/nonexistent/hollyrun";
+  EXPECT_THROW(playScale(plan, [](const StepResult&) {}), std::runtime_error);
+  plan.program = "/bin/false";
+  try {
+    playScale(plan, [](const StepResult&) {});
+    FAIL() << "a gateway that ends goes unnoticed";
+  } catch (const std::runtime_error& e) {
+    EXPECT_NE(std::string(e.what()).find("gateway-0 ended with 1"), std::string::npos) << e.what();
+  }
+}
+
+std::vector<pid_t> childrenOf(pid_t parent) {
+  std::vector<pid_t> all;
+  const std::string id = std::to_string(parent);
+  std::ifstream list("/proc/" + id + "/task/" + id + "/children");
+  for (pid_t child = 0; list >> child;) all.push_back(child);
+  return all;
+}
+
+bool lives(pid_t pid) {
+  std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
+  std::string line;
+  std::getline(stat, line);
+  const std::size_t end = line.rfind(')');
+  return end != std::string::npos && line.substr(end + 2, 1) != "Z";
+}
+
+// Starts a run of its own process, ends that by the signal, and expects its four children to end with it.
+void expectNoneLeftAfter(int signal, int code) {
+  const pid_t rig = ::fork();
+  if (rig == 0) {
+    ScalePlan plan = smallPlan();
+    plan.size.hollow = 60;  // two processes
+    plan.loadS = 100;
+    try {
+      playScale(plan, [](const StepResult&) {});
+    } catch (const std::exception&) {
+      ::_exit(130);
+    }
+    ::_exit(0);
+  }
+  std::vector<pid_t> children;
+  while ((children = childrenOf(rig)).size() < 4) std::this_thread::sleep_for(std::chrono::milliseconds(10));
+  ::kill(rig, signal);
+  int status = 0;
+  ASSERT_EQ(::waitpid(rig, &status, 0), rig);
+  EXPECT_EQ(WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status), code);
+  // The kernel ends them once the rig is gone; the test's own limit of time ends this if it does not.
+  for (const pid_t child : children)
+    while (lives(child)) std::this_thread::sleep_for(std::chrono::milliseconds(10));
+}
+
+TEST(ScaleRunTest, AnInterruptedRunLeavesNoProcess) { expectNoneLeftAfter(SIGTERM, 130); }
+TEST(ScaleRunTest, AKilledRunLeavesNoProcess) { expectNoneLeftAfter(SIGKILL, 128 + SIGKILL); }
+
+}  // namespace
+}  // namespace hollyrun::lab
+
+int main(int argc, char** argv) {
+  ::testing::InitGoogleTest(&argc, argv);
+  ::signal(SIGPIPE, SIG_IGN);
+  if (argc != 3) return 2;
+  hollyrun::lab::program = argv[1];
+  hollyrun::lab::lab = argv[2];
+  return RUN_ALL_TESTS();
+}
