--- a/src/lab/scale_plan.hpp
+++ b/src/lab/scale_plan.hpp
@@ -44,7 +44,7 @@
   unsigned hangups = 3;           ///< SIGHUPs measured a step
   unsigned listChanges = 5;       ///< followed to all hollow gateways
   double outageS = 2;             ///< of discovery, before its watches begin anew; 0: none is played
-  std::size_t configured = 410;   ///< fleet.gateways of the settings
+  std::size_t configured = 410;   ///< fleet.gateways of the settings, or all of the size if those are more
   double membershipPeriodMs = 0;  ///< 0: no membership
   double joinMostS = 60;          ///< waited for until all members see all
   // Beyond these a step is void: the rig would show as latency of the gateway, or be itself what is measured.
--- a/src/lab/scale_rig.cpp
+++ b/src/lab/scale_rig.cpp
@@ -251,6 +251,11 @@
 
 // --- Settings ---------------------------------------------------------------------------------------------
 
+// The settings allow no number of a gateway beyond it.
+std::uint32_t ScaleRig::configuredGateways() const {
+  return static_cast<std::uint32_t>(std::max(plan_.configured, size_.gateways + size_.hollow));
+}
+
 std::string ScaleRig::configOf(const RealGateway& gateway, const std::string& seeds, unsigned version) const {
   std::string membership;
   if (!gateway.membership.empty()) {
@@ -264,14 +269,14 @@
   }
   Scenario varied = scenario_;
   varied.maxRetryAfterMs += version;  // the one value that tells one version from another
-  std::string text = lab::configOf(
-      varied, day_, static_cast<std::uint32_t>(gateway.number), static_cast<std::uint32_t>(plan_.configured),
-      textOf(gateway.port.endpoint()), textOf(discovery_->endpoint(gateway.discovery)),
-      textOf(gateway.management.endpoint()), membership);
+  std::string text =
+      lab::configOf(varied, day_, static_cast<std::uint32_t>(gateway.number), configuredGateways(),
+                    textOf(gateway.port.endpoint()), textOf(discovery_->endpoint(gateway.discovery)),
+                    textOf(gateway.management.endpoint()), membership);
   // The rate of the whole load for each: none of it is over its share.
   for (std::size_t i = 0; i < size_.tenants; ++i)
     text += fmt::format("\n[[tenant]]\nname = \"{}\"\nquota_per_s = {}\n", tenantName(i),
-                        std::max(size_.rate * static_cast<double>(plan_.configured), 1.0));
+                        std::max(size_.rate * configuredGateways(), 1.0));
   return text;
 }
 
@@ -284,8 +289,8 @@
           ? fmt::format("[membership]\nperiod_ms = {}\n\n", static_cast<int>(plan_.membershipPeriodMs))
           : "";
   const std::string nowhere = "127.0.0.1:1";
-  return lab::configOf(scenario, DrawnDay(scenario, plan_.seed), 0,
-                       static_cast<std::uint32_t>(plan_.configured), nowhere, nowhere, nowhere, membership);
+  return lab::configOf(scenario, DrawnDay(scenario, plan_.seed), 0, configuredGateways(), nowhere, nowhere,
+                       nowhere, membership);
 }
 
 void ScaleRig::writeChangedConfig(const RealGateway& gateway, unsigned version) {
--- a/src/lab/scale_rig.hpp
+++ b/src/lab/scale_rig.hpp
@@ -100,6 +100,7 @@
   OpsAnswer answerOf(const RealGateway& gateway, const std::string& target);
   std::string configOf(const RealGateway& gateway, const std::string& seeds, unsigned version) const;
   std::string hollowConfig() const;
+  std::uint32_t configuredGateways() const;
   void changeOne();
   void watchChildren();
   void reap();
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -295,6 +295,7 @@
   plan.size.classes = 9;
   plan.size.changes = 10;
   plan.membershipPeriodMs = 200;
+  plan.configured = 3;  // fewer than there are: their numbers go beyond it
   std::size_t heard = 0;
   const ScaleRun run = playScale(plan, [&](const StepResult&) { ++heard; });
   EXPECT_EQ(heard, 1u);
