--- a/src/lab/scale_step.cpp
+++ b/src/lab/scale_step.cpp
@@ -15,6 +15,8 @@
 constexpr std::size_t kDirectServers = 16;  // few enough that their connections are kept, as a pool's are
 constexpr double kHangupMostS = 20, kChangeMostS = 20, kOutageMostS = 60;
 constexpr double kSettleS = 2;
+// Of a burst that is shorter a process may well take the whole: that time is what is measured.
+constexpr double kShareOverS = 1;
 constexpr int kAsksBefore = 5;  // of the statistics, for what one of them costs
 constexpr double kMs = 1000, kUs = 1e6, kPercent = 100, kKilobyte = 1000;
 
@@ -96,6 +98,7 @@
     const auto now = rig_.helperUsage();
     for (std::size_t i = 0; i < now.size(); ++i) {
       const double share = (now[i].second.processorS - helpers_[i].second.processorS) / passed;
+      if (passed < kShareOverS) continue;
       raise(Figure::busiestShare, share);
       if (share > plan_.shareMost)
         voidFor(fmt::format("{}: {} took {:.2f} of a core", window, now[i].first, share));
