--- /dev/null
+++ b/src/lab/digest.hpp
@@ -0,0 +1,37 @@
+// A digest of the decision module's actions, to tell whether two builds of it decide alike.
+#pragma once
+
+#include <bit>
+#include <cstdint>
+#include <string_view>
+
+#include "ochrehill/ochrehill.hpp"
+
+namespace hollyrun::lab {
+
+/// FNV-1a over every field of every action, in the order in which they were given out.
+class ActionDigest {
+ public:
+  void add(std::uint32_t gateway, const ochrehill::Action& action) {
+    addNumber(gateway);
+    addNumber(static_cast<std::uint64_t>(action.kind));
+    addNumber(action.request);
+    addNumber(action.attempt);
+    addNumber(action.host);
+    addNumber(std::bit_cast<std::uint64_t>(action.span.count()));
+    addNumber(std::bit_cast<std::uint64_t>(action.begin.count()));
+    addNumber(action.text.size());
+    for (const char c : action.text) addByte(static_cast<unsigned char>(c));
+  }
+  std::uint64_t value() const { return value_; }
+
+ private:
+  void addNumber(std::uint64_t number) {
+    for (int shift = 0; shift < 64; shift += 8) addByte(static_cast<unsigned char>(number >> shift));
+  }
+  void addByte(unsigned char byte) { value_ = (value_ ^ byte) * 0x100000001b3ULL; }
+
+  std::uint64_t value_ = 0xcbf29ce484222325ULL;
+};
+
+}  // namespace hollyrun::lab
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -13,6 +13,7 @@
 #include <fstream>
 #include <map>
 
+#include "lab/cost.hpp"
 #include "lab/experiment.hpp"
 #include "lab/explore.hpp"
 #include "lab/fleet.hpp"
@@ -43,6 +44,8 @@
   std::vector<double> losses{0, 0.05, 0.3};
   std::size_t kills = 20;
   unsigned depth = 0, crashes = 1;
+  std::vector<std::size_t> hosts{200, 1000, 4800}, tenants{0, 27000};
+  CostSettings cost;
 };
 
 // An arm of a comparison: `policy`, `policy,key=value,...`, or `@label` of a file of results.
@@ -119,7 +122,8 @@
 }
 
 void header() {
-  fmt::print("scenario policy seed G whole worst10s worst_class refused failed jammed p50_ms p99_ms\n");
+  fmt::print(
+      "scenario policy seed G whole worst10s worst_class refused failed jammed p50_ms p99_ms digest\n");
 }
 
 int check(const Options& o) {
@@ -404,6 +408,19 @@
   return 0;
 }
 
+int cost(const Options& o) {
+  std::vector<CostRow> rows;
+  for (const std::size_t hosts : o.hosts)
+    for (const std::size_t tenants : o.tenants) {
+      CostSettings size = o.cost;
+      size.hosts = hosts;
+      size.tenants = tenants;
+      rows.push_back(measureCost(size));
+    }
+  fmt::print("{}", textOf(rows));
+  return 0;
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
@@ -489,6 +506,14 @@
   all->add_option("--explore", o.depth, "instead: three members through every schedule of so many steps")
       ->check(CLI::Range(1, 12));
   all->add_option("--crashes", o.crashes, "with it: the most on a way")->capture_default_str();
+  CLI::App* costs = add("cost", "processor time and memory of the decision module alone", cost);
+  costs->add_option("--hosts", o.hosts, "numbers of servers")->check(CLI::Range(1, 60000));
+  costs->add_option("--tenants", o.tenants, "numbers of tenants")->check(CLI::Range(0, 1000000));
+  costs->add_option("--classes", o.cost.classes, "number of classes")->check(CLI::Range(1, 10000));
+  costs->add_option("--gateways", o.cost.gateways, "in the fleet")->check(CLI::Range(1, 100000));
+  costs->add_option("--rate", o.cost.rate, "requests a second of the one gateway")->capture_default_str();
+  costs->add_option("--requests", o.cost.requests, "played for each row")->capture_default_str();
+  costs->add_option("--seed", o.cost.seed, "of all that is drawn")->capture_default_str();
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -160,9 +160,9 @@
 }
 
 std::string lineOf(const Result& r) {
-  return fmt::format("{} {} {} {:.4f} {:.4f} {:.4f} {:.4f} {:.4f} {:.4f} {:.4f} {:.1f} {:.1f}", r.scenario,
-                     r.policy, r.seed, r.g, r.whole, r.worstWindow, r.worstClass, r.refusedShare,
-                     r.failedShare, r.chokedShare, r.p50, r.p99);
+  return fmt::format("{} {} {} {:.4f} {:.4f} {:.4f} {:.4f} {:.4f} {:.4f} {:.4f} {:.1f} {:.1f} {:016x}",
+                     r.scenario, r.policy, r.seed, r.g, r.whole, r.worstWindow, r.worstClass, r.refusedShare,
+                     r.failedShare, r.chokedShare, r.p50, r.p99, r.digest);
 }
 
 std::string escaped(const std::string& text) {
@@ -189,8 +189,8 @@
       "{:.1f} (99 "
       "%)\n",
       100 * r.refusedShare, 100 * r.failedShare, r.p50, r.p90, r.p99);
-  out += fmt::format("tries {}, attempts {}, connections {}, events {}\n", r.tries, r.attempts, r.connections,
-                     r.events);
+  out += fmt::format("tries {}, attempts {}, connections {}, events {}, digest of the actions {:016x}\n",
+                     r.tries, r.attempts, r.connections, r.events, r.digest);
   for (const ClassRecord& c : r.classes)
     out += fmt::format(
         "class {:<14} served {:.4f}  calls {:>6}  in time {:>6}  late {:>5}  refused {:>5}  failed {:>5}\n",
--- a/src/lab/store.cpp
+++ b/src/lab/store.cpp
@@ -28,6 +28,7 @@
   CREATE TABLE IF NOT EXISTS breaches (run INTEGER REFERENCES runs, rule TEXT, at REAL, request INTEGER,
     server TEXT, what TEXT);
   CREATE TABLE IF NOT EXISTS happened (run INTEGER REFERENCES runs, text TEXT);
+  CREATE TABLE IF NOT EXISTS digests (run INTEGER PRIMARY KEY REFERENCES runs, digest INTEGER);
   CREATE INDEX IF NOT EXISTS runs_by_label ON runs (label);
 )";
 
@@ -105,8 +106,8 @@
 constexpr const char* kRunColumns =
     "id, label, at, scenario, policy, seed, g, whole, worst_window, worst_at, worst_class, price_cross_zone, "
     "price_waste, price_late_fail, price_handshake, price_choke, calls, tries, attempts, connections, "
-    "events, "
-    "refused, failed, choked, p50, p90, p99";
+    "events, refused, failed, choked, p50, p90, p99, "
+    "(SELECT digest FROM digests WHERE run = id)";  // none in files of before: 0
 
 StoredRun readRun(Statement& in) {
   StoredRun s;
@@ -114,7 +115,7 @@
   in.columns(s.id, s.label, s.at, r.scenario, r.policy, r.seed, r.g, r.whole, r.worstWindow, r.worstAt,
              r.worstClass, r.priceCrossZone, r.priceWaste, r.priceLateFail, r.priceHandshake, r.priceChoke,
              r.calls, r.tries, r.attempts, r.connections, r.events, r.refusedShare, r.failedShare,
-             r.chokedShare, r.p50, r.p90, r.p99);
+             r.chokedShare, r.p50, r.p90, r.p99, r.digest);
   return s;
 }
 
@@ -156,12 +157,14 @@
     Statement choke(db, "INSERT INTO chokes VALUES (?,?,?,?,?)");
     Statement breach(db, "INSERT INTO breaches VALUES (?,?,?,?,?,?)");
     Statement happened(db, "INSERT INTO happened VALUES (?,?)");
+    Statement digest(db, "INSERT INTO digests VALUES (?,?)");
     for (const Result& r : results) {
       run.insert(label, r.scenario, r.policy, r.seed, r.g, r.whole, r.worstWindow, r.worstAt, r.worstClass,
                  r.priceCrossZone, r.priceWaste, r.priceLateFail, r.priceHandshake, r.priceChoke, r.calls,
                  r.tries, r.attempts, r.connections, r.events, r.refusedShare, r.failedShare, r.chokedShare,
                  r.p50, r.p90, r.p99);
       const std::int64_t id = sqlite3_last_insert_rowid(db);
+      digest.insert(id, r.digest);
       for (const ClassRecord& c : r.classes)
         cls.insert(id, c.name, c.asked, c.served, c.calls, c.inTime, c.late, c.refused, c.failed);
       for (std::size_t i = 0; i < r.seconds.size(); ++i) {
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -11,6 +11,7 @@
 #include <unordered_map>
 
 #include "fleet/membership.hpp"
+#include "lab/digest.hpp"
 #include "lab/draw.hpp"
 #include "lab/latencies.hpp"
 
@@ -145,6 +146,7 @@
       happen(e);
     }
     settle();
+    result_.digest = digest_.value();
     return std::move(result_);
   }
 
@@ -490,6 +492,7 @@
 
   void carryOut(std::uint32_t g, const Action& a) {
     Gateway& w = gateways_[g];
+    digest_.add(g, a);
     switch (a.kind) {
       case ActionKind::send: send(g, a); break;
       case ActionKind::refuse:
@@ -1140,6 +1143,7 @@
   Stream network_, notices_, trouble_, between_;
   Checker checker_;
   Result result_;
+  ActionDigest digest_;
   Time now_{};
   std::uint64_t order_ = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
--- a/src/lab/world.hpp
+++ b/src/lab/world.hpp
@@ -48,6 +48,7 @@
   double worstAt = 0;  // seconds
   double priceCrossZone = 0, priceWaste = 0, priceLateFail = 0, priceHandshake = 0, priceChoke = 0;
   std::uint64_t calls = 0, tries = 0, attempts = 0, connections = 0, events = 0;
+  std::uint64_t digest = 0;                  // of all actions of the policies, in their order
   double refusedShare = 0, failedShare = 0;  // of calls, at the end of all their tries
   double chokedShare = 0;                    // of the servers, at any time
   double p50 = 0, p90 = 0, p99 = 0;          // ms, of the answers that served, from the first try on
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -6,6 +6,7 @@
 #include <fstream>
 #include <map>
 
+#include "lab/cost.hpp"
 #include "lab/experiment.hpp"
 #include "lab/report.hpp"
 #include "lab/scenario.hpp"
@@ -464,5 +465,23 @@
   EXPECT_EQ(estimate({-1, 0, 2}).better, 1u);
 }
 
+// --- Cost of the module ---------------------------------------------------------------------------------
+
+CostRow costOf(std::size_t hosts, std::size_t tenants, std::uint64_t seed = 1) {
+  CostSettings size;
+  size.hosts = hosts;
+  size.tenants = tenants;
+  size.seed = seed;
+  size.requests = 1500;
+  return measureCost(size);
+}
+
+TEST(CostTest, TheSameSettingsGiveTheSameActions) {
+  const CostRow first = costOf(50, 20), again = costOf(50, 20);
+  EXPECT_GT(first.actions, 1500u);
+  EXPECT_EQ(first.digest, again.digest);
+  EXPECT_NE(first.digest, costOf(50, 20, 2).digest);
+}
+
 }  // namespace
 }  // namespace hollyrun::lab
