--- a/src/choice.cpp
+++ b/src/choice.cpp
@@ -573,7 +573,7 @@
     ready.clear();
     ++walks;
     bool found = false;  // an idle one
-    for (std::size_t i = 0; i < walk.points.size() && !(found && ready.size() >= walk.enough); ++i) {
+    for (std::size_t i = 0; i < walk.all.size() && !(found && ready.size() >= walk.enough); ++i) {
       const HostId id = walk.at(i);
       Host& h = hosts[id];
       if (std::exchange(h.lookedAt, walks) == walks) continue;  // at another of its points
--- a/src/state.hpp
+++ b/src/state.hpp
@@ -77,11 +77,11 @@
   auto operator<=>(const Point&) const = default;
 };
 
-// How a request looks at hosts: the first part from a start on and around, then the others, to find enough.
+// How a request looks at hosts: first at `own` of them, from a start on and around, then at the others.
 struct Walk {
-  const std::vector<Point>& points;
-  std::size_t part, start, enough;
-  HostId at(std::size_t i) const { return points[i < part ? (start + i) % part : i].host; }
+  const std::vector<Point>& all;
+  std::size_t own, start, enough;
+  HostId at(std::size_t i) const { return all[i >= own ? i : i + start - (i + start < own ? 0 : own)].host; }
 };
 
 // Takes out of a list kept in order what has gone, and merges in what has come.
