--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -34,7 +34,7 @@
   std::string policy = "module", seeds = "1", label = "run", db, a = "module", b = "random", vary, out;
   std::vector<std::int64_t> ids;
   unsigned threads = 0;
-  bool series = false, text = false, log = false;
+  bool series = false, text = false, log = false, trace = false;
   std::string program = "build/hollyrun", dir, config, cls;
   std::vector<std::string> to;
   double rate = 0, seconds = 0;
@@ -399,7 +399,7 @@
   }
   std::vector<MembersRow> rows;
   for (const std::size_t n : o.sizes)
-    for (const double loss : o.losses) rows.push_back(measureMembers(n, loss, o.kills, o.seed));
+    for (const double loss : o.losses) rows.push_back(measureMembers({n, loss, o.kills, o.seed, o.trace}));
   fmt::print("{}", textOf(rows));
   return 0;
 }
@@ -486,6 +486,7 @@
   all->add_option("--loss", o.losses, "shares of datagrams that get lost")->check(CLI::Range(0.0, 0.9));
   all->add_option("--kills", o.kills, "members killed and started again for each row")->capture_default_str();
   all->add_option("--seed", o.seed, "of all that is drawn")->capture_default_str();
+  all->add_flag("--trace", o.trace, "a hash of all that is sent and raised, to compare two builds");
   all->add_option("--explore", o.depth, "instead: three members through every schedule of so many steps")
       ->check(CLI::Range(1, 12));
   all->add_option("--crashes", o.crashes, "with it: the most on a way")->capture_default_str();
--- a/src/lab/members.cpp
+++ b/src/lab/members.cpp
@@ -1,10 +1,15 @@
 #include "lab/members.hpp"
 
+#include <malloc.h>
 #include <spdlog/fmt/fmt.h>
 
 #include <algorithm>
 #include <chrono>
 #include <cmath>
+#include <ctime>
+
+#define XXH_INLINE_ALL
+#include <xxhash.h>
 
 namespace hollyrun::lab {
 
@@ -39,6 +44,7 @@
   self.address = n.address;
   self.zone = n.zone;
   self.version = "1";
+  if (describe) describe(self);
   n.stopped = false;
   n.inbox.clear();
   n.from.clear();
@@ -180,6 +186,39 @@
   return static_cast<double>(d.count()) / static_cast<double>(s.period.count());
 }
 
+/// Of this thread, in microseconds; the machine may be busy with other work.
+double processorMicros() {
+  timespec t{};
+  clock_gettime(CLOCK_THREAD_CPUTIME_ID, &t);
+  return static_cast<double>(t.tv_sec) * 1e6 + static_cast<double>(t.tv_nsec) / 1e3;
+}
+
+double allocatedBytes() { return static_cast<double>(mallinfo2().uordblks); }
+
+/// What a gateway's record holds: it is sent in each datagram, so its length counts.
+void describeAsGateway(fleet::Record& self) {
+  self.region = "region-1";
+  self.version = "0.1.0";
+  self.settings = XXH3_64bits("settings", 8);
+  self.startedMs = 1'780'000'000'000;
+}
+
+/// Hashes all that is sent, in order, so that two builds can be compared to the byte.
+class Trace {
+ public:
+  void add(std::size_t from, std::size_t to, const std::string& bytes) {
+    hash_ = XXH3_64bits_withSeed(bytes.data(), bytes.size(), hash_ + from * 1'000'003 + to);
+  }
+  void add(const MemberWorld::Seen& seen) {
+    add(seen.node, static_cast<std::size_t>(seen.event.kind), seen.event.member.name);
+    hash_ += static_cast<std::uint64_t>(seen.at.count());
+  }
+  std::uint64_t hash() const { return hash_; }
+
+ private:
+  std::uint64_t hash_ = 0;
+};
+
 double quantileOf(std::vector<double> v, double at) {
   if (v.empty()) return 0;
   std::sort(v.begin(), v.end());
@@ -188,30 +227,42 @@
 
 }  // namespace
 
-MembersRow measureMembers(std::size_t members, double loss, std::size_t kills, std::uint64_t seed) {
+MembersRow measureMembers(const MembersRun& run) {
   MembersRow row;
-  row.members = members;
-  row.loss = loss;
+  row.members = run.members;
+  row.loss = run.loss;
   fleet::MembershipSettings settings;
   settings.seeds = {{0x7f000001, 1000}, {0x7f000001, 1001}};
   Weather weather;
-  weather.loss = loss;
-  MemberWorld world(seed, settings, weather);
-  Stream draw(seed, "kills");
-  for (std::size_t i = 0; i < members; ++i) world.start(world.add("gateway-" + std::to_string(i)));
+  weather.loss = run.loss;
+  const double allocated = allocatedBytes();
+  MemberWorld world(run.seed, settings, weather);
+  world.describe = describeAsGateway;
+  Trace trace;
+  if (run.trace)
+    world.tap = [&trace](std::size_t from, std::size_t to, const std::string& bytes) {
+      trace.add(from, to, bytes);
+    };
+  const auto forgetSeen = [&] {
+    if (run.trace)
+      for (const MemberWorld::Seen& s : world.seen()) trace.add(s);
+    world.seen().clear();
+  };
+  Stream draw(run.seed, "kills");
+  for (std::size_t i = 0; i < run.members; ++i) world.start(world.add("gateway-" + std::to_string(i)));
   world.runUntil([&] { return world.agreed(); }, settings.period * 60);  // under loss views never rest
 
   const fleet::Counters before = world.counters();
   const std::uint64_t steps = world.steps();
-  const auto clock = std::chrono::steady_clock::now();
   const int quiet = 120;  // periods
-  world.seen().clear();
+  forgetSeen();
+  const double clock = processorMicros();
   world.runFor(settings.period * quiet);
-  const double took =
-      std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - clock).count();
+  const double took = processorMicros() - clock;
   const fleet::Counters after = world.counters();
-  const double each = static_cast<double>(members) * quiet;
+  const double each = static_cast<double>(run.members) * quiet;
   row.micros = took / static_cast<double>(world.steps() - steps);
+  row.microsPerPeriod = took / each;
   row.datagrams = static_cast<double>(after.sent - before.sent) / each;
   row.bytes = static_cast<double>(after.bytesOut - before.bytesOut) / each;
   std::set<std::pair<std::string, std::uint64_t>> killed;  // wrongly, each once
@@ -219,13 +270,16 @@
     if (s.event.kind == fleet::Event::Kind::died)
       killed.insert({s.event.member.name, s.event.member.incarnation});
   row.falseDeaths = static_cast<double>(killed.size()) / each * 3600;
+  forgetSeen();
+  world.seen().shrink_to_fit();
+  row.kilobytes = (allocatedBytes() - allocated) / static_cast<double>(run.members) / 1000;
 
   std::vector<double> detect, all, join;
-  for (std::size_t k = 0; k < kills; ++k) {
-    const std::size_t victim = draw.below(members);
+  for (std::size_t k = 0; k < run.kills; ++k) {
+    const std::size_t victim = draw.below(run.members);
     world.runFor(Duration(static_cast<std::int64_t>(draw.unit() * 1e9)));
     const std::string name = world.nodes()[victim].name;
-    world.seen().clear();
+    forgetSeen();
     world.kill(victim);
     const Time at = world.now();
     const auto gone = [&] {
@@ -259,20 +313,26 @@
   row.detectP99 = quantileOf(detect, 0.99);
   row.allP50 = quantileOf(all, 0.5);
   row.allP99 = quantileOf(all, 0.99);
+  row.allMost = quantileOf(all, 1);
   row.joinP99 = quantileOf(join, 0.99);
+  forgetSeen();
+  if (run.trace) row.trace = trace.hash();
   return row;
 }
 
 std::string textOf(const std::vector<MembersRow>& rows) {
   std::string text =
-      "members  loss  detect p50  p99  all know p50   p99  newcomer p99  false deaths/h  datagrams  bytes  "
-      "us\n";
-  for (const MembersRow& r : rows)
+      "members  loss  detect p50  p99  all know p50   p99  most  newcomer p99  false deaths/h  datagrams  "
+      "bytes "
+      " us an event  us a period  kB\n";
+  for (const MembersRow& r : rows) {
     text += fmt::format(
-        "{:7}  {:4.2f}  {:10.1f}  {:3.0f}  {:12.1f}  {:4.0f}  {:12.1f}  {:14.2f}  {:9.1f}  {:5.0f}  "
-        "{:2.0f}\n",
-        r.members, r.loss, r.detectP50, r.detectP99, r.allP50, r.allP99, r.joinP99, r.falseDeaths,
-        r.datagrams, r.bytes, r.micros);
+        "{:7}  {:4.2f}  {:10.1f}  {:3.0f}  {:12.1f}  {:4.0f}  {:4.0f}  {:12.1f}  {:14.2f}  {:9.1f}  {:5.0f}  "
+        "{:11.1f}  {:11.0f}  {:2.0f}",
+        r.members, r.loss, r.detectP50, r.detectP99, r.allP50, r.allP99, r.allMost, r.joinP99, r.falseDeaths,
+        r.datagrams, r.bytes, r.micros, r.microsPerPeriod, r.kilobytes);
+    text += r.trace == 0 ? "\n" : fmt::format("  trace {:016x}\n", r.trace);
+  }
   return text;
 }
 
--- a/src/lab/members.hpp
+++ b/src/lab/members.hpp
@@ -62,6 +62,8 @@
   std::function<bool(std::size_t from, std::size_t to)> passes;
   /// Sees each datagram as it is sent.
   std::function<void(std::size_t from, std::size_t to, const std::string& bytes)> tap;
+  /// Completes the record of a member that starts; default: as it is.
+  std::function<void(fleet::Record& self)> describe;
 
   std::vector<std::size_t> living() const;
   /// All living, running members hold each other and nobody else for present.
@@ -103,12 +105,23 @@
   double loss = 0;
   double detectP50 = 0, detectP99 = 0;  ///< periods from a kill until the first holds it dead
   double allP50 = 0, allP99 = 0;        ///< periods until all do
+  double allMost = 0;                   ///< the longest of them
   double joinP99 = 0;                   ///< periods until all know a newcomer
   double falseDeaths = 0;               ///< an hour and member, at a period of 1 s, on a quiet day
   double datagrams = 0, bytes = 0;      ///< sent a member and period
   double micros = 0;                    ///< processor time of an event
+  double microsPerPeriod = 0;           ///< processor time a member and period
+  double kilobytes = 0;                 ///< memory a member, by the allocator's count
+  std::uint64_t trace = 0;              ///< of all that was sent and raised, in order; 0 unless asked for
 };
-MembersRow measureMembers(std::size_t members, double loss, std::size_t kills, std::uint64_t seed);
+struct MembersRun {
+  std::size_t members = 0;
+  double loss = 0;
+  std::size_t kills = 0;
+  std::uint64_t seed = 1;
+  bool trace = false;
+};
+MembersRow measureMembers(const MembersRun& run);
 std::string textOf(const std::vector<MembersRow>& rows);
 
 }  // namespace hollyrun::lab
