--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -87,8 +87,7 @@
   questions_.clear();
   probe_ = 0;
   round_.clear();
-  for (auto& [name, m] : others_)
-    if (m.record.state == State::suspect) m.suspectSince += late;
+  for (const std::string& name : suspects_) others_.at(name).suspectSince += late;
   // Danger: what was to be told is as old as the stall; told now, it would accuse those that were cleared
   // since.
   std::erase_if(news_, [&](const auto& n) { return n.first != self_.name; });
@@ -104,10 +103,7 @@
   if (probe_ != 0 && nacksWanted_ == 0) wakeAt_ = std::min(wakeAt_, lateAt_);
   for (const auto& [nonce, q] : questions_)
     if (!q.probe) wakeAt_ = std::min(wakeAt_, q.until);
-  for (const auto& [name, m] : others_)
-    if (m.record.state == State::suspect)
-      wakeAt_ = std::min(
-          wakeAt_, m.suspectSince + scaled(suspicion(settings_.period, present_ + 1, m.accusers.size())));
+  for (const std::string& name : suspects_) wakeAt_ = std::min(wakeAt_, suspectUntil(others_.at(name)));
   // Danger: a suspicion that a further witness shortens may be over already; that makes nobody late.
   wakeAt_ = std::max(wakeAt_, now_);
 }
@@ -551,7 +547,11 @@
   if (before.state != record.state || before.epoch != record.epoch) m.since = now_;
   if (before.epoch != record.epoch) m.sequence = 0, m.heard = Time{};
   m.accusers.clear();
-  if (record.state != State::suspect) return;
+  if (record.state != State::suspect) {
+    suspects_.erase(record.name);
+    return;
+  }
+  suspects_.insert(record.name);
   m.accusers.insert(record.by);
   m.suspectSince = now_;
 }
@@ -607,12 +607,14 @@
   take(claim);
 }
 
+Time Membership::suspectUntil(const Member& m) const {
+  return m.suspectSince + scaled(suspicion(settings_.period, present_ + 1, m.accusers.size()));
+}
+
 void Membership::expireSuspicions() {
   std::vector<std::string> over;
-  for (const auto& [name, m] : others_)
-    if (m.record.state == State::suspect &&
-        now_ >= m.suspectSince + scaled(suspicion(settings_.period, present_ + 1, m.accusers.size())))
-      over.push_back(name);
+  for (const std::string& name : suspects_)
+    if (now_ >= suspectUntil(others_.at(name))) over.push_back(name);
   for (const std::string& name : over) accuse(name, State::dead);
 }
 
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -134,6 +134,7 @@
   void takeOfSelf(const Record& claim);
   void refute(std::uint64_t above);
   void accuse(const std::string& name, State state);
+  Time suspectUntil(const Member& m) const;
   void expireSuspicions();
   void forgetGone();
   void put(Member& m, const Record& record);
@@ -167,6 +168,7 @@
   std::map<std::string, Member> others_;
   std::array<std::uint64_t, kBuckets> buckets_{};  // sums over the present others
   std::size_t present_ = 0;                        // others
+  std::set<std::string> suspects_;                 // names of the others that are suspect
   std::vector<std::string> round_;                 // still to be probed, the next last
   std::map<std::uint64_t, Question> questions_;    // by nonce
   std::uint64_t probe_ = 0;                        // nonce of this period's probe, 0: none, or answered
