--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -217,16 +217,15 @@
 // Seeds while they are missing, and the dead now and then, so that two halves find each other again.
 void Membership::reachOut() {
   std::vector<Address> missing;
-  std::set<Address> here{self_.address};
-  for (const auto& [name, m] : others_)
-    if (fleet::present(m.record.state)) here.insert(m.record.address);
   for (const Address& seed : settings_.seeds)
-    if (!here.count(seed)) missing.push_back(seed);
+    if (seed != self_.address && !presentAt_.count(seed)) missing.push_back(seed);
   const auto ping = [this](const Address& at) { send(at, Type::ping, ask({}, at, settings_.period, false)); };
   if (yielded_) {  // our rival, which then knows that we serve; and another, which knows whether it is there
     ping(rivalAt_);
-    here.erase(self_.address);
-    if (!here.empty()) ping(*std::next(here.begin(), static_cast<std::ptrdiff_t>(drawBelow(here.size()))));
+    std::vector<Address> here;
+    for (const auto& [address, members] : presentAt_)
+      if (address != self_.address) here.push_back(address);
+    if (!here.empty()) ping(here[drawBelow(here.size())]);
     return;
   }
   if (periods_ == 1) {
@@ -237,6 +236,7 @@
   const bool alone = present_ == 0;
   if (!missing.empty() && (alone || periods_ % kReachPeriods == 0)) ping(missing[seedAt_++ % missing.size()]);
   if (periods_ % kReachPeriods != kReachPeriods / 2) return;
+  if (others_.size() == present_) return;
   std::vector<const Member*> dead;
   for (const auto& [name, m] : others_)
     if (m.record.state == State::dead) dead.push_back(&m);
@@ -542,8 +542,17 @@
   const Record before = std::exchange(m.record, record);
   const bool was = fleet::present(before.state) && !before.name.empty(), is = fleet::present(record.state);
   const std::size_t bucket = bucketOf(record.name);
-  if (was) buckets_[bucket] -= digestOf(before), --present_;
-  if (is) buckets_[bucket] += digestOf(record), ++present_;
+  if (was) {
+    buckets_[bucket] -= digestOf(before);
+    --present_;
+    const auto at = presentAt_.find(before.address);
+    if (--at->second == 0) presentAt_.erase(at);
+  }
+  if (is) {
+    buckets_[bucket] += digestOf(record);
+    ++present_;
+    ++presentAt_[record.address];
+  }
   if (before.state != record.state || before.epoch != record.epoch) m.since = now_;
   if (before.epoch != record.epoch) m.sequence = 0, m.heard = Time{};
   m.accusers.clear();
@@ -619,6 +628,7 @@
 }
 
 void Membership::forgetGone() {
+  if (others_.size() == present_) return;
   std::erase_if(others_, [&](const auto& entry) {
     const Member& m = entry.second;
     return !fleet::present(m.record.state) && now_ - m.since > settings_.keepGone;
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -168,6 +168,7 @@
   std::map<std::string, Member> others_;
   std::array<std::uint64_t, kBuckets> buckets_{};  // sums over the present others
   std::size_t present_ = 0;                        // others
+  std::map<Address, std::size_t> presentAt_;       // how many of the present others say they are there
   std::set<std::string> suspects_;                 // names of the others that are suspect
   std::vector<std::string> round_;                 // still to be probed, the next last
   std::map<std::uint64_t, Question> questions_;    // by nonce
