--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -17,6 +17,7 @@
 #include "lab/explore.hpp"
 #include "lab/fleet.hpp"
 #include "lab/load.hpp"
+#include "lab/member_faults.hpp"
 #include "lab/members.hpp"
 #include "lab/platform.hpp"
 #include "lab/report.hpp"
@@ -42,6 +43,8 @@
   std::vector<std::size_t> sizes{3, 30, 300};
   std::vector<double> losses{0, 0.05, 0.3};
   std::size_t kills = 20;
+  std::vector<std::string> memberFaults;
+  int apart = 300;
   unsigned depth = 0, crashes = 1;
 };
 
@@ -397,6 +400,17 @@
     for (const std::string& what : e.broken) fmt::print("{}\n", what);
     return e.broken.empty() ? 0 : kBroken;
   }
+  if (!o.memberFaults.empty()) {
+    std::vector<MemberFaultRow> rows;
+    for (const std::size_t n : o.sizes)
+      for (const std::string& fault : o.memberFaults) {
+        const std::vector<MemberFaultRow> phases =
+            measureMemberFault({memberFaultNamed(fault).value(), n, std::chrono::seconds(o.apart), o.seed});
+        rows.insert(rows.end(), phases.begin(), phases.end());
+      }
+    fmt::print("{}", textOf(rows));
+    return 0;
+  }
   std::vector<MembersRow> rows;
   for (const std::size_t n : o.sizes)
     for (const double loss : o.losses) rows.push_back(measureMembers({n, loss, o.kills, o.seed, o.trace}));
@@ -487,6 +501,10 @@
   all->add_option("--kills", o.kills, "members killed and started again for each row")->capture_default_str();
   all->add_option("--seed", o.seed, "of all that is drawn")->capture_default_str();
   all->add_flag("--trace", o.trace, "a hash of all that is sent and raised, to compare two builds");
+  all->add_option("--fault", o.memberFaults,
+                  "instead: zone, cut or restarts, what it costs until views agree")
+      ->check(CLI::IsMember({"zone", "cut", "restarts"}));
+  all->add_option("--apart", o.apart, "with cut: its length in periods")->capture_default_str();
   all->add_option("--explore", o.depth, "instead: three members through every schedule of so many steps")
       ->check(CLI::Range(1, 12));
   all->add_option("--crashes", o.crashes, "with it: the most on a way")->capture_default_str();
--- /dev/null
+++ b/src/lab/member_faults.cpp
@@ -0,0 +1,250 @@
+#include "lab/member_faults.hpp"
+
+#include <spdlog/fmt/fmt.h>
+
+#include <algorithm>
+
+#include "lab/members.hpp"
+
+namespace hollyrun::lab {
+namespace {
+
+using fleet::Duration;
+
+constexpr std::size_t kZones = 7;
+constexpr std::size_t kZonesCutOff = 3;
+constexpr int kJoinPeriodsMost = 120;   // until all have found each other, before the fault
+constexpr int kQuietPeriods = 60;       // until the news of the start is told
+constexpr int kAgreePeriodsMost = 600;  // views that differ for longer count as never agreed
+constexpr int kAfterPeriods = 30;       // sampled after they agree: the last news is still told
+constexpr std::size_t kWaves = 10;
+constexpr int kWavePeriods = 60;            // from one wave to the next
+constexpr int kRestartPeriods = 3;          // from a member's leave until it starts again
+constexpr std::size_t kSamplesAPeriod = 4;  // looks at whether the views agree
+
+std::size_t zoneOf(std::size_t node) { return node % kZones; }
+
+/// Adds up what the members send, receive and compute, period by period.
+class LoadMeter {
+ public:
+  explicit LoadMeter(MemberWorld& world) : world_(world) {}
+
+  /// Forgets all that was measured.
+  void restart() {
+    marks_.resize(world_.nodes().size());
+    for (std::size_t i = 0; i < marks_.size(); ++i) advance(i);
+    micros_ = processorMicros();
+    row_ = {};
+    periods_ = 0;
+  }
+
+  /// At the end of a period.
+  void sample() {
+    double sent = 0;
+    for (std::size_t i = 0; i < marks_.size(); ++i) {
+      const Traffic traffic = advance(i);
+      sent += traffic.sent;
+      row_.sentMost = std::max(row_.sentMost, traffic.sent);
+      row_.receivedMost = std::max(row_.receivedMost, traffic.received);
+    }
+    const double members = static_cast<double>(std::max<std::size_t>(world_.living().size(), 1));
+    const double now = processorMicros();
+    const double micros = (now - micros_) / members;
+    micros_ = now;
+    sent /= members;
+    row_.sentPeak = std::max(row_.sentPeak, sent);
+    row_.microsPeak = std::max(row_.microsPeak, micros);
+    row_.sentMean += sent;
+    row_.microsMean += micros;
+    ++periods_;
+  }
+
+  /// What was measured since the restart.
+  MemberFaultRow row() const {
+    MemberFaultRow row = row_;
+    if (periods_ > 0) {
+      row.sentMean /= periods_;
+      row.microsMean /= periods_;
+    }
+    return row;
+  }
+
+ private:
+  struct Mark {
+    std::uint64_t life = 0, sent = 0, received = 0;
+  };
+  struct Traffic {
+    double sent = 0, received = 0;
+  };
+
+  Traffic advance(std::size_t i) {
+    const MemberWorld::Node& node = world_.nodes()[i];
+    if (!node.logic) return {};
+    const fleet::Counters& counters = node.logic->counters();
+    Mark& mark = marks_[i];
+    if (mark.life != node.lives) mark = {node.lives, 0, 0};  // a new life counts from nothing
+    const Traffic traffic{static_cast<double>(counters.bytesOut - mark.sent),
+                          static_cast<double>(counters.bytesIn - mark.received)};
+    mark.sent = counters.bytesOut;
+    mark.received = counters.bytesIn;
+    return traffic;
+  }
+
+  MemberWorld& world_;
+  std::vector<Mark> marks_;
+  MemberFaultRow row_;
+  double micros_ = 0;
+  int periods_ = 0;
+};
+
+/// A fleet of seven zones whose members agree, with its meter.
+class FaultStage {
+ public:
+  explicit FaultStage(const MemberFaultRun& run) : world_(run.seed, settingsOf()), meter_(world_) {
+    start(run.members);
+    meter_.restart();
+  }
+
+  MemberWorld& world() { return world_; }
+
+  void play(int periods) {
+    for (int i = 0; i < periods; ++i) {
+      world_.runFor(world_.settings().period);
+      meter_.sample();
+      world_.seen().clear();
+    }
+  }
+
+  /// Periods until all views are equal; none if they are not within the most.
+  std::optional<double> playUntilAgreed() {
+    const Duration step = world_.settings().period / kSamplesAPeriod;
+    for (std::size_t steps = 0; steps < kAgreePeriodsMost * kSamplesAPeriod; ++steps) {
+      if (world_.agreed()) return static_cast<double>(steps) / kSamplesAPeriod;
+      world_.runFor(step);
+      if ((steps + 1) % kSamplesAPeriod == 0) meter_.sample();
+      world_.seen().clear();
+    }
+    return std::nullopt;
+  }
+
+  /// The row of a phase that took `agreed` each time until views were equal.
+  MemberFaultRow rowOf(std::string phase, std::size_t affected, std::vector<std::optional<double>> agreed) {
+    MemberFaultRow row = meter_.row();
+    row.phase = std::move(phase);
+    row.members = world_.nodes().size();
+    row.affected = affected;
+    row.agreed = std::find(agreed.begin(), agreed.end(), std::nullopt) == agreed.end();
+    std::sort(agreed.begin(), agreed.end());
+    if (row.agreed && !agreed.empty()) {
+      row.agreedMedian = *agreed[(agreed.size() - 1) / 2];
+      row.agreedMost = *agreed.back();
+    }
+    meter_.restart();
+    return row;
+  }
+
+ private:
+  static fleet::MembershipSettings settingsOf() {
+    fleet::MembershipSettings settings;
+    settings.seeds = {{0x7f000001, 1000}, {0x7f000001, 1001}};  // the first two members
+    return settings;
+  }
+
+  void start(std::size_t members) {
+    world_.describe = describeAsGateway;
+    for (std::size_t i = 0; i < members; ++i)
+      world_.start(world_.add("gateway-" + std::to_string(i), "zone-" + std::to_string(zoneOf(i))));
+    world_.runUntil([this] { return world_.agreed(); }, world_.settings().period * kJoinPeriodsMost);
+    world_.runFor(world_.settings().period * kQuietPeriods);
+    world_.seen().clear();
+  }
+
+  MemberWorld world_;
+  LoadMeter meter_;
+};
+
+std::vector<MemberFaultRow> loseZone(FaultStage& stage) {
+  std::vector<MemberFaultRow> rows;
+  std::vector<std::size_t> zone;
+  for (std::size_t i = 0; i < stage.world().nodes().size(); ++i)
+    if (zoneOf(i) == 0) zone.push_back(i);
+  for (const std::size_t i : zone) stage.world().kill(i);
+  std::optional<double> agreed = stage.playUntilAgreed();
+  stage.play(kAfterPeriods);
+  rows.push_back(stage.rowOf("zone lost", zone.size(), {agreed}));
+  for (const std::size_t i : zone) stage.world().start(i);
+  agreed = stage.playUntilAgreed();
+  stage.play(kAfterPeriods);
+  rows.push_back(stage.rowOf("zone back", zone.size(), {agreed}));
+  return rows;
+}
+
+std::vector<MemberFaultRow> cutApart(FaultStage& stage, Duration apart) {
+  std::vector<MemberFaultRow> rows;
+  const auto cutOff = [](std::size_t i) { return zoneOf(i) < kZonesCutOff; };
+  std::size_t affected = 0;
+  for (std::size_t i = 0; i < stage.world().nodes().size(); ++i) affected += cutOff(i);
+  stage.world().passes = [cutOff](std::size_t from, std::size_t to) { return cutOff(from) == cutOff(to); };
+  const int periods = static_cast<int>(apart / stage.world().settings().period);
+  stage.play(periods);
+  rows.push_back(stage.rowOf(fmt::format("apart for {}", periods), affected, {}));
+  stage.world().passes = [](std::size_t, std::size_t) { return true; };
+  const std::optional<double> agreed = stage.playUntilAgreed();
+  stage.play(kAfterPeriods);
+  rows.push_back(stage.rowOf("together again", affected, {agreed}));
+  return rows;
+}
+
+std::vector<MemberFaultRow> restartInWaves(FaultStage& stage) {
+  const std::size_t inWave = stage.world().nodes().size() * 5 / 6 / kWaves;
+  std::vector<std::optional<double>> agreed;
+  for (std::size_t wave = 0; wave < kWaves; ++wave) {
+    const std::size_t first = wave * inWave;
+    for (std::size_t i = first; i < first + inWave; ++i) stage.world().leave(i);
+    stage.play(kRestartPeriods);
+    for (std::size_t i = first; i < first + inWave; ++i) stage.world().start(i);
+    agreed.push_back(stage.playUntilAgreed());
+    if (!agreed.back()) break;
+    stage.play(std::max(0, kWavePeriods - static_cast<int>(*agreed.back())));
+  }
+  return {stage.rowOf("restarts in ten waves", inWave * kWaves, agreed)};
+}
+
+}  // namespace
+
+std::optional<MemberFault> memberFaultNamed(std::string_view name) {
+  if (name == "zone") return MemberFault::zone;
+  if (name == "cut") return MemberFault::cut;
+  if (name == "restarts") return MemberFault::restarts;
+  return std::nullopt;
+}
+
+std::vector<MemberFaultRow> measureMemberFault(const MemberFaultRun& run) {
+  FaultStage stage(run);
+  std::vector<MemberFaultRow> rows;
+  stage.play(kQuietPeriods);
+  rows.push_back(stage.rowOf("quiet", 0, {}));
+  std::vector<MemberFaultRow> fault;
+  switch (run.fault) {
+    case MemberFault::zone: fault = loseZone(stage); break;
+    case MemberFault::cut: fault = cutApart(stage, run.apart); break;
+    case MemberFault::restarts: fault = restartInWaves(stage); break;
+  }
+  rows.insert(rows.end(), fault.begin(), fault.end());
+  return rows;
+}
+
+std::string textOf(const std::vector<MemberFaultRow>& rows) {
+  std::string text =
+      "phase                  members  of them  agreed after  most  bytes a period  peak  one member sent  "
+      "received"
+      "  us a period  peak\n";
+  for (const MemberFaultRow& r : rows)
+    text += fmt::format(
+        "{:21}  {:7}  {:7}  {:>12}  {:4.1f}  {:14.0f}  {:4.0f}  {:15.0f}  {:8.0f}  {:11.0f}  {:4.0f}\n",
+        r.phase, r.members, r.affected, r.agreed ? fmt::format("{:.1f}", r.agreedMedian) : "never",
+        r.agreedMost, r.sentMean, r.sentPeak, r.sentMost, r.receivedMost, r.microsMean, r.microsPeak);
+  return text;
+}
+
+}  // namespace hollyrun::lab
--- a/src/lab/members.cpp
+++ b/src/lab/members.cpp
@@ -186,23 +186,8 @@
   return static_cast<double>(d.count()) / static_cast<double>(s.period.count());
 }
 
-/// Of this thread, in microseconds; the machine may be busy with other work.
-double processorMicros() {
-  timespec t{};
-  clock_gettime(CLOCK_THREAD_CPUTIME_ID, &t);
-  return static_cast<double>(t.tv_sec) * 1e6 + static_cast<double>(t.tv_nsec) / 1e3;
-}
-
 double allocatedBytes() { return static_cast<double>(mallinfo2().uordblks); }
 
-/// What a gateway's record holds: it is sent in each datagram, so its length counts.
-void describeAsGateway(fleet::Record& self) {
-  self.region = "region-1";
-  self.version = "0.1.0";
-  self.settings = XXH3_64bits("settings", 8);
-  self.startedMs = 1'780'000'000'000;
-}
-
 /// Hashes all that is sent, in order, so that two builds can be compared to the byte.
 class Trace {
  public:
@@ -227,6 +212,19 @@
 
 }  // namespace
 
+double processorMicros() {
+  timespec t{};
+  clock_gettime(CLOCK_THREAD_CPUTIME_ID, &t);
+  return static_cast<double>(t.tv_sec) * 1e6 + static_cast<double>(t.tv_nsec) / 1e3;
+}
+
+void describeAsGateway(fleet::Record& self) {
+  self.region = "region-1";
+  self.version = "0.1.0";
+  self.settings = XXH3_64bits("settings", 8);
+  self.startedMs = 1'780'000'000'000;
+}
+
 MembersRow measureMembers(const MembersRun& run) {
   MembersRow row;
   row.members = run.members;
--- a/src/lab/members.hpp
+++ b/src/lab/members.hpp
@@ -99,6 +99,11 @@
   std::vector<Seen> seen_;
 };
 
+/// Processor time of this thread, in microseconds; the machine may be busy with other work.
+double processorMicros();
+/// Gives a record what a gateway's holds: it is sent in each datagram, so its length counts.
+void describeAsGateway(fleet::Record& self);
+
 /// One row of the table in docs/membership.md.
 struct MembersRow {
   std::size_t members = 0;
