--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -493,6 +493,7 @@
         ++counters_.full;
         return;
       }
+      news_.erase(oldest->first);
       others_.erase(oldest);
     }
     Member m;
@@ -631,7 +632,9 @@
   if (others_.size() == present_) return;
   std::erase_if(others_, [&](const auto& entry) {
     const Member& m = entry.second;
-    return !fleet::present(m.record.state) && now_ - m.since > settings_.keepGone;
+    if (fleet::present(m.record.state) || now_ - m.since <= settings_.keepGone) return false;
+    news_.erase(entry.first);
+    return true;
   });
 }
 
@@ -670,6 +673,7 @@
 
 void Membership::send(const Address& to, Message m, bool withNews, const std::string& first, bool stranger) {
   m.sequence = ++sequence_;
+  const unsigned tellingsMost = tellings();
   if (withNews) {
     // What the receiver has to hear comes first, then what was told least, then the latest.
     const Record* about = first.empty() ? nullptr : recordOf(first);
@@ -682,14 +686,13 @@
     std::vector<std::pair<std::tuple<unsigned, std::uint64_t>, const std::string*>> told;
     for (auto it = news_.begin(); it != news_.end();) {
       auto& [name, n] = *it;
-      const Record* r = recordOf(name);
-      if (!r || (agrees && r->state != State::suspect && ++n.told >= tellings())) {
+      const bool knows = agrees && !suspects_.count(name);
+      if (knows && ++n.told >= tellingsMost) {
         it = news_.erase(it);
         continue;
       }
       ++it;
-      if (name != self_.name && name != first && !(agrees && r->state != State::suspect))
-        told.push_back({{n.told, ~n.added}, &name});
+      if (!knows && name != self_.name && name != first) told.push_back({{n.told, ~n.added}, &name});
     }
     const std::size_t most = std::min(kCandidates, told.size());
     std::partial_sort(told.begin(), told.begin() + static_cast<std::ptrdiff_t>(most), told.end());
@@ -699,7 +702,7 @@
   std::string bytes = encode(m, settings_.fleet, took);
   if (withNews)
     for (std::size_t i = 0; i < took; ++i)
-      if (const auto it = news_.find(m.news[i].name); it != news_.end() && ++it->second.told >= tellings())
+      if (const auto it = news_.find(m.news[i].name); it != news_.end() && ++it->second.told >= tellingsMost)
         news_.erase(it);
   ++counters_.sent;
   counters_.bytesOut += bytes.size();
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -174,7 +174,7 @@
   std::map<std::uint64_t, Question> questions_;    // by nonce
   std::uint64_t probe_ = 0;                        // nonce of this period's probe, 0: none, or answered
   unsigned nacksWanted_ = 0, nacks_ = 0;
-  std::map<std::string, News> news_;
+  std::map<std::string, News> news_;  // of ourselves and of the others that we know
   std::uint64_t sequence_ = 0, added_ = 0, periods_ = 0;
   unsigned health_ = 0;
   std::size_t seedAt_ = 0, goneAt_ = 0, verifies_ = 0;
