--- a/src/fleet/message.cpp
+++ b/src/fleet/message.cpp
@@ -28,13 +28,28 @@
   json j = json::array({static_cast<unsigned>(r.state), r.name, r.incarnation, r.epoch});
   if (r.state == State::suspect || r.state == State::dead) j.push_back(r.by);
   if (r.state == State::suspect || r.state == State::dead || r.state == State::left) return j;
-  for (json part :
-       {json(r.address.ip), json(r.address.port), json(r.zone), json(r.region), json(r.version),
-        json(r.settings), json(static_cast<std::uint64_t>(std::max<std::int64_t>(r.startedMs, 0)))})
-    j.push_back(std::move(part));
+  j.push_back(r.address.ip);
+  j.push_back(r.address.port);
+  j.push_back(r.zone);
+  j.push_back(r.region);
+  j.push_back(r.version);
+  j.push_back(r.settings);
+  j.push_back(static_cast<std::uint64_t>(std::max<std::int64_t>(r.startedMs, 0)));
   return j;
 }
 
+// The head of a CBOR array of fewer than 256 elements.
+std::string arrayHead(std::size_t elements) {
+  constexpr std::size_t kInFirstByte = 24;
+  constexpr char kArray = '\x80', kArrayLengthByte = '\x98';
+  if (elements < kInFirstByte) return std::string(1, static_cast<char>(kArray + elements));
+  return {kArrayLengthByte, static_cast<char>(elements)};
+}
+
+void appendElements(std::string& bytes, const json& array) {
+  for (const json& element : array) json::to_cbor(element, bytes);
+}
+
 // Takes element after element; what is missing or of another kind makes the whole nonsense.
 class Elements {
  public:
@@ -122,22 +137,30 @@
 std::string encode(const Message& m, std::string_view fleet, std::size_t& took) {
   Record self = m.self;
   if (self.state == State::suspect || self.state == State::dead) self.state = State::alive;
-  json j = json::array({kVersion, std::string(fleet), static_cast<unsigned>(m.type), m.sequence, m.nonce,
-                        m.digest, toJson(self), json::array()});
-  if (m.type == Type::pingFor) j.push_back(m.target), j.push_back(m.at.ip), j.push_back(m.at.port);
-  else if (m.type == Type::pull) j.push_back(m.cursor), j.push_back(m.buckets);
-  else if (m.type == Type::view) j.push_back(m.cursor);
-  std::size_t size = json::to_cbor(j).size() + kFrame;
+  const json head = json::array({kVersion, std::string(fleet), static_cast<unsigned>(m.type), m.sequence,
+                                 m.nonce, m.digest, toJson(self)});
+  json parts = json::array();
+  if (m.type == Type::pingFor) parts = json::array({m.target, m.at.ip, m.at.port});
+  else if (m.type == Type::pull) parts = json::array({m.cursor, m.buckets});
+  else if (m.type == Type::view) parts = json::array({m.cursor});
+  std::string bytes = arrayHead(kHead + parts.size());
+  appendElements(bytes, head);
+  std::string tail;
+  appendElements(tail, parts);
+  // Each record is encoded once, as it is tried whether it fits.
+  const std::size_t used = bytes.size() + arrayHead(0).size() + tail.size() + kFrame;
+  std::string news;
   took = 0;
   for (const Record& r : m.news) {
-    json one = toJson(r);
-    size += json::to_cbor(one).size();
-    if (size > kMostBytes) break;
-    j[kHead - 1].push_back(std::move(one));
+    const std::size_t before = news.size();
+    json::to_cbor(toJson(r), news);
+    if (used + news.size() > kMostBytes) {
+      news.resize(before);
+      break;
+    }
     ++took;
   }
-  std::string bytes;
-  json::to_cbor(j, bytes);
+  bytes += arrayHead(took) + news + tail;
   return bytes + sumOf(bytes);
 }
 
