--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -10,6 +10,7 @@
 #include <numeric>
 
 #include "lab/explore.hpp"
+#include "lab/member_faults.hpp"
 #include "lab/members.hpp"
 
 namespace hollyrun::lab {
@@ -514,6 +515,51 @@
   EXPECT_GT(longest, 0) << "at 60 % loss some were held dead, else this shows nothing";
 }
 
+// --- Size ---------------------------------------------------------------------------------------------
+
+TEST(MembershipMessage, MoreRecordsThanAShortArrayHoldsAreReadBack) {
+  Message message;
+  message.self.name = "m0";
+  message.self.address = {0x7f000001, 1000};
+  for (int i = 0; i < 30; ++i) {
+    Record gone;
+    gone.name = "g" + std::to_string(i);
+    gone.epoch = 7;
+    gone.state = State::dead;
+    message.news.push_back(gone);
+  }
+  std::size_t took = 0;
+  const std::string bytes = fleet::encode(message, "fleet", took);
+  ASSERT_EQ(took, message.news.size());
+  Bad why{};
+  const auto read = fleet::decode(bytes, "fleet", why);
+  ASSERT_TRUE(read);
+  ASSERT_EQ(read->news.size(), message.news.size());
+  EXPECT_EQ(read->news.back().name, "g29");
+}
+
+// Shape alone: what a member sends and computes on a quiet day, at four times the size. A member that walks
+// its whole view at each event takes more than four times as long there.
+TEST(MembershipScale, AQuietMemberCostsLittleMoreInAFleetFourTimesTheSize) {
+  constexpr double kBytesMost = 1.5, kProcessorTimeMost = 3;
+  const MemberFaultRow small = measureMemberFault({MemberFault::zone, 64, {}, 1}).front();
+  const MemberFaultRow large = measureMemberFault({MemberFault::zone, 256, {}, 1}).front();
+  EXPECT_LT(large.sentMean, kBytesMost * small.sentMean);
+  EXPECT_LT(large.microsMean, kProcessorTimeMost * small.microsMean);
+  std::printf("bytes a period %.0f, %.0f; us a period %.1f, %.1f\n", small.sentMean, large.sentMean,
+              small.microsMean, large.microsMean);
+}
+
+TEST(MembershipScale, ViewsAgreeAgainAfterEachLargeFault) {
+  constexpr std::size_t kMembers = 42;
+  for (const MemberFault fault : {MemberFault::zone, MemberFault::cut, MemberFault::restarts})
+    for (const MemberFaultRow& row :
+         measureMemberFault({fault, kMembers, fleet::Duration(std::chrono::seconds(60)), 1})) {
+      EXPECT_TRUE(row.agreed) << row.phase;
+      EXPECT_LE(row.agreedMost, kHealPeriods) << row.phase;
+    }
+}
+
 // --- Every schedule -----------------------------------------------------------------------------------
 
 TEST(MembershipExplored, ThreeMembersThroughEveryScheduleOfFiveSteps) {
