--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -1,8 +1,8 @@
 // hollyrun-lab: plays scenarios of the platform with the decision module or a plain policy.
 //
 // Exit codes: 0 all well; 1 a rule was broken (a line each on standard output); 2 the command line, a
-// scenario or a file is wrong (the reason on standard error); 3 a fleet's run is void, for this machine was
-// late itself; 130 interrupted.
+// scenario or a file is wrong (the reason on standard error); 3 a run on processes is void, for this machine
+// was late itself; 130 interrupted.
 #include <spdlog/fmt/fmt.h>
 #include <spdlog/sinks/stdout_color_sinks.h>
 #include <spdlog/spdlog.h>
@@ -19,7 +19,10 @@
 #include "lab/rig/fleet.hpp"
 #include "lab/rig/load.hpp"
 #include "lab/rig/platform.hpp"
+#include "lab/rig/scale_command.hpp"
+#include "lab/simulation/cost.hpp"
 #include "lab/simulation/explore.hpp"
+#include "lab/simulation/member_faults.hpp"
 #include "lab/simulation/members.hpp"
 #include "lab/simulation/scenario.hpp"
 
@@ -34,7 +37,7 @@
   std::string policy = "module", seeds = "1", label = "run", db, a = "module", b = "random", vary, out;
   std::vector<std::int64_t> ids;
   unsigned threads = 0;
-  bool series = false, text = false, log = false;
+  bool series = false, text = false, log = false, trace = false;
   std::string program = "build/hollyrun", dir, config, cls;
   std::vector<std::string> to;
   double rate = 0, seconds = 0;
@@ -42,7 +45,11 @@
   std::vector<std::size_t> sizes{3, 30, 300};
   std::vector<double> losses{0, 0.05, 0.3};
   std::size_t kills = 20;
+  std::vector<std::string> memberFaults;
+  int apart = 300;
   unsigned depth = 0, crashes = 1;
+  std::vector<std::size_t> hosts{200, 1000, 4800}, tenants{0, 27000};
+  CostSettings cost;
 };
 
 // An arm of a comparison: `policy`, `policy,key=value,...`, or `@label` of a file of results.
@@ -119,7 +126,8 @@
 }
 
 void header() {
-  fmt::print("scenario policy seed G whole worst10s worst_class refused failed jammed p50_ms p99_ms\n");
+  fmt::print(
+      "scenario policy seed G whole worst10s worst_class refused failed jammed p50_ms p99_ms digest\n");
 }
 
 int check(const Options& o) {
@@ -397,9 +405,33 @@
     for (const std::string& what : e.broken) fmt::print("{}\n", what);
     return e.broken.empty() ? 0 : kBroken;
   }
+  if (!o.memberFaults.empty()) {
+    std::vector<MemberFaultRow> rows;
+    for (const std::size_t n : o.sizes)
+      for (const std::string& fault : o.memberFaults) {
+        const std::vector<MemberFaultRow> phases =
+            measureMemberFault({memberFaultNamed(fault).value(), n, std::chrono::seconds(o.apart), o.seed});
+        rows.insert(rows.end(), phases.begin(), phases.end());
+      }
+    fmt::print("{}", textOf(rows));
+    return 0;
+  }
   std::vector<MembersRow> rows;
   for (const std::size_t n : o.sizes)
-    for (const double loss : o.losses) rows.push_back(measureMembers(n, loss, o.kills, o.seed));
+    for (const double loss : o.losses) rows.push_back(measureMembers({n, loss, o.kills, o.seed, o.trace}));
+  fmt::print("{}", textOf(rows));
+  return 0;
+}
+
+int cost(const Options& o) {
+  std::vector<CostRow> rows;
+  for (const std::size_t hosts : o.hosts)
+    for (const std::size_t tenants : o.tenants) {
+      CostSettings size = o.cost;
+      size.hosts = hosts;
+      size.tenants = tenants;
+      rows.push_back(measureCost(size));
+    }
   fmt::print("{}", textOf(rows));
   return 0;
 }
@@ -486,9 +518,24 @@
   all->add_option("--loss", o.losses, "shares of datagrams that get lost")->check(CLI::Range(0.0, 0.9));
   all->add_option("--kills", o.kills, "members killed and started again for each row")->capture_default_str();
   all->add_option("--seed", o.seed, "of all that is drawn")->capture_default_str();
+  all->add_flag("--trace", o.trace, "a hash of all that is sent and raised, to compare two builds");
+  all->add_option("--fault", o.memberFaults,
+                  "instead: zone, cut or restarts, what it costs until views agree")
+      ->check(CLI::IsMember({"zone", "cut", "restarts"}));
+  all->add_option("--apart", o.apart, "with cut: its length in periods")->capture_default_str();
   all->add_option("--explore", o.depth, "instead: three members through every schedule of so many steps")
       ->check(CLI::Range(1, 12));
   all->add_option("--crashes", o.crashes, "with it: the most on a way")->capture_default_str();
+  ScaleCommand scale(app);
+  CLI::App* costs = add("cost", "processor time and memory of the decision module alone", cost);
+  costs->add_option("--hosts", o.hosts, "numbers of servers")->check(CLI::Range(1, 60000));
+  costs->add_option("--tenants", o.tenants, "numbers of tenants")->check(CLI::Range(0, 1000000));
+  costs->add_option("--classes", o.cost.classes, "number of classes")->check(CLI::Range(1, 10000));
+  costs->add_option("--gateways", o.cost.gateways, "in the fleet")->check(CLI::Range(1, 100000));
+  costs->add_option("--candidates", o.cost.candidates, "hosts to choose from; 0: all")->capture_default_str();
+  costs->add_option("--rate", o.cost.rate, "requests a second of the one gateway")->capture_default_str();
+  costs->add_option("--requests", o.cost.requests, "played for each row")->capture_default_str();
+  costs->add_option("--seed", o.cost.seed, "of all that is drawn")->capture_default_str();
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
@@ -496,7 +543,7 @@
     return code == 0 ? 0 : kWrong;
   }
   try {
-    return command(o);
+    return command ? command(o) : scale.run(argc, argv);
   } catch (const std::exception& e) {
     fmt::print(stderr, "{}\n", e.what());
     return kWrong;
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -9,6 +9,7 @@
 #include "lab/report/experiment.hpp"
 #include "lab/report/report.hpp"
 #include "lab/report/store.hpp"
+#include "lab/simulation/cost.hpp"
 #include "lab/simulation/scenario.hpp"
 
 namespace hollyrun::lab {
@@ -464,5 +465,40 @@
   EXPECT_EQ(estimate({-1, 0, 2}).better, 1u);
 }
 
+// --- Cost of the module ---------------------------------------------------------------------------------
+
+CostRow costOf(std::size_t hosts, std::size_t tenants, std::uint32_t candidates = 0, std::uint64_t seed = 1) {
+  CostSettings size;
+  size.hosts = hosts;
+  size.tenants = tenants;
+  size.candidates = candidates;
+  size.seed = seed;
+  size.requests = 1500;
+  return measureCost(size);
+}
+
+TEST(CostTest, TheSameSettingsGiveTheSameActions) {
+  const CostRow first = costOf(50, 20), again = costOf(50, 20);
+  EXPECT_GT(first.actions, 1500u);
+  EXPECT_EQ(first.digest, again.digest);
+  EXPECT_NE(first.digest, costOf(50, 20, 0, 2).digest);
+}
+
+// Shape only: processor time on one machine against itself, in the median over the requests and the least of
+// three plays, for others use the machine, too.
+double leastMedianOf(std::size_t hosts, std::size_t tenants, std::uint32_t candidates) {
+  double least = costOf(hosts, tenants, candidates).requestMedianNs;
+  for (int i = 0; i < 2; ++i) least = std::min(least, costOf(hosts, tenants, candidates).requestMedianNs);
+  return least;
+}
+
+TEST(CostTest, ARequestCostsHardlyMoreWithManyTenants) {
+  EXPECT_LT(leastMedianOf(200, 27000, 0), 2.5 * leastMedianOf(200, 0, 0));
+}
+
+TEST(CostTest, ARequestWithCandidatesCostsHardlyMoreWithFourTimesTheServers) {
+  EXPECT_LT(leastMedianOf(4800, 0, 32), 2.5 * leastMedianOf(1200, 0, 32));
+}
+
 }  // namespace
 }  // namespace hollyrun::lab
