--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -279,7 +279,7 @@
   plan.dimension = Dimension::servers;
   plan.values = {20};
   plan.idleS = 0.3;
-  plan.loadS = 0.5;
+  plan.loadS = 1.2;  // the share of a core is judged over a second at least
   plan.warmS = 0.2;
   plan.hangups = 1;
   plan.listChanges = 2;
