--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -668,6 +668,89 @@
   EXPECT_EQ(std::count(reached.begin(), reached.end(), "s-0"), 0);
 }
 
+// The discovery's answer to the first call after its outage: this host drains.
+class DiscoveryOutage : public Crossings {
+ protected:
+  // Two hosts, a watch that is on, and a discovery that then fails every call until tellsDrain().
+  void startAndLoseDiscovery() {
+    twoHosts(always(ok()));
+    ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+    discovery.failing = true;
+    discovery.held[0]->reset();
+    discovery.held.clear();
+  }
+  void returnWithADrain() {
+    const auto script = discovery.peer.script;
+    discovery.peer.script = [this, script](PeerConnection& c) {
+      if (std::exchange(told_, true)) return script(c);
+      discovery.failing = false;
+      discovery.version = 2;
+      const json drained = target("s-0", hosts[0]->endpoint, "a", "DRAINING");
+      c.reply(answerText(200, "", json{{"rev", 2}, {"all", false}, {"targets", {drained}}}.dump()));
+    };
+    ASSERT_TRUE(until([&] { return told_ && discovery.held.size() == 1; }));
+  }
+  void expectNothingNewAtTheDrainingHost() {
+    reached.clear();
+    for (int i = 0; i < 20; ++i) EXPECT_EQ(ask(text("read")).result_int(), 200u);
+    EXPECT_EQ(std::count(reached.begin(), reached.end(), "s-0"), 0);
+  }
+
+ private:
+  bool told_ = false;
+};
+
+TEST_F(DiscoveryOutage, IdleClientsThatFillTheTableMeanwhileHoldUpNeitherRequestsNorADrain) {
+  config["limits"]["sockets"] = 128;
+  startAndLoseDiscovery();
+  std::vector<std::shared_ptr<Client>> idle;
+  for (int i = 0; i < 300; ++i) idle.push_back(client());
+  for (int i = 0; i < 5; ++i) EXPECT_EQ(ask(text("read")).result_int(), 200u);
+  returnWithADrain();
+  expectNothingNewAtTheDrainingHost();
+}
+
+TEST_F(DiscoveryOutage, AReloadToAnotherDiscoveryFollowedByADrainIsHeard) {
+  FakeDiscovery other{io};
+  startAndLoseDiscovery();
+  other.list = discovery.list;
+  config["discovery"] = textOf(other.peer.endpoint);
+  reload();
+  ASSERT_TRUE(until([&] { return other.held.size() == 1; }));
+  other.push({{"all", false}, {"targets", {target("s-0", hosts[0]->endpoint, "a", "DRAINING")}}});
+  ASSERT_TRUE(until([&] { return other.held.size() == 1; }));
+  expectNothingNewAtTheDrainingHost();
+}
+
+TEST_F(DiscoveryOutage, AWatchThatFallsSilentLateIsOpenedAnewAndTellsTheDrain) {
+  waits.discovery = {100ms, 100ms};
+  twoHosts(always(ok()));
+  const auto script = discovery.peer.script;
+  const auto isWatch = [](PeerConnection& c) {
+    return c.request.target().to_string().find("timeout_ms=100") != std::string::npos;
+  };
+  std::size_t watches = 0;
+  discovery.peer.script = [&](PeerConnection& c) {
+    if (!isWatch(c)) return script(c);
+    if (++watches < 4)  // three that end with nothing new, then silence
+      c.reply(answerText(200, "", json{{"rev", 1}, {"all", false}, {"targets", json::array()}}.dump()));
+  };
+  ASSERT_TRUE(until([&] { return watches == 4; }));
+  bool toldAfterSilence = false;
+  discovery.peer.script = [&](PeerConnection& c) {
+    if (isWatch(c)) return;
+    discovery.version = 2;
+    toldAfterSilence = true;
+    const json drained = target("s-0", hosts[0]->endpoint, "a", "DRAINING");
+    c.reply(answerText(200, "", json{{"rev", 2}, {"all", false}, {"targets", {drained}}}.dump()));
+  };
+  ASSERT_TRUE(until([&] { return toldAfterSilence && discovery.targets.size() > 0; }));
+  ASSERT_TRUE(until([&] { return ask(text("read")).result_int() == 200u && reached.back() == "s-1"; }));
+  const auto now = Clock::now();
+  ASSERT_TRUE(runPast(now + 20ms));
+  expectNothingNewAtTheDrainingHost();
+}
+
 // --- Floods ---------------------------------------------------------------------------------------------
 
 std::size_t openFiles() {
