--- a/src/gateway/body_stream.hpp
+++ b/src/gateway/body_stream.hpp
@@ -48,7 +48,8 @@
   }
   ~BodyShare() { resize(0); }
   void resize(std::size_t bytes) {
-    if (!budget_) return;
+    if (!budget_)
+      return;
     budget_->give(bytes_);
     budget_->add(bytes_ = bytes);
   }
@@ -65,7 +66,8 @@
   // --- The side that fills ---
   std::function<void()> onRoom;  // there is room again, or nobody wants the rest
   void append(const std::string& piece) {
-    if (abandoned_ || piece.empty()) return;
+    if (abandoned_ || piece.empty())
+      return;
     data_ += piece;
     share_.resize(data_.size() + taken_);
     tell(onData);
@@ -88,14 +90,16 @@
     taken_ = data_.size();
     std::string piece = std::exchange(data_, {});
     share_.resize(taken_);
-    if (!piece.empty()) tell(onRoom);
+    if (!piece.empty())
+      tell(onRoom);
     return piece;
   }
   bool finished() const { return finished_ && data_.empty(); }
   bool failed() const { return failed_; }
   bool touched() const { return touched_; }  // it can't be taken from its start any more
   void abandon() {
-    if (std::exchange(abandoned_, true)) return;
+    if (std::exchange(abandoned_, true))
+      return;
     onData = nullptr;
     data_.clear();
     share_.resize(0);
@@ -105,7 +109,8 @@
  private:
   // Danger: the other side may replace the function while it runs.
   static void tell(const std::function<void()>& whom) {
-    if (const auto copy = whom) copy();
+    if (const auto copy = whom)
+      copy();
   }
 
   std::shared_ptr<BodyBudget> budget_;
--- a/src/gateway/client_server.cpp
+++ b/src/gateway/client_server.cpp
@@ -63,7 +63,8 @@
     response_ = std::move(response);
     response_.prepare_payload();
     http::async_write(socket_, response_, [self = shared_from_this()](error_code ec, std::size_t) {
-      if (self->state_ != State::answering) return;
+      if (self->state_ != State::answering)
+        return;
       self->response_ = {};
       self->answered(ec);
     });
@@ -72,15 +73,18 @@
   void answer(HttpResponse head, std::shared_ptr<BodyStream> body, std::optional<std::uint64_t> length,
               Answered answered) {
     beginAnswer(head, std::move(answered));
-    if (length) head.content_length(*length);
-    else head.chunked(true);
+    if (length)
+      head.content_length(*length);
+    else
+      head.chunked(true);
     // Danger: a large buffer of the kernel, written full, tells of room again only once a third of it is
     // free; to a slow reader that looks like a client that stopped.
     error_code ignored;
     socket_.set_option(asio::socket_base::send_buffer_size(kRelayBuffer), ignored);
     download_ = std::move(body);
     download_->onData = [weak = weak_from_this(), chunked = !length] {
-      if (const auto self = weak.lock()) self->pump(chunked);
+      if (const auto self = weak.lock())
+        self->pump(chunked);
     };
     std::ostringstream text;
     text << head.base();
@@ -88,7 +92,8 @@
   }
 
   void close() {
-    if (state_ == State::closed) return;
+    if (state_ == State::closed)
+      return;
     enter(State::closed);
     error_code ignored;
     socket_.close(ignored);
@@ -134,11 +139,16 @@
 
   // What has to happen by itself, looked for from time to time.
   void sweep(Clock::time_point now) {
-    if ((state_ == State::waiting || state_ == State::uploading) && !watching_ && hungUp()) return gone();
-    if (!overdue(now)) return;
-    if (state_ == State::idle || state_ == State::head) linger();  // no request that could be answered
-    else if (state_ == State::answering || state_ == State::lingering) close();
-    else refuse(http::status::request_timeout);
+    if ((state_ == State::waiting || state_ == State::uploading) && !watching_ && hungUp())
+      return gone();
+    if (!overdue(now))
+      return;
+    if (state_ == State::idle || state_ == State::head)
+      linger();  // no request that could be answered
+    else if (state_ == State::answering || state_ == State::lingering)
+      close();
+    else
+      refuse(http::status::request_timeout);
   }
 
  private:
@@ -148,45 +158,57 @@
   // The server's list of the sessions in this state that may be closed to make room, if there is one.
   SessionList* listOf(State state) {
     switch (state) {
-      case State::idle: return &server_->idle_;
+      case State::idle:
+        return &server_->idle_;
       case State::head:
-      case State::body: return &server_->unfinished_;
-      case State::lingering: return &server_->lingering_;
-      default: return nullptr;
+      case State::body:
+        return &server_->unfinished_;
+      case State::lingering:
+        return &server_->lingering_;
+      default:
+        return nullptr;
     }
   }
 
   void enter(State next) {
     state_ = next;
-    if (list_) list_->erase(inList_);
+    if (list_)
+      list_->erase(inList_);
     list_ = listOf(next);
-    if (list_) inList_ = list_->insert(list_->end(), this);
+    if (list_)
+      inList_ = list_->insert(list_->end(), this);
   }
 
   bool overdue(Clock::time_point now) const {
     switch (state_) {
       case State::idle:
-        if (!server_->acceptor_.is_open() && server_->last_) return !fresh(now);
+        if (!server_->acceptor_.is_open() && server_->last_)
+          return !fresh(now);
         return now - since_ > (first_ ? server_->limits_.first : server_->limits_.idle);
       case State::head:
-        if (first_) return now - connected_ > server_->limits_.first;
+        if (first_)
+          return now - connected_ > server_->limits_.first;
         return now - since_ > server_->limits_.slow;
-      case State::body: return tooSlow(now);
-      case State::uploading: return watching_ && tooSlow(now);
+      case State::body:
+        return tooSlow(now);
+      case State::uploading:
+        return watching_ && tooSlow(now);
       case State::answering:  // a client that doesn't read
         return (!download_ || writing_) && now - since_ > server_->limits_.slow;
       case State::lingering:
         if (first_ && now - connected_ > server_->limits_.first + kBodyLate)
           return now - since_ > kLingerFirst;
         return now - since_ > kLinger;
-      default: return false;
+      default:
+        return false;
     }
   }
 
   // The body does not come as fast as the slowest client sends. Danger: a first request that is not proper
   // has to be over in 3 s from the connect; a proper one may take most of that for its head.
   bool tooSlow(Clock::time_point now) const {
-    if (first_ && now - connected_ <= server_->limits_.first) return false;
+    if (first_ && now - connected_ <= server_->limits_.first)
+      return false;
     const auto left = server_->limits_.first + kBodyLate - (bodyBegan_ - connected_);
     const auto grace = first_ ? std::clamp<Clock::duration>(left, kBodyLate, kBodyGrace)
                               : Clock::duration(server_->limits_.slow) / 2;
@@ -195,7 +217,8 @@
   }
 
   void beginAnswer(HttpResponse& response, Answered answered) {
-    if (state_ == State::uploading) keepAlive_ = false;  // the rest of its body is not wanted
+    if (state_ == State::uploading)
+      keepAlive_ = false;  // the rest of its body is not wanted
     dropBodies();
     enter(State::answering);
     exchange_ = 0;
@@ -209,13 +232,17 @@
   // Danger: the last answers may have been asked for since this one began.
   void answered(error_code ec) {
     over(!ec);
-    if (ec) return close();
-    if (keepAlive_ && !server_->last_) next();
-    else linger();
+    if (ec)
+      return close();
+    if (keepAlive_ && !server_->last_)
+      next();
+    else
+      linger();
   }
 
   void over(bool whole) {  // the answer
-    if (const Answered answered = std::exchange(answered_, nullptr)) answered(whole);
+    if (const Answered answered = std::exchange(answered_, nullptr))
+      answered(whole);
   }
 
   void dropBodies() {
@@ -223,7 +250,8 @@
       upload->onRoom = nullptr;
       upload->fail();
     }
-    if (const auto download = std::exchange(download_, nullptr)) download->abandon();
+    if (const auto download = std::exchange(download_, nullptr))
+      download->abandon();
   }
 
   // --- An answer in pieces ---
@@ -235,21 +263,28 @@
     asio::async_write(socket_, asio::buffer(piece_),
                       [self = shared_from_this(), chunked](error_code ec, std::size_t) {
                         self->writing_ = false;
-                        if (self->state_ != State::answering) return;
-                        if (ec) return self->close();
+                        if (self->state_ != State::answering)
+                          return;
+                        if (ec)
+                          return self->close();
                         self->pump(chunked);
                       });
   }
 
   void pump(bool chunked) {
-    if (state_ != State::answering || writing_ || !download_) return;
+    if (state_ != State::answering || writing_ || !download_)
+      return;
     // Danger: what breaks off must not look whole; the rest of the told length, or the last chunk, is
     // missing.
     const std::string piece = download_->take();
-    if (!piece.empty()) return write(chunked ? chunkOf(piece) : piece, chunked);
-    if (download_->failed()) return close();
-    if (!download_->finished()) return;
-    if (chunked && !std::exchange(lastChunk_, true)) return write(chunkOf({}), chunked);
+    if (!piece.empty())
+      return write(chunked ? chunkOf(piece) : piece, chunked);
+    if (download_->failed())
+      return close();
+    if (!download_->finished())
+      return;
+    if (chunked && !std::exchange(lastChunk_, true))
+      return write(chunkOf({}), chunked);
     lastChunk_ = false;
     download_->onData = nullptr;
     download_.reset();
@@ -271,46 +306,60 @@
 
   void next() {
     renew();
-    if (buffer_.size() > 0) consume();
-    else watch();
+    if (buffer_.size() > 0)
+      consume();
+    else
+      watch();
   }
 
   // One wait is always out but while no more may be taken in. It reads nothing by itself: what is there to
   // be read is looked at in the state of that moment.
   void watch() {
-    if (std::exchange(watching_, true)) return;
+    if (std::exchange(watching_, true))
+      return;
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code) {
       self->watching_ = false;
-      if (self->state_ != State::closed) self->readable();
+      if (self->state_ != State::closed)
+        self->readable();
     });
   }
 
   void readable() {
-    if (state_ == State::lingering) return readOut();
+    if (state_ == State::lingering)
+      return readOut();
     const bool body = state_ == State::body || state_ == State::uploading;
     error_code ec;
     const std::size_t n = socket_.read_some(buffer_.prepare(body ? kBodyChunk : kChunk), ec);
-    if (ec == asio::error::would_block || ec == asio::error::try_again) return watch();
-    if (ec) return clientEnded();
+    if (ec == asio::error::would_block || ec == asio::error::try_again)
+      return watch();
+    if (ec)
+      return clientEnded();
     buffer_.commit(n);
     lastCame_ = Clock::now();
-    if (list_) list_->splice(list_->end(), *list_, inList_);
-    if (state_ == State::waiting || state_ == State::answering) return watchAhead();
+    if (list_)
+      list_->splice(list_->end(), *list_, inList_);
+    if (state_ == State::waiting || state_ == State::answering)
+      return watchAhead();
     consume();
   }
 
   // What is sent before it is asked for is kept for the next turn.
   void watchAhead() {
-    if (buffer_.size() < kChunk) watch();
+    if (buffer_.size() < kChunk)
+      watch();
   }
 
   // By an end of its side or a reset; from here the two and a half-close look alike.
   void clientEnded() {
     switch (state_) {
       case State::uploading:
-      case State::waiting: return gone();
-      case State::answering: keepAlive_ = false; return;  // the answer may still arrive
-      default: return close();
+      case State::waiting:
+        return gone();
+      case State::answering:
+        keepAlive_ = false;
+        return;  // the answer may still arrive
+      default:
+        return close();
     }
   }
 
@@ -319,7 +368,8 @@
     error_code ec;
     readOut_ += socket_.read_some(asio::buffer(thrown), ec);
     const bool none = ec == asio::error::would_block || ec == asio::error::try_again;
-    if ((ec && !none) || readOut_ > kLingerBytes) return close();
+    if ((ec && !none) || readOut_ > kLingerBytes)
+      return close();
     watch();
   }
 
@@ -331,17 +381,23 @@
     while (buffer_.size() > 0 && !parser_->is_done()) {
       error_code ec;
       buffer_.consume(parser_->put(buffer_.data(), ec));
-      if (ec == http::error::need_more) break;
-      if (ec) return reject(ec);
+      if (ec == http::error::need_more)
+        break;
+      if (ec)
+        return reject(ec);
     }
     // Danger: the parser bounds head and body, not the head of a chunk; the buffer throws when it is full,
     // and that would end the process.
     if (!parser_->is_done() && buffer_.size() + kBodyChunk > buffer_.max_size())
       return reject(http::error::body_limit);
-    if (state_ == State::head && parser_->is_header_done() && !headCame()) return;
-    if (state_ != State::head && !takeBody()) return;
-    if (!parser_->is_done()) return watch();
-    if (state_ == State::uploading) return uploadCame();
+    if (state_ == State::head && parser_->is_header_done() && !headCame())
+      return;
+    if (state_ != State::head && !takeBody())
+      return;
+    if (!parser_->is_done())
+      return watch();
+    if (state_ == State::uploading)
+      return uploadCame();
     ClientRequest request = handOver(State::waiting);
     request.message.body() = std::move(parser_->get().body());
     held_.resize(request.message.body().size());
@@ -356,23 +412,28 @@
     bodyBegan_ = Clock::now();
     const auto& head = parser_->get();
     const auto length = parser_->content_length();
-    if (length && *length > kMostBody) return refuse(http::status::payload_too_large);
-    if (parser_->is_done()) return true;
+    if (length && *length > kMostBody)
+      return refuse(http::status::payload_too_large);
+    if (parser_->is_done())
+      return true;
     if (head.count(http::field::expect)) {
       if (!boost::beast::iequals(head[http::field::expect], "100-continue"))
         return refuse(http::status::expectation_failed);
       error_code ec;  // so short a text finds room: nothing was written before it
       static constexpr char kContinue[] = "HTTP/1.1 100 Continue\r\n\r\n";
-      if (head.version() == 11) socket_.write_some(asio::buffer(kContinue, sizeof kContinue - 1), ec);
+      if (head.version() == 11)
+        socket_.write_some(asio::buffer(kContinue, sizeof kContinue - 1), ec);
       if (ec) {
         close();
         return false;
       }
     }
     const std::size_t held = length && *length <= kHeldBody ? *length : kHeldBody;
-    if (!server_->budget_->room(held)) return refuse(http::status::service_unavailable);
+    if (!server_->budget_->room(held))
+      return refuse(http::status::service_unavailable);
     held_ = BodyShare(server_->budget_, held);
-    if (length && *length > kHeldBody) beginUpload();
+    if (length && *length > kHeldBody)
+      beginUpload();
     return state_ == State::body || state_ == State::uploading;
   }
 
@@ -381,8 +442,10 @@
     std::string& body = parser_->get().body();
     const auto come = bodyBytes_ + (upload_ ? body.size() : body.size() - std::min(bodyBytes_, body.size()));
     bodyBytes_ = come;
-    if (state_ == State::body && body.size() > kHeldBody) beginUpload();
-    if (state_ != State::uploading) return state_ == State::body;
+    if (state_ == State::body && body.size() > kHeldBody)
+      beginUpload();
+    if (state_ != State::uploading)
+      return state_ == State::body;
     if (bodyBytes_ > kMostBody) {
       reject(http::error::body_limit);
       return false;
@@ -392,8 +455,10 @@
     feeding_ = true;
     upload->append(std::exchange(body, {}));
     feeding_ = false;
-    if (state_ != State::uploading || parser_->is_done()) return state_ == State::uploading;
-    if (!upload->full()) return true;
+    if (state_ != State::uploading || parser_->is_done())
+      return state_ == State::uploading;
+    if (!upload->full())
+      return true;
     paused_ = Clock::now();
     return false;  // onRoom watches on
   }
@@ -403,15 +468,18 @@
     upload_ = std::make_shared<BodyStream>(server_->budget_);
     upload_->onRoom = [weak = weak_from_this()] {
       const auto self = weak.lock();
-      if (!self || self->watching_ || self->feeding_ || self->state_ != State::uploading) return;
-      if (self->upload_->abandoned() || self->upload_->full()) return;
+      if (!self || self->watching_ || self->feeding_ || self->state_ != State::uploading)
+        return;
+      if (self->upload_->abandoned() || self->upload_->full())
+        return;
       self->bodyBegan_ += Clock::now() - std::exchange(self->paused_, Clock::now());
       self->watch();
     };
     const auto keep = shared_from_this();
     ClientRequest request = handOver(State::uploading);
     request.upload = upload_;
-    if (const auto length = parser_->content_length()) request.length = *length;
+    if (const auto length = parser_->content_length())
+      request.length = *length;
     server_->callbacks_.request(std::move(request));
   }
 
@@ -449,8 +517,10 @@
     const std::string target = headWhole ? parser_->get().target().to_string() : "";
     buffer_.consume(buffer_.size());
     answer(std::move(response), nullptr);
-    if (known) server_->callbacks_.gone(exchange);
-    else server_->callbacks_.refused(target, status == http::status::service_unavailable);
+    if (known)
+      server_->callbacks_.gone(exchange);
+    else
+      server_->callbacks_.refused(target, status == http::status::service_unavailable);
     watch();
     return false;
   }
@@ -501,7 +571,8 @@
   acceptor_.open(at.protocol());
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
   using ReusePort = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
-  if (shared) acceptor_.set_option(ReusePort(true));
+  if (shared)
+    acceptor_.set_option(ReusePort(true));
   acceptor_.bind(at);
   acceptor_.listen();
   acceptor_.non_blocking(true);
@@ -519,19 +590,22 @@
   callbacks_.gone = callbacks_.uploaded = [](ExchangeId) {};
   waiting_.clear();
   const std::vector<std::shared_ptr<Session>> all(sessions_.begin(), sessions_.end());
-  for (const auto& session : all) session->close();
+  for (const auto& session : all)
+    session->close();
 }
 
 std::shared_ptr<ClientServer::Session> ClientServer::takeWaiter(ExchangeId exchange) {
   const auto it = waiting_.find(exchange);
-  if (it == waiting_.end()) return nullptr;
+  if (it == waiting_.end())
+    return nullptr;
   auto session = std::move(it->second);
   waiting_.erase(it);
   return session;
 }
 
 void ClientServer::answer(ExchangeId exchange, HttpResponse response, Answered answered) {
-  if (const auto session = takeWaiter(exchange)) session->answer(std::move(response), std::move(answered));
+  if (const auto session = takeWaiter(exchange))
+    session->answer(std::move(response), std::move(answered));
 }
 
 void ClientServer::answer(ExchangeId exchange, HttpResponse head, std::shared_ptr<BodyStream> body,
@@ -547,17 +621,21 @@
 
 void ClientServer::leave(ExchangeId exchange) {
   const auto it = waiting_.find(exchange);
-  if (it != waiting_.end()) std::shared_ptr<Session>(it->second)->gone();
+  if (it != waiting_.end())
+    std::shared_ptr<Session>(it->second)->gone();
 }
 
 void ClientServer::accept() {
   acceptor_.async_wait(tcp::acceptor::wait_read, [this](error_code ec) {
-    if (ec || !acceptor_.is_open()) return;
-    if (takeWaiting() != Accepted::noRoom) return accept();
+    if (ec || !acceptor_.is_open())
+      return;
+    if (takeWaiting() != Accepted::noRoom)
+      return accept();
     // Danger: with no descriptor left the listener stays readable, and the loop would spin.
     again_.expires_after(kAcceptAgain);
     again_.async_wait([this](error_code waitError) {
-      if (!waitError && acceptor_.is_open()) accept();
+      if (!waitError && acceptor_.is_open())
+        accept();
     });
   });
 }
@@ -566,17 +644,23 @@
 // there: an idle client is not sent away for nobody. So there may be one over it.
 ClientServer::Accepted ClientServer::takeWaiting() {
   for (std::size_t taken = 0; taken < kAcceptBatch;) {
-    if (admitted() > limits_.connections && !makeRoom()) return Accepted::noRoom;
+    if (admitted() > limits_.connections && !makeRoom())
+      return Accepted::noRoom;
     error_code ec;
     tcp::socket socket(io_);
     acceptor_.accept(socket, ec);
-    if (ec == asio::error::would_block || ec == asio::error::try_again) return Accepted::all;
-    if (ec == asio::error::connection_aborted || ec == asio::error::interrupted) continue;
-    if (ec) return makeRoom() ? Accepted::some : Accepted::noRoom;
+    if (ec == asio::error::would_block || ec == asio::error::try_again)
+      return Accepted::all;
+    if (ec == asio::error::connection_aborted || ec == asio::error::interrupted)
+      continue;
+    if (ec)
+      return makeRoom() ? Accepted::some : Accepted::noRoom;
     ++taken;
-    if (admitted() >= limits_.connections) makeRoom();
+    if (admitted() >= limits_.connections)
+      makeRoom();
     admit(std::move(socket));
-    if (admitted() > limits_.connections) return Accepted::noRoom;
+    if (admitted() > limits_.connections)
+      return Accepted::noRoom;
   }
   return Accepted::some;
 }
@@ -596,23 +680,28 @@
 // and only the first of several has to go at once.
 bool ClientServer::makeRoom() {
   std::shared_ptr<Session> leaving = oldestIdle();
-  if (!leaving) leaving = oldestUnfinished();
+  if (!leaving)
+    leaving = oldestUnfinished();
   if (leaving) {
     leaving_.push_back(leaving);
     leaving->linger();
-    if (leaving_.size() > kLeaving) std::shared_ptr<Session>(leaving_.front())->close();
+    if (leaving_.size() > kLeaving)
+      std::shared_ptr<Session>(leaving_.front())->close();
     return true;
   }
   const std::shared_ptr<Session> lingering = oldestLingering();
-  if (lingering) lingering->close();
+  if (lingering)
+    lingering->close();
   return lingering != nullptr;
 }
 
 std::shared_ptr<ClientServer::Session> ClientServer::oldestIdle() const {
   std::size_t looked = 0;
   for (Session* session : idle_) {
-    if (session->idle()) return session->shared_from_this();
-    if (++looked == kRoomCandidates) break;
+    if (session->idle())
+      return session->shared_from_this();
+    if (++looked == kRoomCandidates)
+      break;
   }
   return nullptr;
 }
@@ -621,9 +710,12 @@
   const auto quiet = Clock::now() - kSilent;
   std::size_t looked = 0;
   for (Session* session : unfinished_) {
-    if (session->lastCame() >= quiet) break;
-    if (session->unfinished()) return session->shared_from_this();
-    if (++looked == kRoomCandidates) break;
+    if (session->lastCame() >= quiet)
+      break;
+    if (session->unfinished())
+      return session->shared_from_this();
+    if (++looked == kRoomCandidates)
+      break;
   }
   return nullptr;
 }
@@ -631,7 +723,8 @@
 std::shared_ptr<ClientServer::Session> ClientServer::oldestLingering() const {
   for (Session* session : lingering_) {
     std::shared_ptr<Session> candidate = session->shared_from_this();
-    if (!leaves(candidate)) return candidate;
+    if (!leaves(candidate))
+      return candidate;
   }
   return nullptr;
 }
@@ -645,11 +738,14 @@
   std::erase(leaving_, session);
   if (sessions_.empty() && !acceptor_.is_open() && onEmpty)
     asio::post(io_, [this] {
-      if (onEmpty) onEmpty();
+      if (onEmpty)
+        onEmpty();
     });
 }
 
-void ClientServer::lastAnswers() { last_ = true; }
+void ClientServer::lastAnswers() {
+  last_ = true;
+}
 
 void ClientServer::stopAccepting() {
   if (acceptor_.is_open()) {
@@ -660,7 +756,8 @@
     ::setsockopt(acceptor_.native_handle(), SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof program);
     while (takeWaiting() == Accepted::some) {
     }
-    if (onLastAccept) onLastAccept();
+    if (onLastAccept)
+      onLastAccept();
   }
   error_code ignored;
   acceptor_.close(ignored);
@@ -668,17 +765,21 @@
   const auto now = Clock::now();
   const std::vector<std::shared_ptr<Session>> all(sessions_.begin(), sessions_.end());
   for (const auto& session : all)
-    if (session->idle() && !session->fresh(now)) session->linger();
-  if (sessions_.empty() && onEmpty) onEmpty();
+    if (session->idle() && !session->fresh(now))
+      session->linger();
+  if (sessions_.empty() && onEmpty)
+    onEmpty();
 }
 
 void ClientServer::sweep() {
   const auto now = Clock::now();
   const std::vector<std::shared_ptr<Session>> all(sessions_.begin(), sessions_.end());
-  for (const auto& session : all) session->sweep(now);
+  for (const auto& session : all)
+    session->sweep(now);
   sweeper_.expires_after(kSweep);
   sweeper_.async_wait([this](error_code ec) {
-    if (!ec) sweep();
+    if (!ec)
+      sweep();
   });
 }
 
--- a/src/gateway/discovery.cpp
+++ b/src/gateway/discovery.cpp
@@ -47,12 +47,16 @@
     // Danger: discovery that falls silent would hold the watch for good.
     timer.expires_after(limit);
     timer.async_wait([self = shared_from_this(), mine = ++turn](error_code ec) {
-      if (!ec && self->owner && mine == self->turn) self->finish(std::nullopt);
+      if (!ec && self->owner && mine == self->turn)
+        self->finish(std::nullopt);
     });
-    if (socket.is_open()) return write();
+    if (socket.is_open())
+      return write();
     socket.async_connect(owner->server_, [self = shared_from_this()](error_code ec) {
-      if (!self->owner) return;
-      if (ec) return self->finish(std::nullopt);
+      if (!self->owner)
+        return;
+      if (ec)
+        return self->finish(std::nullopt);
       error_code ignored;
       self->socket.set_option(tcp::no_delay(true), ignored);
       self->write();
@@ -61,20 +65,24 @@
 
   void write() {
     http::async_write(socket, request, [self = shared_from_this()](error_code ec, std::size_t) {
-      if (!self->owner) return;
-      if (ec) return self->finish(std::nullopt);
+      if (!self->owner)
+        return;
+      if (ec)
+        return self->finish(std::nullopt);
       http::async_read(self->socket, self->buffer, *self->parser,
                        [self](error_code readError, std::size_t) { self->answered(readError); });
     });
   }
 
   void answered(error_code ec) {
-    if (!owner) return;
+    if (!owner)
+      return;
     std::optional<HostList> list;
     if (!ec && parser->get().result() == http::status::ok) {
       const auto json = nlohmann::json::parse(parser->get().body(), nullptr, false);
       try {
-        if (!json.is_discarded()) list = parseHostList(json);
+        if (!json.is_discarded())
+          list = parseHostList(json);
       } catch (const std::invalid_argument&) {  // garbage counts as a failed call
       }
     }
@@ -85,7 +93,8 @@
     ++turn;
     timer.cancel();
     error_code ignored;
-    if (!list || !parser->get().keep_alive()) socket.close(ignored);
+    if (!list || !parser->get().keep_alive())
+      socket.close(ignored);
     owner->ended(kind, list);
   }
 };
@@ -93,10 +102,13 @@
 Discovery::Discovery(asio::io_context& io, tcp::endpoint server, Callbacks callbacks, Waits waits)
     : io_(io), server_(std::move(server)), callbacks_(std::move(callbacks)), waits_(waits) {}
 
-Discovery::~Discovery() { stop(); }
+Discovery::~Discovery() {
+  stop();
+}
 
 void Discovery::stop() {
-  if (call_) call_->giveUp();
+  if (call_)
+    call_->giveUp();
   call_.reset();
 }
 
@@ -116,7 +128,8 @@
 // The first call of a watch does not wait, so that the module hears at once that it is on; the next ones,
 // each sent as soon as the last is answered, do.
 void Discovery::call(Kind kind) {
-  if (!call_ || !call_->socket.is_open()) call_ = std::make_shared<Call>(*this);
+  if (!call_ || !call_->socket.is_open())
+    call_ = std::make_shared<Call>(*this);
   const std::chrono::milliseconds wait = kind == Kind::next ? waits_.watch : std::chrono::milliseconds(1);
   std::string target = kPath;
   if (kind != Kind::list)
@@ -127,7 +140,8 @@
 }
 
 void Discovery::ended(Kind kind, const std::optional<HostList>& list) {
-  if (!list) return fail();
+  if (!list)
+    return fail();
   // Danger: discovery that was set up anew counts from the start; changes to a list that we don't hold would
   // leave hosts in ours for good.
   const bool whole = list->full;
--- a/src/gateway/fleet_link.cpp
+++ b/src/gateway/fleet_link.cpp
@@ -32,8 +32,12 @@
 constexpr unsigned kMostASecond = 4000;
 constexpr std::size_t kBuffer = 2048;  // above what is allowed, so that what is too long shows
 
-Address addressOf(const udp::endpoint& e) { return {e.address().to_v4().to_uint(), e.port()}; }
-udp::endpoint endpointOf(const Address& a) { return {asio::ip::address_v4(a.ip), a.port}; }
+Address addressOf(const udp::endpoint& e) {
+  return {e.address().to_v4().to_uint(), e.port()};
+}
+udp::endpoint endpointOf(const Address& a) {
+  return {asio::ip::address_v4(a.ip), a.port};
+}
 std::string hex(std::uint64_t value) {
   char text[17];
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(value));
@@ -43,7 +47,8 @@
 membership::MembershipSettings settingsOf(const MembershipConfig& m) {
   membership::MembershipSettings s;
   s.fleet = m.fleet;
-  for (const udp::endpoint& seed : m.seeds) s.seeds.push_back(addressOf(seed));
+  for (const udp::endpoint& seed : m.seeds)
+    s.seeds.push_back(addressOf(seed));
   s.period = m.period;
   return s;
 }
@@ -52,7 +57,8 @@
 
 std::uint64_t digestOf(const Config& config) {
   json settings = config.source->value("settings", json::object());
-  for (const char* own : {"myNumber", "zone"}) settings.erase(own);
+  for (const char* own : {"myNumber", "zone"})
+    settings.erase(own);
   const std::string text = settings.dump();
   return XXH3_64bits(text.data(), text.size());
 }
@@ -67,8 +73,10 @@
   void open() {
     error_code ec;
     socket_.open(udp::v4(), ec);
-    if (!ec) socket_.bind(config_.listen, ec);
-    if (!ec) socket_.non_blocking(true, ec);
+    if (!ec)
+      socket_.bind(config_.listen, ec);
+    if (!ec)
+      socket_.non_blocking(true, ec);
     if (ec) {
       error_code ignored;
       socket_.close(ignored);
@@ -78,7 +86,8 @@
       waiting_ = true;
       timer_.expires_after(kBindAgain);
       return timer_.async_wait([self = shared_from_this()](error_code waitError) {
-        if (!waitError && !self->closed_) self->open();
+        if (!waitError && !self->closed_)
+          self->open();
       });
     }
     waiting_ = false;
@@ -103,7 +112,8 @@
       place_.startedMs = std::chrono::duration_cast<std::chrono::milliseconds>(
                              std::chrono::system_clock::now().time_since_epoch())
                              .count();
-    if (!members_) return;
+    if (!members_)
+      return;
     Record self = place_;
     self.address = members_->self().address;
     members_->onSettings(now(), settingsOf(config_), self);
@@ -116,9 +126,11 @@
   }
 
   void leave(bool successor) {
-    if (closed_) return;
+    if (closed_)
+      return;
     closed_ = true;
-    if (members_ && !successor) members_->leave(now()), flush();
+    if (members_ && !successor)
+      members_->leave(now()), flush();
     error_code ignored;
     timer_.cancel();
     socket_.close(ignored);
@@ -137,22 +149,28 @@
 
   void read() {
     socket_.async_wait(udp::socket::wait_read, [self = shared_from_this()](error_code ec) {
-      if (ec || self->closed_) return;
+      if (ec || self->closed_)
+        return;
       self->readSome();
       self->read();
     });
   }
   void readSome() {
-    if (const auto second = now().count() / 1'000'000'000; second != second_) second_ = second, reads_ = 0;
+    if (const auto second = now().count() / 1'000'000'000; second != second_)
+      second_ = second, reads_ = 0;
     for (int i = 0; i < kReadAtOnce; ++i) {
       error_code ec;
       udp::endpoint from;
       const std::size_t n = socket_.receive_from(asio::buffer(buffer_), from, 0, ec);
       // Danger: a peer whose port is closed shows as an error here; the next datagram may well be there.
-      if (ec == asio::error::would_block || ec == asio::error::try_again) break;
-      if (ec) continue;
-      if (++reads_ > kMostASecond) ++flooded_;
-      else members_->onDatagram(now(), addressOf(from), {buffer_.data(), n});
+      if (ec == asio::error::would_block || ec == asio::error::try_again)
+        break;
+      if (ec)
+        continue;
+      if (++reads_ > kMostASecond)
+        ++flooded_;
+      else
+        members_->onDatagram(now(), addressOf(from), {buffer_.data(), n});
     }
     settle();
   }
@@ -166,11 +184,14 @@
   // Sends, tells and sets the timer by what membership now wants.
   void settle() {
     flush();
-    for (const auto& e : std::exchange(members_->events(), {})) tell(e);
-    if (const std::uint32_t size = holders(); size != size_) size_ = size, sized_();
+    for (const auto& e : std::exchange(members_->events(), {}))
+      tell(e);
+    if (const std::uint32_t size = holders(); size != size_)
+      size_ = size, sized_();
     timer_.expires_at(Clock::time_point(members_->wakeAt()));
     timer_.async_wait([self = shared_from_this()](error_code ec) {
-      if (ec || self->closed_) return;
+      if (ec || self->closed_)
+        return;
       self->members_->onWake(now());
       self->settle();
     });
@@ -228,7 +249,8 @@
 
 std::string FleetLink::Link::text() const {
   json all{{"fleet", config_.fleet}, {"name", place_.name}, {"state", "waiting"}};
-  if (!members_) return all.dump(2, ' ', false, json::error_handler_t::replace) + "\n";
+  if (!members_)
+    return all.dump(2, ' ', false, json::error_handler_t::replace) + "\n";
   const Membership& m = *members_;
   all["state"] = m.yielded() ? "yielded" : nameOf(m.self().state);
   all["view"] = hex(m.digest());
@@ -245,8 +267,10 @@
       one["heard_s"] = std::chrono::duration<double>(now() - member.heard).count();
       one["view"] = hex(member.digest);
     }
-    if (!member.record.by.empty()) one["by"] = member.record.by;
-    if (!member.differs.empty()) one["differs_about"] = member.differs;
+    if (!member.record.by.empty())
+      one["by"] = member.record.by;
+    if (!member.differs.empty())
+      one["differs_about"] = member.differs;
     otherSettings += present(member.record.state) && member.record.settings != m.self().settings;
     all["members"].push_back(std::move(one));
   }
@@ -264,7 +288,8 @@
 
 std::vector<prometheus::MetricFamily> FleetLink::Link::metrics() const {
   std::vector<prometheus::MetricFamily> all;
-  if (!members_) return all;
+  if (!members_)
+    return all;
   const auto family = [&all](const char* name, const char* help, prometheus::MetricType type) {
     prometheus::MetricFamily& f = all.emplace_back();
     f.name = std::string("hollyrun_fleet_") + name;
@@ -278,11 +303,14 @@
   };
   const Membership& m = *members_;
   std::map<std::string, double> states{{nameOf(m.self().state), 1}};
-  for (const auto& [name, member] : m.others()) ++states[nameOf(member.record.state)];
+  for (const auto& [name, member] : m.others())
+    ++states[nameOf(member.record.state)];
   family("members", "Members in the view, by state, this one included.", prometheus::MetricType::Gauge);
-  for (const auto& [state, n] : states) add(n, {{"state", state}});
+  for (const auto& [state, n] : states)
+    add(n, {{"state", state}});
   family("present", "Members present, by zone, this one included.", prometheus::MetricType::Gauge);
-  for (const auto& [zone, n] : m.presentByZone()) add(static_cast<double>(n), {{"zone", zone}});
+  for (const auto& [zone, n] : m.presentByZone())
+    add(static_cast<double>(n), {{"zone", zone}});
   const auto gauge = [&](const char* name, const char* help, double value) {
     family(name, help, prometheus::MetricType::Gauge);
     add(value, {});
@@ -310,13 +338,29 @@
     : link_(std::make_shared<Link>(io, config, log, std::move(sized))) {
   link_->open();
 }
-FleetLink::~FleetLink() { link_->leave(true); }
-bool FleetLink::serves(const Config& config) const { return link_->serves(config); }
-void FleetLink::reload(const Config& config) { link_->set(config); }
-void FleetLink::leave(bool successor) { link_->leave(successor); }
-std::uint32_t FleetLink::holders() const { return link_->holders(); }
-udp::endpoint FleetLink::listening() const { return link_->listening(); }
-std::string FleetLink::text() const { return link_->text(); }
-std::vector<prometheus::MetricFamily> FleetLink::metrics() const { return link_->metrics(); }
+FleetLink::~FleetLink() {
+  link_->leave(true);
+}
+bool FleetLink::serves(const Config& config) const {
+  return link_->serves(config);
+}
+void FleetLink::reload(const Config& config) {
+  link_->set(config);
+}
+void FleetLink::leave(bool successor) {
+  link_->leave(successor);
+}
+std::uint32_t FleetLink::holders() const {
+  return link_->holders();
+}
+udp::endpoint FleetLink::listening() const {
+  return link_->listening();
+}
+std::string FleetLink::text() const {
+  return link_->text();
+}
+std::vector<prometheus::MetricFamily> FleetLink::metrics() const {
+  return link_->metrics();
+}
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -50,7 +50,8 @@
 // The first part of the path: "checkout" of "/checkout/7?x=1".
 std::string_view firstPart(string_view target) {
   std::string_view path(target.data(), target.size());
-  if (path.empty() || path.front() != '/') return {};
+  if (path.empty() || path.front() != '/')
+    return {};
   path.remove_prefix(1);
   return path.substr(0, path.find_first_of("/?"));
 }
@@ -81,7 +82,8 @@
   std::vector<std::string> named;
   for (const auto& token : http::token_list(message[http::field::connection]))
     named.push_back(token.to_string());
-  for (const std::string& name : named) message.erase(name);
+  for (const std::string& name : named)
+    message.erase(name);
   for (const http::field f :
        {http::field::connection, http::field::keep_alive, http::field::proxy_connection, http::field::te,
         http::field::trailer, http::field::transfer_encoding, http::field::upgrade, http::field::expect})
@@ -91,9 +93,11 @@
 // A target may name the server, too (RFC 9112, 3.2.2); that goes before Host then. False if it names none.
 bool toOriginForm(HttpRequest& message) {
   const std::string target = message.target().to_string();
-  if (!boost::beast::iequals(target.substr(0, 7), "http://")) return true;
+  if (!boost::beast::iequals(target.substr(0, 7), "http://"))
+    return true;
   const std::size_t path = std::min(target.find_first_of("/?", 7), target.size());
-  if (path == 7 || message.count(http::field::host) != 1) return false;
+  if (path == 7 || message.count(http::field::host) != 1)
+    return false;
   message.set(http::field::host, target.substr(7, path - 7));
   message.target(path < target.size() && target[path] == '/' ? target.substr(path)
                                                              : "/" + target.substr(path));
@@ -103,7 +107,8 @@
 // `ok` if the message has one clear end (RFC 9112, 6), else the status to answer. Danger: the parser takes a
 // body in a coding that it doesn't know, or with no length, for the next request.
 http::status judgeFraming(const HttpRequest& message, bool hasBody) {
-  if (message.version() != 11) return http::status::http_version_not_supported;
+  if (message.version() != 11)
+    return http::status::http_version_not_supported;
   const bool coded = message.count(http::field::transfer_encoding) > 0;
   if (coded && !boost::beast::iequals(message[http::field::transfer_encoding], "chunked"))
     return http::status::not_implemented;
@@ -168,7 +173,8 @@
                 }},
                budget_) {
   take(config.module);
-  if (config.known) discovery_.knows(config.known->version);
+  if (config.known)
+    discovery_.knows(config.known->version);
   // The module asks discovery once it was given a list, an empty one too.
   told(config.known ? *config.known : HostList{0, true, {}}, ListKind::restored);
   if (config.management) {
@@ -181,7 +187,8 @@
                   gauges(), fleet_ ? fleet_->metrics() : std::vector<prometheus::MetricFamily>());
             },
             [this] { return fleet_ ? fleet_->text() : std::string(); }});
-    if (listen_.port() != 0) try {  // a port that the kernel picks is shared with nobody
+    if (listen_.port() != 0)
+      try {  // a port that the kernel picks is shared with nobody
         twin_.emplace(io, config.tmp, listen_, [this] { share(); });
       } catch (const std::runtime_error& bad) {  // it serves alone
         log_.write(LogLevel::warning, "upgrade", bad.what());
@@ -192,7 +199,8 @@
     share();
     openTimer_.expires_after(kOpenLast);  // the first look at discovery opens it sooner
     openTimer_.async_wait([this](error_code ec) {
-      if (!ec) open();
+      if (!ec)
+        open();
     });
   } else {
     open();
@@ -204,11 +212,14 @@
   discovery_.stop();
 }
 
-Time Gateway::now() const { return kClockStart + (Clock::now() - start_); }
+Time Gateway::now() const {
+  return kClockStart + (Clock::now() - start_);
+}
 
 // By one offset for good: the module takes a host whose start moved for a new process.
 Time Gateway::moduleTime(std::int64_t unixMs) const {
-  if (unixMs <= 0) return Time{};
+  if (unixMs <= 0)
+    return Time{};
   const Time at = kClockStart + (std::chrono::milliseconds(unixMs) - unixStart_.time_since_epoch());
   return std::max(at, Time{});
 }
@@ -235,19 +246,24 @@
   balancer_.onSettings(now(), config.module);
   statistics_.reconfigured(true);
   join(config);
-  if (config.discovery != discovery_.server()) discovery_.moveTo(config.discovery);
+  if (config.discovery != discovery_.server())
+    discovery_.moveTo(config.discovery);
   drainActions();
 }
 
 // In the fleet as the configuration wants it. A place that is another now is left and taken anew.
 void Gateway::join(const Config& config) {
   groupSize_ = config.module.groupSize;
-  if (shuttingDown_) return;
-  if (fleet_ && fleet_->serves(config)) fleet_->reload(config);
+  if (shuttingDown_)
+    return;
+  if (fleet_ && fleet_->serves(config))
+    fleet_->reload(config);
   else {
-    if (fleet_) fleet_->leave(false);
+    if (fleet_)
+      fleet_->leave(false);
     fleet_.reset();
-    if (config.membership) fleet_.emplace(io_, config, log_, [this] { divide(); });
+    if (config.membership)
+      fleet_.emplace(io_, config, log_, [this] { divide(); });
   }
   divide();
 }
@@ -256,7 +272,8 @@
 // configured, or the two sides of a cut would hold more than the whole.
 void Gateway::divide() {
   const std::uint32_t size = std::max(groupSize_, fleet_ ? fleet_->holders() : 1);
-  if (size == settings_.groupSize) return;
+  if (size == settings_.groupSize)
+    return;
   settings_.groupSize = size;
   balancer_.onSettings(now(), settings_);
   log_.write(LogLevel::info, "fleet", "limits of the fleet are divided anew", {{"by", std::to_string(size)}});
@@ -264,9 +281,11 @@
 }
 
 void Gateway::open() {
-  if (clients_.takesClients() || shuttingDown_) return;
+  if (clients_.takesClients() || shuttingDown_)
+    return;
   clients_.listen(listen_, management_.has_value());
-  if (twin_ && twin_->present()) Twin::steerToLatest(clients_.listener());
+  if (twin_ && twin_->present())
+    Twin::steerToLatest(clients_.listener());
 }
 
 // The descriptors that one process may hold are those of both.
@@ -301,14 +320,17 @@
   balancer_.onHosts(now(), kind, entries);
   for (const ListedHost& host : list.hosts) {
     const HostId id = balancer_.findHost(host.uid);
-    if (host.endpoint.port() != 0) hosts_.setEndpoint(id, host.endpoint);
-    if (host.state != HostState::serving) hosts_.drain(id);
+    if (host.endpoint.port() != 0)
+      hosts_.setEndpoint(id, host.endpoint);
+    if (host.state != HostState::serving)
+      hosts_.drain(id);
   }
   ready_ = ready_ || !list.hosts.empty() || kind != ListKind::restored;
   if (kind != ListKind::restored && !clients_.takesClients()) {
     openTimer_.expires_at(std::min(openTimer_.expiry(), start_ + kOpenFirst));
     openTimer_.async_wait([this](error_code ec) {
-      if (!ec) open();
+      if (!ec)
+        open();
     });
   }
   drainActions();
@@ -322,8 +344,10 @@
     return clients_.answer(request.exchange,
                            plain(takesClients() ? http::status::ok : http::status::service_unavailable),
                            nullptr);
-  if (status == http::status::ok && !toOriginForm(request.message)) status = http::status::bad_request;
-  if (status == http::status::ok) status = describe(message, asked);
+  if (status == http::status::ok && !toOriginForm(request.message))
+    status = http::status::bad_request;
+  if (status == http::status::ok)
+    status = describe(message, asked);
   if (status != http::status::ok) {
     // Danger: where such a message ends is doubtful; what follows it must not pass for a request.
     HttpResponse response = plain(status);
@@ -354,7 +378,8 @@
   exchange.length = request.length;
   exchange.taken = !exchange.upload;
   exchange.came = request.came;
-  if (exchange.taken) statistics_.taken();
+  if (exchange.taken)
+    statistics_.taken();
   exchange.message = std::move(request.message);
   byClient_.emplace(request.exchange, asked.id);
   balancer_.onRequest(now(), asked);
@@ -364,41 +389,53 @@
 // What the module is to know of a request; `ok`, or the status to answer.
 http::status Gateway::describe(const HttpRequest& message, balancer::Request& request) const {
   const auto found = classOf_.find(std::string(firstPart(message.target())));
-  if (found == classOf_.end()) return http::status::not_found;
+  if (found == classOf_.end())
+    return http::status::not_found;
   request.classIndex = found->second;
   const balancer::ClassSettings& c = settings_.classes[found->second];
   if (!message["X-Class"].empty() && message["X-Class"] != string_view(c.name))
     return http::status::bad_request;
-  if (message["X-Request-Id"].empty()) return http::status::bad_request;
+  if (message["X-Request-Id"].empty())
+    return http::status::bad_request;
   // Danger: of two the host may take the other.
   for (const char* name : {"X-Request-Id", "X-Class", "X-Deadline-Ms", "Idempotency-Key"})
-    if (message.count(name) > 1) return http::status::bad_request;
+    if (message.count(name) > 1)
+      return http::status::bad_request;
   // Danger: hosts take the method for the class's promise. A keyed request with no key is dropped by nobody
   // when it is repeated, so it may not pass for one.
   const bool get = message.method() == http::verb::get;
-  if (!get && message.method() != http::verb::post) return http::status::method_not_allowed;
-  if (get != (c.effect == Effect::retryable)) return http::status::method_not_allowed;
-  if (message.count(http::field::host) != 1) return http::status::bad_request;
-  if (c.effect == Effect::dedup && message["Idempotency-Key"].empty()) return http::status::bad_request;
+  if (!get && message.method() != http::verb::post)
+    return http::status::method_not_allowed;
+  if (get != (c.effect == Effect::retryable))
+    return http::status::method_not_allowed;
+  if (message.count(http::field::host) != 1)
+    return http::status::bad_request;
+  if (c.effect == Effect::dedup && message["Idempotency-Key"].empty())
+    return http::status::bad_request;
   request.left = c.giveUp;
   if (message.count("X-Deadline-Ms")) {
     std::uint32_t ms = 0;
-    if (!parse(message["X-Deadline-Ms"], ms)) return http::status::bad_request;
+    if (!parse(message["X-Deadline-Ms"], ms))
+      return http::status::bad_request;
     request.left = std::chrono::milliseconds(ms);
   }
   std::uint32_t costUs = 0;
-  if (parse(message["X-Cost-Hint"], costUs)) request.cost = std::chrono::microseconds(costUs);
+  if (parse(message["X-Cost-Hint"], costUs))
+    request.cost = std::chrono::microseconds(costUs);
   const auto tenant = tenantOf_.find(message["X-Tenant"].to_string());
-  if (tenant != tenantOf_.end()) request.tenantIndex = tenant->second;
+  if (tenant != tenantOf_.end())
+    request.tenantIndex = tenant->second;
   const std::string_view key = cookie(message[http::field::cookie], "obj");
   request.hasKey = !key.empty();
-  if (request.hasKey) request.key = keyOf(key);
+  if (request.hasKey)
+    request.key = keyOf(key);
   return http::status::ok;
 }
 
 void Gateway::clientGone(ExchangeId client) {
   const auto known = byClient_.find(client);
-  if (known == byClient_.end()) return;
+  if (known == byClient_.end())
+    return;
   const RequestId id = known->second;
   byClient_.erase(known);
   Exchange& exchange = exchanges_.at(id);
@@ -409,15 +446,18 @@
   balancer_.onClientGone(now(), id);
   drainActions();
   // Danger: where attempts may not be cancelled, one that waits for its connection would still be sent.
-  for (std::uint32_t attempt = 0; attempt < begun; ++attempt) hosts_.drop({id, attempt});
+  for (std::uint32_t attempt = 0; attempt < begun; ++attempt)
+    hosts_.drop({id, attempt});
 }
 
 // Danger: a client may leave in the turn of the event loop in which an attempt of its request begins, and its
 // socket tells so before the loop does.
 bool Gateway::stillWanted(const AttemptKey& attempt) {
   const auto it = exchanges_.find(attempt.request);
-  if (it == exchanges_.end() || it->second.ended) return false;
-  if (clients_.present(it->second.client)) return true;
+  if (it == exchanges_.end() || it->second.ended)
+    return false;
+  if (clients_.present(it->second.client))
+    return true;
   departed_.push_back(it->second.client);
   return false;
 }
@@ -425,7 +465,8 @@
 // The time of an upload runs from its last byte.
 void Gateway::uploaded(ExchangeId client) {
   const auto known = byClient_.find(client);
-  if (known == byClient_.end()) return;
+  if (known == byClient_.end())
+    return;
   Exchange& exchange = exchanges_.at(known->second);
   exchange.taken = true;
   exchange.came = Clock::now();
@@ -439,9 +480,11 @@
 void Gateway::settle(AttemptEnd end) {
   const auto it = exchanges_.find(end.key.request);
   if (it == exchanges_.end() || it->second.ended) {
-    if (end.body) end.body->abandon();
+    if (end.body)
+      end.body->abandon();
   }
-  if (it == exchanges_.end()) return;
+  if (it == exchanges_.end())
+    return;
   Exchange& exchange = it->second;
   --exchange.out;
   over_.push_back(end.key.request);
@@ -465,21 +508,27 @@
 // Carries out all actions in their order, with those that their own results raise. An action that ends an
 // attempt at once must not feed the module while its earlier actions are still to be done.
 void Gateway::drainActions() {
-  if (carrying_) return;
+  if (carrying_)
+    return;
   carrying_ = true;
   for (;;) {
-    for (const ExchangeId client : std::exchange(departed_, {})) clients_.leave(client);
+    for (const ExchangeId client : std::exchange(departed_, {}))
+      clients_.leave(client);
     const std::vector<Action> actions = std::exchange(balancer_.actions(), {});
-    for (const Action& action : actions) carryOut(action);
-    if (!departed_.empty()) continue;  // before the ends of the attempts that were not begun for them
+    for (const Action& action : actions)
+      carryOut(action);
+    if (!departed_.empty())
+      continue;  // before the ends of the attempts that were not begun for them
     // Entries are dropped only after all actions that name them are done.
     if (balancer_.actions().empty())
       for (const RequestId id : std::exchange(over_, {}))
         if (const auto it = exchanges_.find(id);
             it != exchanges_.end() && it->second.ended && it->second.out == 0)
           exchanges_.erase(it);
-    if (!balancer_.actions().empty()) continue;
-    if (ends_.empty()) break;
+    if (!balancer_.actions().empty())
+      continue;
+    if (ends_.empty())
+      break;
     AttemptEnd end = std::move(ends_.front());
     ends_.pop_front();
     settle(std::move(end));
@@ -489,20 +538,28 @@
 
 void Gateway::carryOut(const Action& action) {
   switch (action.kind) {
-    case ActionKind::send: return send(action);
+    case ActionKind::send:
+      return send(action);
     case ActionKind::refuse:
-    case ActionKind::fail: return giveUp(action);
-    case ActionKind::cancel: return hosts_.cancel({action.request, action.attempt});
-    case ActionKind::close: return hosts_.closeIdle(action.host);
-    case ActionKind::wake: return wakeAt(action.span);
-    case ActionKind::subscribe: return discovery_.watch();
-    case ActionKind::log: return log_.write(LogLevel::info, "decisions", action.text);
+    case ActionKind::fail:
+      return giveUp(action);
+    case ActionKind::cancel:
+      return hosts_.cancel({action.request, action.attempt});
+    case ActionKind::close:
+      return hosts_.closeIdle(action.host);
+    case ActionKind::wake:
+      return wakeAt(action.span);
+    case ActionKind::subscribe:
+      return discovery_.watch();
+    case ActionKind::log:
+      return log_.write(LogLevel::info, "decisions", action.text);
   }
 }
 
 void Gateway::send(const Action& action) {
   const auto it = exchanges_.find(action.request);
-  if (it == exchanges_.end() || it->second.ended) return;
+  if (it == exchanges_.end() || it->second.ended)
+    return;
   Exchange& exchange = it->second;
   ++exchange.out;
   exchange.begun = action.attempt + 1;
@@ -522,13 +579,15 @@
     return hosts_.start({action.request, action.attempt}, action.host, std::move(message), exchange.upload,
                         exchange.length, exchange.taken ? action.span : kUploadConnect, action.begin);
   }
-  if (message.method() != http::verb::get || !message.body().empty()) message.prepare_payload();
+  if (message.method() != http::verb::get || !message.body().empty())
+    message.prepare_payload();
   hosts_.start({action.request, action.attempt}, action.host, std::move(message), action.span, action.begin);
 }
 
 void Gateway::giveUp(const Action& action) {
   const auto it = exchanges_.find(action.request);
-  if (it == exchanges_.end() || it->second.ended) return;
+  if (it == exchanges_.end() || it->second.ended)
+    return;
   over_.push_back(action.request);
   HttpResponse response = plain(action.kind == ActionKind::refuse ? http::status::service_unavailable
                                                                   : http::status::bad_gateway);
@@ -545,10 +604,12 @@
   const std::string id = log_.access() ? exchange.message["X-Request-Id"].to_string() : std::string();
   return [this, cls = exchange.counted, end, taken = exchange.taken, came = exchange.came, id](bool whole) {
     std::optional<Clock::duration> took;
-    if (taken) took = Clock::now() - came, statistics_.ended();
+    if (taken)
+      took = Clock::now() - came, statistics_.ended();
     const Statistics::End ended = whole ? end : Statistics::End::failure;
     statistics_.answered(cls, ended, took);
-    if (!log_.access()) return;
+    if (!log_.access())
+      return;
     const double ms = took ? std::chrono::duration<double, std::milli>(*took).count() : -1;
     log_.answered(id, statistics_.nameOf(cls), Statistics::nameOf(ended), ms);
   };
@@ -566,16 +627,19 @@
   auto answered = counting(exchange, end);
   if (body)
     clients_.answer(exchange.client, std::move(response), std::move(body), length, std::move(answered));
-  else clients_.answer(exchange.client, std::move(response), std::move(answered));
+  else
+    clients_.answer(exchange.client, std::move(response), std::move(answered));
 }
 
 // Only the earliest wake counts: the module asks anew at each event for the next.
 void Gateway::wakeAt(Time at) {
-  if (wakeAt_ > Time{} && wakeAt_ <= at) return;
+  if (wakeAt_ > Time{} && wakeAt_ <= at)
+    return;
   wakeAt_ = at;
   waker_.expires_at(start_ + (at - kClockStart));
   waker_.async_wait([this](error_code ec) {
-    if (ec || now() < wakeAt_) return;
+    if (ec || now() < wakeAt_)
+      return;
     wakeAt_ = Time{};
     balancer_.onWake(now());
     drainActions();
@@ -585,15 +649,18 @@
 // --- Graceful shutdown -----------------------------------------------------------------------------------
 
 void Gateway::shutDown(std::function<void()> done) {
-  if (shuttingDown_) return;
+  if (shuttingDown_)
+    return;
   shuttingDown_ = true;
   down_ = std::move(done);
   openTimer_.cancel();
-  if (fleet_) fleet_->leave(twin_ && twin_->present());
+  if (fleet_)
+    fleet_->leave(twin_ && twin_->present());
   clients_.lastAnswers();
   shutDownTimer_.expires_after(kAcceptOn);
   shutDownTimer_.async_wait([this](error_code ec) {
-    if (ec) return;
+    if (ec)
+      return;
     clients_.onEmpty = [this] { down_(); };
     clients_.stopAccepting();
   });
--- a/src/gateway/host_list.cpp
+++ b/src/gateway/host_list.cpp
@@ -37,21 +37,28 @@
 ListedHost parseHost(const nlohmann::json& target) {
   ListedHost host;
   host.uid = target.at("uid").get<std::string>();
-  if (host.uid.empty()) throw std::invalid_argument("a host has no uid");
+  if (host.uid.empty())
+    throw std::invalid_argument("a host has no uid");
   const auto state = target.at("state").get<std::string>();
-  if (state == "SERVING") host.state = HostState::serving;
-  else if (state == "DRAINING") host.state = HostState::draining;
-  else if (state == "DELETED") host.state = HostState::gone;
-  else throw std::invalid_argument("unknown state '" + state + "'");
+  if (state == "SERVING")
+    host.state = HostState::serving;
+  else if (state == "DRAINING")
+    host.state = HostState::draining;
+  else if (state == "DELETED")
+    host.state = HostState::gone;
+  else
+    throw std::invalid_argument("unknown state '" + state + "'");
   // One that is gone needs no address.
   if (host.state != HostState::gone || target.contains("endpoint")) {
     host.endpoint = parseEndpoint(target.at("endpoint").get<std::string>());
-    if (host.endpoint.port() == 0) throw std::invalid_argument("host " + host.uid + " has no port");
+    if (host.endpoint.port() == 0)
+      throw std::invalid_argument("host " + host.uid + " has no port");
   }
   host.zone = target.value("az", std::string());
   host.kind = target.value("model", std::string());
   host.cell = whole(target, "pod_group", 0, INT64_MAX);
-  if (target.contains("capacity_hint")) host.weight = realNumber(target["capacity_hint"], 1e9);
+  if (target.contains("capacity_hint"))
+    host.weight = realNumber(target["capacity_hint"], 1e9);
   host.bootMs = whole(target, "boot_ms", 0, kLastMs);
   return host;
 }
@@ -64,7 +71,8 @@
     list.version = wholeNumber(json.at("rev"), INT64_MAX);
     list.full = json.value("all", false);
     // Danger: what is no list would pass for an empty one, and an empty whole list drops all hosts.
-    if (!json.at("targets").is_array()) throw std::invalid_argument("targets is no list");
+    if (!json.at("targets").is_array())
+      throw std::invalid_argument("targets is no list");
     std::unordered_set<std::string> uids;
     for (const auto& target : json.at("targets")) {
       list.hosts.push_back(parseHost(target));
--- a/src/gateway/host_pool.cpp
+++ b/src/gateway/host_pool.cpp
@@ -72,7 +72,8 @@
   Connection(HostPool& p, HostId h) : pool(&p), host(h), socket(p.io_), timer(p.io_) { ++p.open_; }
 
   void close() {
-    if (phase == Phase::closed) return;
+    if (phase == Phase::closed)
+      return;
     phase = Phase::closed;
     ++turn;
     timer.cancel();
@@ -85,7 +86,8 @@
   void dropBodies() {
     if (const auto mine = std::exchange(upload, nullptr)) {
       mine->onData = nullptr;
-      if (mine->touched()) mine->abandon();  // else another attempt may take it
+      if (mine->touched())
+        mine->abandon();  // else another attempt may take it
     }
     if (const auto mine = std::exchange(download, nullptr)) {
       mine->onRoom = nullptr;
@@ -97,16 +99,20 @@
   void limit(Clock::time_point at, Outcome outcome) {
     timer.expires_at(at);
     timer.async_wait([self = shared_from_this(), mine = ++turn, outcome](error_code ec) {
-      if (!ec && mine == self->turn && self->phase != Phase::closed) self->late(outcome);
+      if (!ec && mine == self->turn && self->phase != Phase::closed)
+        self->late(outcome);
     });
   }
 
   void late(Outcome outcome) {
     if (phase == Phase::reading && outcome == Outcome::timeout && mayGrow()) {
-      if (!parser->get().body().empty()) return beginRelay();
-      if (Clock::now() < deadline) return limit(deadline, outcome);
+      if (!parser->get().body().empty())
+        return beginRelay();
+      if (Clock::now() < deadline)
+        return limit(deadline, outcome);
     }
-    if (phase != Phase::relaying) return end(outcome);
+    if (phase != Phase::relaying)
+      return end(outcome);
     close();
     pool->relaying_.erase(shared_from_this());
   }
@@ -127,26 +133,33 @@
     limitDial();
     error_code ec;
     socket.open(endpoint.protocol(), ec);  // fails when no descriptor is left
-    if (ec) return end(Outcome::connectFailed);
+    if (ec)
+      return end(Outcome::connectFailed);
     socket.async_connect(endpoint, [self = shared_from_this()](error_code connectError) {
-      if (self->phase != Phase::connecting) return;
+      if (self->phase != Phase::connecting)
+        return;
       // Danger: it may come up in the instant in which its time ends; from then on it may not begin.
-      if (connectError || Clock::now() > self->beginBy) return self->end(Outcome::connectFailed);
+      if (connectError || Clock::now() > self->beginBy)
+        return self->end(Outcome::connectFailed);
       error_code ignored;
       self->socket.set_option(tcp::no_delay(true), ignored);
-      if (!self->pool->wanted(self->key)) return self->end(Outcome::moot, true);
+      if (!self->pool->wanted(self->key))
+        return self->end(Outcome::moot, true);
       self->write();
     });
   }
 
   void write() {
     phase = Phase::writing;
-    if (upload) return writeUpload();
+    if (upload)
+      return writeUpload();
     limit(deadline, Outcome::timeout);
     http::async_write(socket, request, [self = shared_from_this()](error_code ec, std::size_t) {
-      if (self->phase != Phase::writing) return;
+      if (self->phase != Phase::writing)
+        return;
       // An error here means that the last byte was not written: it never ran.
-      if (ec) return self->end(Outcome::connectFailed);
+      if (ec)
+        return self->end(Outcome::connectFailed);
       self->written();
     });
   }
@@ -154,7 +167,8 @@
   void written() {
     ++pool->written_;
     phase = Phase::reading;
-    if (!receiving) read();
+    if (!receiving)
+      read();
   }
 
   // --- A request in pieces ---
@@ -162,7 +176,8 @@
   // Reads meanwhile: a host that turns the request away says so before its end.
   void writeUpload() {
     upload->onData = [weak = weak_from_this()] {
-      if (const auto self = weak.lock()) self->pump();
+      if (const auto self = weak.lock())
+        self->pump();
     };
     std::ostringstream head;
     head << request.base();
@@ -176,8 +191,10 @@
     limit(Clock::now() + kStall, Outcome::connectFailed);  // the last byte is still to come
     asio::async_write(socket, asio::buffer(piece), [self = shared_from_this()](error_code ec, std::size_t) {
       self->pieceOut = false;
-      if (self->phase != Phase::writing) return;
-      if (ec) return self->end(Outcome::connectFailed);
+      if (self->phase != Phase::writing)
+        return;
+      if (ec)
+        return self->end(Outcome::connectFailed);
       ++self->turn;
       self->timer.cancel();
       self->pump();
@@ -185,13 +202,18 @@
   }
 
   void pump() {
-    if (phase != Phase::writing || pieceOut || !upload) return;
-    if (upload->failed()) return end(Outcome::cancelled);
+    if (phase != Phase::writing || pieceOut || !upload)
+      return;
+    if (upload->failed())
+      return end(Outcome::cancelled);
     const std::string next = upload->take();
     const bool chunked = request.chunked();
-    if (!next.empty()) return writePiece(chunked ? chunkOf(next) : next);
-    if (!upload->finished()) return;
-    if (chunked && !std::exchange(lastChunk, true)) return writePiece(chunkOf({}));
+    if (!next.empty())
+      return writePiece(chunked ? chunkOf(next) : next);
+    if (!upload->finished())
+      return;
+    if (chunked && !std::exchange(lastChunk, true))
+      return writePiece(chunkOf({}));
     upload->onData = nullptr;
     upload.reset();
     limit(deadline, Outcome::timeout);
@@ -201,7 +223,8 @@
   // --- The answer ---
 
   void read() {
-    if (phase != Phase::relaying) renewParser();
+    if (phase != Phase::relaying)
+      renewParser();
     receive();
   }
 
@@ -226,25 +249,34 @@
   void received(error_code ec) {
     if (ec == asio::error::eof) {
       error_code ended;
-      if (parser->got_some()) parser->put_eof(ended);
-      if (!parser->got_some() || ended) return broken(ended ? ended : ec);
+      if (parser->got_some())
+        parser->put_eof(ended);
+      if (!parser->got_some() || ended)
+        return broken(ended ? ended : ec);
       return answered();  // ended by the connection's end
     }
-    if (ec) return broken(ec);
+    if (ec)
+      return broken(ec);
     while (buffer.size() > 0 && !parser->is_done()) {
       error_code bad;
       buffer.consume(parser->put(buffer.data(), bad));
-      if (bad == http::error::need_more) break;
-      if (bad) return broken(bad);
+      if (bad == http::error::need_more)
+        break;
+      if (bad)
+        return broken(bad);
       const int status = parser->is_header_done() ? parser->get().result_int() : 0;
-      if (parser->is_done() && status / 100 == 1 && status != 101) renewParser();  // the answer is to come
+      if (parser->is_done() && status / 100 == 1 && status != 101)
+        renewParser();  // the answer is to come
     }
     // Danger: the parser bounds the head, not the head of a chunk, and the buffer throws when it is full.
     if (!parser->is_done() && buffer.size() + kChunk > buffer.max_size())
       return broken(http::error::header_limit);
-    if (phase == Phase::relaying) return relay();
-    if (parser->is_done()) return answered();
-    if (!parser->is_header_done()) return receive();
+    if (phase == Phase::relaying)
+      return relay();
+    if (parser->is_done())
+      return answered();
+    if (!parser->is_header_done())
+      return receive();
     const auto length = parser->content_length();
     const std::size_t come = parser->get().body().size();
     held.resize(come);
@@ -252,25 +284,31 @@
       limit(std::min(deadline, Clock::now() + kHoldUnknown), Outcome::timeout);
     const bool whole = std::max<std::uint64_t>(come, length ? *length : 0) <= kHeldBody &&
                        (come == 0 || pool->budget_->room(kHeldBody));
-    if (whole) return receive();
-    if (phase != Phase::reading || parser->get().result() != http::status::ok) return answered(false);
+    if (whole)
+      return receive();
+    if (phase != Phase::reading || parser->get().result() != http::status::ok)
+      return answered(false);
     beginRelay();
   }
 
   void broken(error_code ec) {
     // Danger: with all of the body given to the socket, the last byte may be out though we have not heard.
     const bool last = upload && upload->finished();
-    if (phase == Phase::writing) return end(last ? Outcome::reset : Outcome::connectFailed);
-    if (phase == Phase::reading) return end(brokenRead(ec));
+    if (phase == Phase::writing)
+      return end(last ? Outcome::reset : Outcome::connectFailed);
+    if (phase == Phase::reading)
+      return end(brokenRead(ec));
     close();
     pool->relaying_.erase(shared_from_this());
   }
 
   void answered(bool whole = true) {
-    if (phase == Phase::relaying) return relay();
+    if (phase == Phase::relaying)
+      return relay();
     const bool early = phase == Phase::writing;  // before the end of its request: it can't have run
     const Outcome outcome = judge();
-    if (early) return end(outcome == Outcome::served ? Outcome::reset : outcome);
+    if (early)
+      return end(outcome == Outcome::served ? Outcome::reset : outcome);
     end(outcome, whole && reusable());
   }
 
@@ -281,14 +319,16 @@
     phase = Phase::relaying;
     download = std::make_shared<BodyStream>(pool->budget_);
     download->onRoom = [weak = weak_from_this()] {
-      if (const auto self = weak.lock()) self->relayOn();
+      if (const auto self = weak.lock())
+        self->relayOn();
     };
     pool->busy_.erase(key);
     pool->relaying_.insert(shared_from_this());
     AttemptEnd done{key, host, Outcome::served, Clock::now() - sentAt, {}};
     done.answer.base() = parser->get().base();
     done.body = download;
-    if (const auto length = parser->content_length()) done.length = *length;
+    if (const auto length = parser->content_length())
+      done.length = *length;
     held = {};
     relay();
     pool->ended_(std::move(done));
@@ -299,19 +339,25 @@
     feeding = true;
     download->append(std::exchange(parser->get().body(), {}));
     feeding = false;
-    if (!download) return;  // closed meanwhile
-    if (!parser->is_done()) return relayOn();
+    if (!download)
+      return;  // closed meanwhile
+    if (!parser->is_done())
+      return relayOn();
     download->onRoom = nullptr;
     std::exchange(download, nullptr)->finish();
     const auto self = shared_from_this();
     pool->relaying_.erase(self);
-    if (reusable()) rest();
-    else close();
+    if (reusable())
+      rest();
+    else
+      close();
   }
 
   void relayOn() {
-    if (phase != Phase::relaying || receiving || feeding || !download) return;
-    if (download->abandoned()) return late(Outcome::cancelled);
+    if (phase != Phase::relaying || receiving || feeding || !download)
+      return;
+    if (download->abandoned())
+      return late(Outcome::cancelled);
     if (download->full()) {
       ++turn;
       timer.cancel();
@@ -329,14 +375,17 @@
     if (status == http::status::ok && parser->need_eof() &&
         !http::token_list(answer[http::field::connection]).exists("close"))
       return Outcome::reset;
-    if (status == http::status::ok) return Outcome::served;
+    if (status == http::status::ok)
+      return Outcome::served;
     const bool busy = status == http::status::service_unavailable || status == http::status::gateway_timeout;
-    if (busy && answer["X-Not-Run"] == "1") return Outcome::full;
+    if (busy && answer["X-Not-Run"] == "1")
+      return Outcome::full;
     return Outcome::error;  // it may have run, whatever the answer says
   }
 
   bool reusable() {
-    if (buffer.size() > 0) unasked();
+    if (buffer.size() > 0)
+      unasked();
     return parser->get().result() != http::status::switching_protocols && !parser->need_eof() &&
            parser->get().keep_alive() && buffer.size() == 0;
   }
@@ -353,8 +402,10 @@
       done.answer.body() = std::move(parser->get().body());
     }
     pool->busy_.erase(key);
-    if (keep) rest();
-    else close();
+    if (keep)
+      rest();
+    else
+      close();
     pool->ended_(std::move(done));
   }
 
@@ -372,12 +423,15 @@
 
   // An idle connection becomes readable when the host closes it; what a host says unasked ends it as well.
   void watch() {
-    if (watching) return;
+    if (watching)
+      return;
     watching = true;
     socket.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code) {
       self->watching = false;
-      if (self->phase != Phase::idle) return;
-      if (unread(self->socket)) self->unasked();
+      if (self->phase != Phase::idle)
+        return;
+      if (unread(self->socket))
+        self->unasked();
       self->pool->dropIdle(self);
     });
   }
@@ -389,7 +443,8 @@
     char byte;
     error_code ec;
     socket.non_blocking(true, ec);
-    if (socket.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, ec) > 0) unasked();
+    if (socket.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, ec) > 0)
+      unasked();
     return ec == asio::error::would_block || ec == asio::error::try_again;
   }
 };
@@ -405,7 +460,9 @@
   sweep();
 }
 
-HostPool::~HostPool() { stop(); }
+HostPool::~HostPool() {
+  stop();
+}
 
 void HostPool::setTimes(Duration connectTimeout, Duration idleClose) {
   limits_.connectTimeout = connectTimeout;
@@ -420,20 +477,25 @@
 
 void HostPool::stop() {
   sweeper_.cancel();
-  for (auto& [key, connection] : std::exchange(busy_, {})) connection->close();
-  for (const auto& connection : std::exchange(relaying_, {})) connection->close();
+  for (auto& [key, connection] : std::exchange(busy_, {}))
+    connection->close();
+  for (const auto& connection : std::exchange(relaying_, {}))
+    connection->close();
   for (Host& host : hosts_)
-    for (auto& connection : std::exchange(host.idle, {})) connection->close();
+    for (auto& connection : std::exchange(host.idle, {}))
+      connection->close();
 }
 
 HostPool::Host& HostPool::hostOf(HostId host) {
-  if (hosts_.size() <= host) hosts_.resize(host + std::size_t{1});
+  if (hosts_.size() <= host)
+    hosts_.resize(host + std::size_t{1});
   return hosts_[host];
 }
 
 void HostPool::setEndpoint(HostId host, const tcp::endpoint& endpoint) {
   Host& h = hostOf(host);
-  if (h.endpoint == endpoint) return;
+  if (h.endpoint == endpoint)
+    return;
   closeIdle(host);
   h.endpoint = endpoint;
 }
@@ -444,21 +506,25 @@
 
 void HostPool::start(AttemptKey key, HostId host, HttpRequest head, std::shared_ptr<BodyStream> upload,
                      std::optional<std::uint64_t> length, Duration limit, Duration beginWithin) {
-  if (length) head.content_length(*length);
-  else head.chunked(true);
+  if (length)
+    head.content_length(*length);
+  else
+    head.chunked(true);
   begin(key, host, std::move(head), limit, beginWithin, std::move(upload));
 }
 
 void HostPool::uploaded(AttemptKey key, Duration limit) {
   const auto it = busy_.find(key);
-  if (it == busy_.end()) return;
+  if (it == busy_.end())
+    return;
   it->second->sentAt = Clock::now();
   it->second->deadline = it->second->sentAt + limit;
 }
 
 void HostPool::begin(AttemptKey key, HostId host, HttpRequest request, Duration limit, Duration beginWithin,
                      std::shared_ptr<BodyStream> upload) {
-  if (!wanted(key)) return ended_({key, host, Outcome::moot, {}, {}});
+  if (!wanted(key))
+    return ended_({key, host, Outcome::moot, {}, {}});
   const auto now = Clock::now();
   std::shared_ptr<Connection> connection = takeIdle(host);
   const bool fresh = !connection;
@@ -476,20 +542,24 @@
   connection->deadline = now + std::max(limit, Duration::zero());
   connection->beginBy = now + std::min(connection->deadline - now, beginWithin);
   busy_.emplace(key, connection);
-  if (fresh) connection->connect(hostOf(host).endpoint);
-  else connection->write();
+  if (fresh)
+    connection->connect(hostOf(host).endpoint);
+  else
+    connection->write();
 }
 
 void HostPool::cancel(AttemptKey key) {
   const auto it = busy_.find(key);
-  if (it == busy_.end()) return;
+  if (it == busy_.end())
+    return;
   const auto connection = it->second;
   connection->end(Outcome::cancelled);
 }
 
 void HostPool::drop(AttemptKey key) {
   const auto it = busy_.find(key);
-  if (it == busy_.end() || it->second->phase != Connection::Phase::connecting) return;
+  if (it == busy_.end() || it->second->phase != Connection::Phase::connecting)
+    return;
   const auto connection = it->second;
   connection->end(Outcome::moot);
 }
@@ -504,7 +574,8 @@
 }
 
 void HostPool::closeIdle(HostId host) {
-  for (auto& connection : std::exchange(hostOf(host).idle, {})) connection->close();
+  for (auto& connection : std::exchange(hostOf(host).idle, {}))
+    connection->close();
 }
 
 std::shared_ptr<HostPool::Connection> HostPool::takeIdle(HostId host) {
@@ -513,16 +584,19 @@
   const bool rests = now < h.restsUntil;
   for (std::size_t i = h.idle.size(); i-- > 0;) {
     const auto connection = h.idle[i];
-    if (rests && now - connection->idleSince < kQuiet) continue;
+    if (rests && now - connection->idleSince < kQuiet)
+      continue;
     h.idle.erase(h.idle.begin() + static_cast<std::ptrdiff_t>(i));
-    if (!outlived(*connection) && connection->usable()) return connection;
+    if (!outlived(*connection) && connection->usable())
+      return connection;
     connection->close();
   }
   return nullptr;
 }
 
 bool HostPool::outlived(const Connection& connection) const {
-  if (limits_.idleClose <= Duration::zero()) return false;
+  if (limits_.idleClose <= Duration::zero())
+    return false;
   const Duration margin = std::min(kIdleMargin, limits_.idleClose / 5);
   return Clock::now() - connection.idleSince >= limits_.idleClose - margin;
 }
@@ -532,7 +606,8 @@
   for (Host& host : hosts_)
     if (!host.idle.empty() && (!from || host.idle.front()->idleSince < from->front()->idleSince))
       from = &host.idle;
-  if (!from) return false;
+  if (!from)
+    return false;
   from->front()->close();
   from->erase(from->begin());
   return true;
@@ -546,13 +621,15 @@
 void HostPool::sweep() {
   for (Host& host : hosts_)
     std::erase_if(host.idle, [&](const auto& connection) {
-      if (!outlived(*connection)) return false;
+      if (!outlived(*connection))
+        return false;
       connection->close();
       return true;
     });
   sweeper_.expires_after(kSweep);
   sweeper_.async_wait([this](error_code ec) {
-    if (!ec) sweep();
+    if (!ec)
+      sweep();
   });
 }
 
--- a/src/gateway/keys.cpp
+++ b/src/gateway/keys.cpp
@@ -27,13 +27,20 @@
 
 // What a variable stands before.
 std::string_view variableOf(std::string_view key) {
-  if (key == "name") return "GW_NAME";
-  if (key == "listen") return "GW_LISTEN";
-  if (key == "discovery") return "GW_DISCOVERY";
-  if (key == "management") return "GW_MANAGEMENT";
-  if (key == "membership.listen") return "GW_MEMBERSHIP";
-  if (key == "membership.advertise") return "GW_MEMBERSHIP_ADVERTISE";
-  if (key == "membership.seeds") return "GW_SEEDS";
+  if (key == "name")
+    return "GW_NAME";
+  if (key == "listen")
+    return "GW_LISTEN";
+  if (key == "discovery")
+    return "GW_DISCOVERY";
+  if (key == "management")
+    return "GW_MANAGEMENT";
+  if (key == "membership.listen")
+    return "GW_MEMBERSHIP";
+  if (key == "membership.advertise")
+    return "GW_MEMBERSHIP_ADVERTISE";
+  if (key == "membership.seeds")
+    return "GW_SEEDS";
   return {};
 }
 
@@ -53,7 +60,8 @@
     for (const Key& key : keys) {
       const toml::node_view<const toml::node> found = table.at_path(key.toml);
       known.insert(std::string(key.toml));
-      if (!found) continue;
+      if (!found)
+        continue;
       const std::string name = prefix + std::string(key.toml);
       out_.places[name] = place(found.node());
       if (const auto value = valueOf(key, *found.node(), name))
@@ -64,7 +72,8 @@
 
   void list(const toml::table& root, const char* name, const std::vector<Key>& keys, json& into) {
     const toml::node* node = root.get(name);
-    if (!node) return;
+    if (!node)
+      return;
     out_.places[name] = place(node);
     const toml::array* all = node->as_array();
     if (!all || !all->is_homogeneous(toml::node_type::table))
@@ -76,8 +85,10 @@
       json entry = json::object();
       const toml::table& one = *all->get(i)->as_table();
       table(one, keys, prefix, entry);
-      if (!entry.contains("name")) fault(&one, prefix + "name", "is missing");
-      else if (!seen.insert(entry["name"]).second) fault(&one, prefix + "name", "is there twice");
+      if (!entry.contains("name"))
+        fault(&one, prefix + "name", "is missing");
+      else if (!seen.insert(entry["name"]).second)
+        fault(&one, prefix + "name", "is there twice");
       into.push_back(entry);
     }
   }
@@ -96,12 +107,16 @@
                const std::string& prefix, const std::string& within) {
     for (const auto& [key, node] : table) {
       const std::string name = within + std::string(key.str());
-      if (known.count(name) || (prefix.empty() && (name == "class" || name == "tenant"))) continue;
+      if (known.count(name) || (prefix.empty() && (name == "class" || name == "tenant")))
+        continue;
       const bool section = std::any_of(known.begin(), known.end(),
                                        [&](const std::string& k) { return k.starts_with(name + "."); });
-      if (section && node.is_table()) unknown(*node.as_table(), known, prefix, name + ".");
-      else if (section) fault(&node, prefix + name, "has to be a table");
-      else out_.warnings.push_back({place(&node), prefix + name, "unknown key, passed over"});
+      if (section && node.is_table())
+        unknown(*node.as_table(), known, prefix, name + ".");
+      else if (section)
+        fault(&node, prefix + name, "has to be a table");
+      else
+        out_.warnings.push_back({place(&node), prefix + name, "unknown key, passed over"});
     }
   }
 
@@ -112,18 +127,21 @@
     };
     switch (key.holds) {
       case Holds::flag:
-        if (const auto flag = node.value_exact<bool>()) return json(*flag);
+        if (const auto flag = node.value_exact<bool>())
+          return json(*flag);
         return wrong("has to be true or false");
       case Holds::whole:
       case Holds::real: {
-        if (!node.is_number()) return wrong("has to be a number");
+        if (!node.is_number())
+          return wrong("has to be a number");
         const double value = *node.value<double>();
         const bool whole = key.holds == Holds::real || value * key.scale == std::floor(value * key.scale);
         if (!std::isfinite(value) || value < key.least || value > key.most || !whole)
           return wrong(std::string("has to be a ") +
                        (key.holds == Holds::whole && key.scale == 1 ? "whole " : "") + "number from " +
                        plain(key.least) + " to " + plain(key.most));
-        if (key.holds == Holds::real) return json(value * key.scale);
+        if (key.holds == Holds::real)
+          return json(value * key.scale);
         return json(static_cast<std::int64_t>(std::llround(value * key.scale)));
       }
       case Holds::texts: {
@@ -131,15 +149,18 @@
         if (!list || !(list->empty() || list->is_homogeneous(toml::node_type::string)))
           return wrong("has to be a list of texts");
         json all = json::array();
-        for (const toml::node& text : *list) all.push_back(*text.value<std::string>());
+        for (const toml::node& text : *list)
+          all.push_back(*text.value<std::string>());
         return all;
       }
       case Holds::text:
       case Holds::word:
-      case Holds::endpoint: break;
+      case Holds::endpoint:
+        break;
     }
     const auto text = node.value_exact<std::string>();
-    if (!text) return wrong("has to be a text");
+    if (!text)
+      return wrong("has to be a text");
     if (key.holds == Holds::endpoint) {
       try {
         parseEndpoint(*text);
@@ -147,10 +168,12 @@
         return wrong(bad.what());
       }
     }
-    if (key.holds != Holds::word) return json(*text);
+    if (key.holds != Holds::word)
+      return json(*text);
     std::string allowed;
     for (std::size_t i = 0; i < key.words.size(); i += 2) {
-      if (*text == key.words[i]) return json(std::string(key.words[i + 1]));
+      if (*text == key.words[i])
+        return json(std::string(key.words[i + 1]));
       allowed += (i ? ", " : "") + std::string(key.words[i]);
     }
     return wrong("'" + *text + "' is none of " + allowed);
@@ -170,11 +193,13 @@
   if (settings.value("myNumber", 0u) >= settings.value("groupSize", 1u))
     fault("fleet.number", "has to be below fleet.gateways");
   const json grades = settings.value("grades", json::array());
-  if (grades.empty() && out.places.count("class") == 0) fault("class", "at least one [[class]] is needed");
+  if (grades.empty() && out.places.count("class") == 0)
+    fault("class", "at least one [[class]] is needed");
   for (std::size_t i = 0; i < grades.size(); ++i) {
     const std::string prefix = "class[" + std::to_string(i) + "].";
     const std::int64_t aim = grades[i].value("aimNs", std::int64_t{0});
-    if (aim == 0 && out.places.count(prefix + "aim_ms") == 0) fault(prefix + "aim_ms", "is missing");
+    if (aim == 0 && out.places.count(prefix + "aim_ms") == 0)
+      fault(prefix + "aim_ms", "is missing");
     if (grades[i].contains("giveUpNs") && grades[i].value("giveUpNs", std::int64_t{0}) < aim)
       fault(prefix + "give_up_ms", "must not be below aim_ms");
   }
@@ -187,7 +212,8 @@
     Reader reader(path, out);
     reader.table(root, topKeys(), "", out.json);
     reader.list(root, "class", classKeys(), out.json["settings"]["grades"]);
-    if (root.contains("tenant")) reader.list(root, "tenant", tenantKeys(), out.json["settings"]["tenants"]);
+    if (root.contains("tenant"))
+      reader.list(root, "tenant", tenantKeys(), out.json["settings"]["tenants"]);
     checkWhole(path, out);
   } catch (const toml::parse_error& bad) {
     const auto line = bad.source().begin.line;
@@ -200,32 +226,48 @@
 ReadFile readJson(const std::string& path) {
   ReadFile out;
   std::ifstream file(path);
-  if (!file) out.faults.push_back({path, "file", "cannot be read"});
+  if (!file)
+    out.faults.push_back({path, "file", "cannot be read"});
   else if (out.json = json::parse(file, nullptr, false); out.json.is_discarded() || !out.json.is_object())
     out.faults.push_back({path, "file", "holds no JSON object"}), out.json = json::object();
   return out;
 }
 
-std::string inMs(balancer::Duration d) { return plain(static_cast<double>(d.count()) / kMs); }
-std::string yes(bool flag) { return flag ? "true" : "false"; }
-std::string quoted(const std::string& text) { return json(text).dump(); }
+std::string inMs(balancer::Duration d) {
+  return plain(static_cast<double>(d.count()) / kMs);
+}
+std::string yes(bool flag) {
+  return flag ? "true" : "false";
+}
+std::string quoted(const std::string& text) {
+  return json(text).dump();
+}
 
 std::string_view wordOf(const Key& key, std::string_view form) {
   for (std::size_t i = 0; i + 1 < key.words.size(); i += 2)
-    if (key.words[i + 1] == form) return key.words[i];
+    if (key.words[i + 1] == form)
+      return key.words[i];
   return form;
 }
 
 std::string classValue(const Key& key, const balancer::ClassSettings& c) {
   const std::string_view name = key.toml;
-  if (name == "name") return quoted(c.name);
-  if (name == "aim_ms") return inMs(c.aim);
-  if (name == "give_up_ms") return inMs(c.giveUp);
-  if (name == "window_ms") return inMs(c.window);
-  if (name == "worth") return plain(c.worth);
-  if (name == "late_share") return plain(c.lateShare);
-  if (name == "aim_stretch") return plain(c.aimStretch);
-  if (name == "in_turn") return yes(c.inTurn);
+  if (name == "name")
+    return quoted(c.name);
+  if (name == "aim_ms")
+    return inMs(c.aim);
+  if (name == "give_up_ms")
+    return inMs(c.giveUp);
+  if (name == "window_ms")
+    return inMs(c.window);
+  if (name == "worth")
+    return plain(c.worth);
+  if (name == "late_share")
+    return plain(c.lateShare);
+  if (name == "aim_stretch")
+    return plain(c.aimStretch);
+  if (name == "in_turn")
+    return yes(c.inTurn);
   using balancer::Effect;
   using balancer::Group;
   if (name == "effect")
@@ -234,8 +276,10 @@
                                                                         : "fragile")));
   if (name == "group")
     return quoted(c.group == Group::all ? "all" : c.group == Group::zone ? "zone" : "cell");
-  if (name == "zones") return c.zones ? json(*c.zones).dump() : kAny;
-  if (name == "kinds") return c.kinds ? json(*c.kinds).dump() : kAny;
+  if (name == "zones")
+    return c.zones ? json(*c.zones).dump() : kAny;
+  if (name == "kinds")
+    return c.kinds ? json(*c.kinds).dump() : kAny;
   return {};
 }
 
@@ -273,7 +317,8 @@
       {"membership.seeds",
        [&] {
          json seeds = json::array();
-         for (const udp::endpoint& seed : member.seeds) seeds.push_back(textOf(seed));
+         for (const udp::endpoint& seed : member.seeds)
+           seeds.push_back(textOf(seed));
          return seeds.dump();
        }},
       {"membership.period_ms", [&] { return inMs(member.period); }},
@@ -417,7 +462,8 @@
   const bool toml = !file.places.empty();
   const auto from = [&](const std::string& key, const json& within,
                         const std::string& pointer) -> std::string {
-    if (const auto place = file.places.find(key); place != file.places.end()) return place->second;
+    if (const auto place = file.places.find(key); place != file.places.end())
+      return place->second;
     return !toml && within.contains(json::json_pointer(pointer)) ? pointer : "default";
   };
   for (const Key& key : topKeys()) {
--- a/src/gateway/log.cpp
+++ b/src/gateway/log.cpp
@@ -16,11 +16,16 @@
 
 spdlog::level::level_enum levelOf(LogLevel level) {
   switch (level) {
-    case LogLevel::debug: return spdlog::level::debug;
-    case LogLevel::info: return spdlog::level::info;
-    case LogLevel::warning: return spdlog::level::warn;
-    case LogLevel::error: return spdlog::level::err;
-    case LogLevel::off: return spdlog::level::off;
+    case LogLevel::debug:
+      return spdlog::level::debug;
+    case LogLevel::info:
+      return spdlog::level::info;
+    case LogLevel::warning:
+      return spdlog::level::warn;
+    case LogLevel::error:
+      return spdlog::level::err;
+    case LogLevel::off:
+      return spdlog::level::off;
   }
   return spdlog::level::info;
 }
@@ -39,7 +44,8 @@
 std::string oneLine(std::string_view text) {
   std::string out(text);
   for (char& c : out)
-    if (static_cast<unsigned char>(c) < 0x20) c = ' ';
+    if (static_cast<unsigned char>(c) < 0x20)
+      c = ' ';
   return out;
 }
 
@@ -89,24 +95,32 @@
       std::make_unique<spdlog::pattern_formatter>(pattern, spdlog::pattern_time_type::utc));
 }
 
-std::uint64_t Log::dropped() const { return sink_->dropped; }
+std::uint64_t Log::dropped() const {
+  return sink_->dropped;
+}
 
 void Log::write(LogLevel level, std::string_view kind, std::string_view text, Fields fields) {
-  if (!logger_->should_log(levelOf(level))) return;
+  if (!logger_->should_log(levelOf(level)))
+    return;
   auto it = kinds_.find(kind);
-  if (it == kinds_.end()) it = kinds_.emplace(std::string(kind), Kind{}).first;
+  if (it == kinds_.end())
+    it = kinds_.emplace(std::string(kind), Kind{}).first;
   Kind& k = it->second;
   const auto now = Clock::now();
-  if (now - k.since >= std::chrono::seconds(1)) k.since = now, k.written = 0;
-  if (settings_.mostPerSecond > 0 && k.written >= settings_.mostPerSecond) return void(++k.leftOut);
+  if (now - k.since >= std::chrono::seconds(1))
+    k.since = now, k.written = 0;
+  if (settings_.mostPerSecond > 0 && k.written >= settings_.mostPerSecond)
+    return void(++k.leftOut);
   ++k.written;
   line(level, kind, text, fields, std::exchange(k.leftOut, 0));
 }
 
 void Log::answered(std::string_view request, std::string_view cls, std::string_view end, double ms) {
-  if (!access()) return;
+  if (!access())
+    return;
   char took[32] = "-";
-  if (ms >= 0) std::snprintf(took, sizeof took, "%.3f", ms);
+  if (ms >= 0)
+    std::snprintf(took, sizeof took, "%.3f", ms);
   line(LogLevel::info, "access", "",
        {{"request", std::string(request)},
         {"class", std::string(cls)},
@@ -124,13 +138,18 @@
   };
   if (settings_.json)
     out = "\"name\":" + jsonText(name_) + ",\"kind\":" + jsonText(kind) + ",\"text\":" + jsonText(text);
-  else out = word(name_) + " " + std::string(kind) + (text.empty() ? "" : ": ") + oneLine(text);
-  for (const auto& [key, value] : fields) add(key, value);
-  if (leftOut > 0) add("left_out", std::to_string(leftOut));
-  if (sink_->dropped > droppedTold_) add("dropped", std::to_string(sink_->dropped - droppedTold_));
+  else
+    out = word(name_) + " " + std::string(kind) + (text.empty() ? "" : ": ") + oneLine(text);
+  for (const auto& [key, value] : fields)
+    add(key, value);
+  if (leftOut > 0)
+    add("left_out", std::to_string(leftOut));
+  if (sink_->dropped > droppedTold_)
+    add("dropped", std::to_string(sink_->dropped - droppedTold_));
   const std::uint64_t before = sink_->dropped;
   logger_->log(levelOf(level), spdlog::string_view_t(out.data(), out.size()));
-  if (sink_->dropped == before) droppedTold_ = before;
+  if (sink_->dropped == before)
+    droppedTold_ = before;
 }
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/management.cpp
+++ b/src/gateway/management.cpp
@@ -42,7 +42,8 @@
 
   void start() {
     http::async_read(socket_, buffer_, parser_, [self = shared_from_this()](error_code ec, std::size_t) {
-      if (!self->owner_) return;
+      if (!self->owner_)
+        return;
       // Nothing to tell to one that left.
       if (ec == http::error::end_of_stream || (ec && ec.category() == asio::error::get_system_category()))
         return self->close();
@@ -51,7 +52,8 @@
   }
 
   void close() {
-    if (!owner_) return;
+    if (!owner_)
+      return;
     Management& owner = *std::exchange(owner_, nullptr);
     error_code ignored;
     socket_.close(ignored);
@@ -69,7 +71,8 @@
     const bool readiness = target == "/ops/readiness";
     const bool metrics = target == "/metrics";
     std::string fleet;
-    if (target == "/ops/fleet" && owner_->callbacks_.fleet) fleet = owner_->callbacks_.fleet();
+    if (target == "/ops/fleet" && owner_->callbacks_.fleet)
+      fleet = owner_->callbacks_.fleet();
     if (!readiness && !metrics && fleet.empty() && target != "/ops/stats")
       return text(http::status::not_found, "no such call\n");
     if (call.method() != http::verb::get) {
@@ -87,7 +90,8 @@
       answer.set(http::field::content_type, "text/plain; version=0.0.4; charset=utf-8");
       return answer;
     }
-    if (!readiness) return text(http::status::ok, owner_->callbacks_.stats());
+    if (!readiness)
+      return text(http::status::ok, owner_->callbacks_.stats());
     return owner_->callbacks_.ready() ? text(http::status::ok, "ready\n")
                                       : text(http::status::service_unavailable, "not ready\n");
   }
@@ -97,8 +101,10 @@
     answer_.keep_alive(false);
     answer_.prepare_payload();
     http::async_write(socket_, answer_, [self = shared_from_this()](error_code ec, std::size_t) {
-      if (!self->owner_) return;
-      if (ec) return self->close();
+      if (!self->owner_)
+        return;
+      if (ec)
+        return self->close();
       // Danger: closed with bytes unread, the connection is reset, and that may overtake the answer.
       error_code ignored;
       self->socket_.shutdown(tcp::socket::shutdown_send, ignored);
@@ -110,9 +116,12 @@
     buffer_.clear();
     socket_.async_read_some(buffer_.prepare(kHeadLimit),
                             [self = shared_from_this()](error_code ec, std::size_t) {
-                              if (!self->owner_) return;
-                              if (ec) self->close();
-                              else self->discard();
+                              if (!self->owner_)
+                                return;
+                              if (ec)
+                                self->close();
+                              else
+                                self->discard();
                             });
   }
 
@@ -146,7 +155,8 @@
 
 void Management::accept() {
   acceptor_.async_wait(tcp::acceptor::wait_read, [this](error_code ec) {
-    if (!ec) takeWaiting();
+    if (!ec)
+      takeWaiting();
   });
 }
 
@@ -155,8 +165,10 @@
     error_code ec;
     tcp::socket socket(io_);
     acceptor_.accept(socket, ec);
-    if (ec == asio::error::would_block || ec == asio::error::try_again) return accept();
-    if (ec == asio::error::connection_aborted || ec == asio::error::interrupted) continue;
+    if (ec == asio::error::would_block || ec == asio::error::try_again)
+      return accept();
+    if (ec == asio::error::connection_aborted || ec == asio::error::interrupted)
+      continue;
     if (ec) {  // Danger: with no descriptor left the listener stays readable, and the loop would spin.
       if (!calls_.empty()) {
         const auto oldest = calls_.front();
@@ -164,7 +176,8 @@
       }
       again_.expires_after(kAcceptAgain);
       return again_.async_wait([this](error_code waitError) {
-        if (!waitError) accept();
+        if (!waitError)
+          accept();
       });
     }
     if (calls_.size() >= kConnections) {
@@ -184,7 +197,8 @@
   }
   sweeper_.expires_after(kSweep);
   sweeper_.async_wait([this](error_code ec) {
-    if (!ec) sweep();
+    if (!ec)
+      sweep();
   });
 }
 
--- a/src/gateway/ops_client.cpp
+++ b/src/gateway/ops_client.cpp
@@ -35,7 +35,8 @@
       text("version").c_str(), text("settings").c_str(), text("view").c_str());
   std::string all = line;
   all.erase(all.find_last_not_of(' ') + 1);
-  if (m.contains("by")) all += " by " + text("by");
+  if (m.contains("by"))
+    all += " by " + text("by");
   return all + "\n";
 }
 
@@ -52,16 +53,19 @@
   error_code failed = asio::error::timed_out;
   stream.expires_after(wait);
   stream.async_connect(at, [&](error_code ec) {
-    if ((failed = ec)) return;
+    if ((failed = ec))
+      return;
     http::async_write(stream, request, [&](error_code writeError, std::size_t) {
-      if ((failed = writeError)) return;
+      if ((failed = writeError))
+        return;
       http::async_read(stream, buffer, response,
                        [&](error_code readError, std::size_t) { failed = readError; });
     });
   });
   io.run();
   const std::string whom = textOf(at);
-  if (failed) throw std::runtime_error(whom + ": " + failed.message());
+  if (failed)
+    throw std::runtime_error(whom + ": " + failed.message());
   if (response.result() != http::status::ok)
     throw std::runtime_error(
         whom + ": " + target + " answered " + std::to_string(response.result_int()) +
@@ -83,7 +87,8 @@
     for (const json& m : all.value("members", json::array())) {
       out += member(m, name);
       const std::string state = m.value("state", std::string());
-      if (state == "dead" || state == "left") continue;
+      if (state == "dead" || state == "left")
+        continue;
       settings.insert(m.value("settings", std::string()));
       present[name].insert(m.value("name", std::string()));
     }
@@ -100,9 +105,12 @@
   for (const auto& [one, sees] : present)
     for (const auto& [other, seen] : present)
       for (const std::string& who : sees)
-        if (!seen.count(who)) remarks += one + " sees " + who + ", " + other + " does not\n";
-  if (views.size() > 1) remarks += "the views differ\n";
-  if (settings.size() > 1) remarks += "the members serve by different settings\n";
+        if (!seen.count(who))
+          remarks += one + " sees " + who + ", " + other + " does not\n";
+  if (views.size() > 1)
+    remarks += "the views differ\n";
+  if (settings.size() > 1)
+    remarks += "the members serve by different settings\n";
   agree = remarks.empty();
   return out + (agree ? "all agree\n" : remarks);
 }
--- a/src/gateway/statistics.cpp
+++ b/src/gateway/statistics.cpp
@@ -25,10 +25,12 @@
 }  // namespace
 
 void Statistics::show(std::string_view name) {
-  if (!byName_.emplace(std::string(name), classes_.size()).second) return;
+  if (!byName_.emplace(std::string(name), classes_.size()).second)
+    return;
   Class& c = classes_.emplace_back();
   c.name = name;
-  for (auto& times : c.times) times = std::make_unique<prometheus::Histogram>(kBuckets);
+  for (auto& times : c.times)
+    times = std::make_unique<prometheus::Histogram>(kBuckets);
 }
 
 std::size_t Statistics::classOf(std::string_view name) const {
@@ -41,12 +43,16 @@
   return cls < classes_.size() ? classes_[cls].name : none;
 }
 
-const char* Statistics::nameOf(End end) { return kEnds[static_cast<std::size_t>(end)]; }
+const char* Statistics::nameOf(End end) {
+  return kEnds[static_cast<std::size_t>(end)];
+}
 
 void Statistics::answered(std::size_t cls, End end, std::optional<std::chrono::nanoseconds> took) {
-  if (cls == kNoClass) return;
+  if (cls == kNoClass)
+    return;
   Class& c = classes_[cls];
-  if (took) c.times[static_cast<std::size_t>(end)]->Observe(std::chrono::duration<double>(*took).count());
+  if (took)
+    c.times[static_cast<std::size_t>(end)]->Observe(std::chrono::duration<double>(*took).count());
   ++(end == End::success ? c.success : end == End::busy ? c.busy : c.failure);
 }
 
@@ -55,9 +61,12 @@
   const auto line = [&](const std::string& name, std::uint64_t value) {
     text += "app." + name + "=" + std::to_string(value) + "\n";
   };
-  for (const Class& c : classes_) line("success." + c.name, c.success);
-  for (const Class& c : classes_) line("busy." + c.name, c.busy);
-  for (const Class& c : classes_) line("failure." + c.name, c.failure);
+  for (const Class& c : classes_)
+    line("success." + c.name, c.success);
+  for (const Class& c : classes_)
+    line("busy." + c.name, c.busy);
+  for (const Class& c : classes_)
+    line("failure." + c.name, c.failure);
   line("backend_calls", gauges.backendCalls);
   line("inflight", inflight_);
   line("hosts_listed", gauges.hostsListed);
--- a/src/gateway/twin.cpp
+++ b/src/gateway/twin.cpp
@@ -30,7 +30,8 @@
   file_ = ::mkostemp(own_.data(), O_CLOEXEC);
   if (file_ < 0 || ::flock(file_, LOCK_EX) != 0) {
     const std::string why = std::strerror(errno);
-    if (file_ >= 0) ::close(file_);
+    if (file_ >= 0)
+      ::close(file_);
     throw std::runtime_error("cannot announce this process in " + folder + ": " + why);
   }
   present_ = look();
@@ -47,18 +48,24 @@
 bool Twin::look() {
   if (::access(own_.c_str(), F_OK) != 0) {
     const int again = ::open(own_.c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0600);
-    if (again >= 0 && ::flock(again, LOCK_EX | LOCK_NB) == 0) ::close(std::exchange(file_, again));
-    else if (again >= 0) ::close(again);
+    if (again >= 0 && ::flock(again, LOCK_EX | LOCK_NB) == 0)
+      ::close(std::exchange(file_, again));
+    else if (again >= 0)
+      ::close(again);
   }
   bool other = false;
   std::error_code ec;
   for (std::filesystem::directory_iterator it(folder_, ec), end; !ec && it != end; it.increment(ec)) {
     const std::string path = it->path().string(), name = it->path().filename().string();
-    if (name.rfind(prefix_, 0) != 0 || name == std::filesystem::path(own_).filename().string()) continue;
+    if (name.rfind(prefix_, 0) != 0 || name == std::filesystem::path(own_).filename().string())
+      continue;
     const int file = ::open(path.c_str(), O_RDWR | O_CLOEXEC);
-    if (file < 0) continue;
-    if (::flock(file, LOCK_EX | LOCK_NB) == 0) ::unlink(path.c_str());
-    else other = true;
+    if (file < 0)
+      continue;
+    if (::flock(file, LOCK_EX | LOCK_NB) == 0)
+      ::unlink(path.c_str());
+    else
+      other = true;
     ::close(file);
   }
   return other;
@@ -67,9 +74,11 @@
 void Twin::watch() {
   timer_.expires_after(kLook);
   timer_.async_wait([this](boost::system::error_code ec) {
-    if (ec) return;
+    if (ec)
+      return;
     const bool before = std::exchange(present_, look());
-    if (present_ != before) changed_();
+    if (present_ != before)
+      changed_();
     watch();
   });
 }
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -66,9 +66,12 @@
     int depth = 0;  // commas within [..] or {..} belong to a value
     for (std::size_t i = 0; i <= text.size(); ++i) {
       const char c = i < text.size() ? text[i] : ',';
-      if (c == '[' || c == '{') ++depth;
-      if (c == ']' || c == '}') --depth;
-      if (i < text.size() && (c != ',' || depth > 0)) continue;
+      if (c == '[' || c == '{')
+        ++depth;
+      if (c == ']' || c == '}')
+        --depth;
+      if (i < text.size() && (c != ',' || depth > 0))
+        continue;
       parts.push_back(text.substr(from, i - from));
       from = i + 1;
     }
@@ -83,7 +86,8 @@
   explicit Progress(std::size_t all) : all_(all), told_(std::chrono::steady_clock::now()) {}
   void operator()(std::size_t done) {
     const auto now = std::chrono::steady_clock::now();
-    if (now - told_ < std::chrono::seconds(2)) return;
+    if (now - told_ < std::chrono::seconds(2))
+      return;
     told_ = now;
     spdlog::info("{} of {} days played", done, all_);
   }
@@ -98,7 +102,8 @@
                             const Options& o) {
   std::vector<Day> days;
   for (const Scenario& s : scenarios)
-    for (std::uint64_t seed : seedsFrom(o.seeds)) days.push_back({&s, policy, seed});
+    for (std::uint64_t seed : seedsFrom(o.seeds))
+      days.push_back({&s, policy, seed});
   Progress progress(days.size());
   return hollyrun::lab::playAll(days, o.threads, o.series, std::ref(progress));
 }
@@ -113,7 +118,8 @@
   int code = 0;
   for (const Result& r : results)
     for (const Breach& b : r.breaches) {
-      if (r.policy != "module") continue;  // a plain policy is a yardstick, not on trial
+      if (r.policy != "module")
+        continue;  // a plain policy is a yardstick, not on trial
       fmt::print("{} seed {}: {}\n", r.scenario, r.seed, lineOf(b));
       code = kBroken;
     }
@@ -121,7 +127,8 @@
 }
 
 void keep(const Options& o, const std::vector<Result>& results) {
-  if (o.db.empty()) return;
+  if (o.db.empty())
+    return;
   Store(o.db).put(o.label, results, o.series);
 }
 
@@ -146,7 +153,8 @@
 
 int run(const Options& o) {
   std::vector<Scenario> scenarios;
-  for (const std::string& file : o.files) scenarios.push_back(readScenario(file, o.set));
+  for (const std::string& file : o.files)
+    scenarios.push_back(readScenario(file, o.set));
   policyNamed(o.policy);
   const std::vector<Result> results = playAll(scenarios, o.policy, o);
   keep(o, results);
@@ -154,13 +162,16 @@
     for (const Result& r : results) {
       fmt::print("{}", textOf(r));
       if (o.log)
-        for (const std::string& line : r.said) fmt::print("{}\n", line);
+        for (const std::string& line : r.said)
+          fmt::print("{}\n", line);
     }
-    if (results.size() == 1) return results.front().breaches.empty() || o.policy != "module" ? 0 : kBroken;
+    if (results.size() == 1)
+      return results.front().breaches.empty() || o.policy != "module" ? 0 : kBroken;
   }
   header();
   std::vector<double> all;
-  for (const Result& r : results) fmt::print("{}\n", lineOf(r)), all.push_back(r.g);
+  for (const Result& r : results)
+    fmt::print("{}\n", lineOf(r)), all.push_back(r.g);
   const Estimate e = estimate(all);
   fmt::print("mean G {:.4f} -+ {:.4f} over {} days\n", e.mean, e.half, e.count);
   return breachesOf(results);
@@ -171,17 +182,21 @@
                                                                   int& code) {
   std::map<std::pair<std::string, std::uint64_t>, Result> all;
   if (!arm.label.empty()) {
-    if (o.db.empty()) throw std::runtime_error("@" + arm.label + " needs --db");
+    if (o.db.empty())
+      throw std::runtime_error("@" + arm.label + " needs --db");
     for (StoredRun& kept : Store(o.db).runs(arm.label))
       all.insert_or_assign({kept.result.scenario, kept.result.seed}, std::move(kept.result));
-    if (all.empty()) throw std::runtime_error("no runs are kept under '" + arm.label + "'");
+    if (all.empty())
+      throw std::runtime_error("no runs are kept under '" + arm.label + "'");
     return all;
   }
   std::vector<Scenario> scenarios;
-  for (const std::string& file : o.files) scenarios.push_back(readScenario(file, merged(o.set, arm.set)));
+  for (const std::string& file : o.files)
+    scenarios.push_back(readScenario(file, merged(o.set, arm.set)));
   const std::vector<Result> results = playAll(scenarios, arm.policy, o);
   code = std::max(code, breachesOf(results));
-  for (const Result& r : results) all.insert_or_assign({r.scenario, r.seed}, r);
+  for (const Result& r : results)
+    all.insert_or_assign({r.scenario, r.seed}, r);
   return all;
 }
 
@@ -200,8 +215,10 @@
       {"p99 ms", [](const Result& r) { return r.p99; }}};
   std::vector<std::string> names{""};  // all scenarios together, and each
   for (const auto& [key, r] : a)
-    if (names.back() != key.first) names.push_back(key.first);
-  if (names.size() == 2) names.erase(names.begin());
+    if (names.back() != key.first)
+      names.push_back(key.first);
+  if (names.size() == 2)
+    names.erase(names.begin());
   fmt::print("a = {}, b = {}; difference a - b with its 95 % confidence interval\n", armA.name, armB.name);
   for (const std::string& name : names) {
     fmt::print("{}\n", name.empty() ? "all scenarios" : name);
@@ -209,12 +226,14 @@
       std::vector<double> as, bs, differences;
       for (const auto& [key, r] : a) {
         const auto other = b.find(key);
-        if (other == b.end() || (!name.empty() && key.first != name)) continue;
+        if (other == b.end() || (!name.empty() && key.first != name))
+          continue;
         as.push_back(of(r));
         bs.push_back(of(other->second));
         differences.push_back(as.back() - bs.back());
       }
-      if (differences.empty()) throw std::runtime_error("the two arms have no scenario and seed in common");
+      if (differences.empty())
+        throw std::runtime_error("the two arms have no scenario and seed in common");
       const Estimate e = estimate(differences);
       const char* verdict = std::abs(e.mean) <= e.half ? "not told apart"
                             : e.mean > 0               ? "a higher"
@@ -229,7 +248,8 @@
 
 int sweep(const Options& o) {
   const std::size_t equals = o.vary.find('=');
-  if (equals == std::string::npos) throw std::runtime_error("--vary wants KEY=VALUE,VALUE,...");
+  if (equals == std::string::npos)
+    throw std::runtime_error("--vary wants KEY=VALUE,VALUE,...");
   const std::string key = o.vary.substr(0, equals);
   const Arm values("module," + o.vary.substr(equals + 1));  // the same splitting at commas
   fmt::print("{} policy G mean half refused failed jammed p99_ms\n", key);
@@ -262,25 +282,31 @@
   Store store(o.db);
   std::vector<StoredRun> runs;
   if (o.ids.empty())
-    for (const StoredRun& r : store.runs(o.label == "run" ? "" : o.label)) runs.push_back(r);
-  for (std::int64_t id : o.ids) runs.push_back(store.run(id));
-  if (runs.empty()) throw std::runtime_error(o.db + " holds no such runs");
+    for (const StoredRun& r : store.runs(o.label == "run" ? "" : o.label))
+      runs.push_back(r);
+  for (std::int64_t id : o.ids)
+    runs.push_back(store.run(id));
+  if (runs.empty())
+    throw std::runtime_error(o.db + " holds no such runs");
   if (o.out.empty()) {
     fmt::print("run label ");
     header();
-    for (const StoredRun& r : runs) fmt::print("{} {} {}\n", r.id, r.label, lineOf(r.result));
+    for (const StoredRun& r : runs)
+      fmt::print("{} {} {}\n", r.id, r.label, lineOf(r.result));
     return 0;
   }
   std::ofstream file(o.out);
   file << htmlOf(runs);
   file.close();
-  if (!file) throw std::runtime_error(o.out + " could not be written");
+  if (!file)
+    throw std::runtime_error(o.out + " could not be written");
   fmt::print("{}: {} runs\n", o.out, runs.size());
   return 0;
 }
 
 void keepOne(const Options& o, const Result& r) {
-  if (!o.db.empty()) Store(o.db).put(o.label, {r}, false);
+  if (!o.db.empty())
+    Store(o.db).put(o.label, {r}, false);
 }
 
 // The emulated platform until it is interrupted, or for so long.
@@ -296,7 +322,8 @@
     file << configOf(scenario, DrawnDay(scenario, o.seed), 0, 1, textOf(listen.endpoint()), discovery,
                      textOf(management.endpoint()));
     file.close();
-    if (!file) throw std::runtime_error(o.config + " could not be written");
+    if (!file)
+      throw std::runtime_error(o.config + " could not be written");
     fmt::print(
         "gateway     hollyrun serve --config {}\nrecord      curl -H 'X-Request-Id: 1' http://{}/{}/1\n",
         o.config, textOf(listen.endpoint()), scenario.classes.front().set.name);
@@ -313,8 +340,10 @@
   std::function<void()> show = [&] {
     tell.expires_after(std::chrono::seconds(5));
     tell.async_wait([&](error_code ec) {
-      if (ec) return;
-      if (platform.held() > 0) spdlog::info("held {}", platform.stateLine());
+      if (ec)
+        return;
+      if (platform.held() > 0)
+        spdlog::info("held {}", platform.stateLine());
       show();
     });
   };
@@ -328,8 +357,10 @@
   error_code ec;
   const auto address = asio::ip::make_address(text.substr(0, colon), ec);
   const int port = colon == std::string::npos ? 0 : std::atoi(text.c_str() + colon + 1);
-  if (ec || port < 1 || port > 65535) throw std::runtime_error("'" + text + "' is no ADDRESS:PORT");
-  if (!address.is_loopback()) throw std::runtime_error(text + ": a load goes to loopback only");
+  if (ec || port < 1 || port > 65535)
+    throw std::runtime_error("'" + text + "' is no ADDRESS:PORT");
+  if (!address.is_loopback())
+    throw std::runtime_error(text + ": a load goes to loopback only");
   return {address, static_cast<unsigned short>(port)};
 }
 
@@ -345,7 +376,8 @@
   bool interrupted = false;
   asio::signal_set signals(io, SIGINT, SIGTERM);
   signals.async_wait([&](error_code ec, int) {
-    if (ec) return;
+    if (ec)
+      return;
     interrupted = true;
     io.stop();
   });
@@ -353,7 +385,8 @@
   std::function<void()> show = [&] {
     tell.expires_after(std::chrono::seconds(1));
     tell.async_wait([&](error_code ec) {
-      if (ec) return;
+      if (ec)
+        return;
       const Result r = clients.result();
       spdlog::info("{} calls, {} open, {:.3f} of the worth in time, p99 {:.1f} ms", r.calls, clients.open(),
                    r.whole, r.p99);
@@ -369,7 +402,8 @@
   const Latencies& l = clients.latencies();
   fmt::print("times ms: p50 {:.2f}  p90 {:.2f}  p99 {:.2f}  p99.9 {:.2f}\n", l.percentile(0.5),
              l.percentile(0.9), l.percentile(0.99), l.percentile(0.999));
-  if (interrupted) return kInterrupted;
+  if (interrupted)
+    return kInterrupted;
   return r.breaches.empty() ? 0 : kBroken;
 }
 
@@ -381,16 +415,22 @@
     std::ofstream file(o.out);
     file << pageOf(result);
     file.close();
-    if (!file) throw std::runtime_error(o.out + " could not be written");
+    if (!file)
+      throw std::runtime_error(o.out + " could not be written");
   }
   if (o.log)
-    for (const std::string& line : result.line) fmt::print("{}\n", line);
+    for (const std::string& line : result.line)
+      fmt::print("{}\n", line);
   fmt::print("{}", textOf(result));
   switch (result.verdict) {
-    case Verdict::pass: return 0;
-    case Verdict::fail: return kBroken;
-    case Verdict::voided: return kVoid;
-    case Verdict::interrupted: return kInterrupted;
+    case Verdict::pass:
+      return 0;
+    case Verdict::fail:
+      return kBroken;
+    case Verdict::voided:
+      return kVoid;
+    case Verdict::interrupted:
+      return kInterrupted;
   }
   return kBroken;
 }
@@ -402,7 +442,8 @@
         "three members, {} steps deep, {} crashes: {} states, {} steps, {} of the states played on until all "
         "agreed\n",
         o.depth, o.crashes, e.states, e.steps, e.healed);
-    for (const std::string& what : e.broken) fmt::print("{}\n", what);
+    for (const std::string& what : e.broken)
+      fmt::print("{}\n", what);
     return e.broken.empty() ? 0 : kBroken;
   }
   if (!o.memberFaults.empty()) {
@@ -418,7 +459,8 @@
   }
   std::vector<MembersRow> rows;
   for (const std::size_t n : o.sizes)
-    for (const double loss : o.losses) rows.push_back(measureMembers({n, loss, o.kills, o.seed, o.trace}));
+    for (const double loss : o.losses)
+      rows.push_back(measureMembers({n, loss, o.kills, o.seed, o.trace}));
   fmt::print("{}", textOf(rows));
   return 0;
 }
--- a/src/lab/report/experiment.cpp
+++ b/src/lab/report/experiment.cpp
@@ -14,7 +14,8 @@
 
 std::vector<Result> playAll(const std::vector<Day>& jobs, unsigned threads, bool series,
                             const std::function<void(std::size_t)>& progress) {
-  if (threads == 0) threads = std::max(1u, std::thread::hardware_concurrency());
+  if (threads == 0)
+    threads = std::max(1u, std::thread::hardware_concurrency());
   std::vector<Result> results(jobs.size());
   std::atomic<std::size_t> next{0};
   std::mutex guard;
@@ -26,30 +27,36 @@
         const Day& job = jobs[i];
         Result r = play(*job.scenario, job.seed, job.policy, policyNamed(job.policy));
         if (!series)
-          for (ServerRecord& s : r.servers) s.held = {}, s.states = {};
+          for (ServerRecord& s : r.servers)
+            s.held = {}, s.states = {};
         results[i] = std::move(r);
       } catch (...) {
         const std::lock_guard lock(guard);
-        if (!failure) failure = std::current_exception();
+        if (!failure)
+          failure = std::current_exception();
         next = jobs.size();
       }
       const std::lock_guard lock(guard);
-      if (progress) progress(++done);
+      if (progress)
+        progress(++done);
     }
   };
   {
     std::vector<std::jthread> pool;
-    for (std::size_t i = 1; i < std::min<std::size_t>(threads, jobs.size()); ++i) pool.emplace_back(work);
+    for (std::size_t i = 1; i < std::min<std::size_t>(threads, jobs.size()); ++i)
+      pool.emplace_back(work);
     work();
   }
-  if (failure) std::rethrow_exception(failure);
+  if (failure)
+    std::rethrow_exception(failure);
   return results;
 }
 
 Estimate estimate(const std::vector<double>& values) {
   Estimate e;
   e.count = values.size();
-  if (values.empty()) return e;
+  if (values.empty())
+    return e;
   for (double v : values) {
     e.mean += v / static_cast<double>(values.size());
     e.better += v > 0;
@@ -60,7 +67,8 @@
     return e;
   }
   double square = 0;
-  for (double v : values) square += (v - e.mean) * (v - e.mean);
+  for (double v : values)
+    square += (v - e.mean) * (v - e.mean);
   const double n = static_cast<double>(values.size());
   const boost::math::students_t student(n - 1);
   e.half = boost::math::quantile(student, 0.975) * std::sqrt(square / (n - 1) / n);
@@ -77,18 +85,24 @@
   const auto number = [&] {
     std::uint64_t n = 0;
     const auto [stop, error] = std::from_chars(at, end, n);
-    if (error != std::errc{}) throw bad();
+    if (error != std::errc{})
+      throw bad();
     at = stop;
     return n;
   };
   while (true) {
     const std::uint64_t from = number();
     std::uint64_t to = from;
-    if (at != end && *at == '-') ++at, to = number();
-    if (to < from || to - from >= 100000) throw bad();
-    for (std::uint64_t s = from; s <= to; ++s) seeds.push_back(s);
-    if (at == end) return seeds;
-    if (*at++ != ',') throw bad();
+    if (at != end && *at == '-')
+      ++at, to = number();
+    if (to < from || to - from >= 100000)
+      throw bad();
+    for (std::uint64_t s = from; s <= to; ++s)
+      seeds.push_back(s);
+    if (at == end)
+      return seeds;
+    if (*at++ != ',')
+      throw bad();
   }
 }
 
--- a/src/lab/report/report.cpp
+++ b/src/lab/report/report.cpp
@@ -20,7 +20,8 @@
 // Runs a script of gnuplot in a directory of its own and gives back the SVG.
 std::string plotted(const std::string& script) {
   std::string pattern = (std::filesystem::temp_directory_path() / "hollyrun-lab-XXXXXX").string();
-  if (!mkdtemp(pattern.data())) throw std::runtime_error("no temporary directory for the plots");
+  if (!mkdtemp(pattern.data()))
+    throw std::runtime_error("no temporary directory for the plots");
   const std::filesystem::path dir = pattern;
   struct Cleaner {
     std::filesystem::path path;
@@ -64,7 +65,8 @@
                                         "#ffe599", "#666666", "#b4a7d6", "#eeeeee"};
   std::string script =
       fmt::format("set yrange [-1:{}]\nset ytics 1\nset ylabel 'server'\n", r.servers.size());
-  if (r.servers.size() > 30) script += "set ytics 20\n";
+  if (r.servers.size() > 30)
+    script += "set ytics 20\n";
   std::string plot;
   for (int state = 0; state < 8; ++state) {
     std::string data;
@@ -72,14 +74,16 @@
       const auto& states = r.servers[i].states;
       for (std::size_t k = 0; k < states.size();) {  // stretches of one state
         std::size_t end = k;
-        while (end < states.size() && states[end] == states[k]) ++end;
+        while (end < states.size() && states[end] == states[k])
+          ++end;
         if (static_cast<int>(states[k]) == state)
           data += fmt::format("{:.2f} {} {:.2f} 0\n", static_cast<double>(k) * kSampleS, i,
                               static_cast<double>(end - k) * kSampleS);
         k = end;
       }
     }
-    if (data.empty()) continue;
+    if (data.empty())
+      continue;
     script += fmt::format("$state{} << EOD\n{}EOD\n", state, data);
     plot += fmt::format("{}$state{} with vectors nohead lw {} lc rgb '{}' title '{}'",
                         plot.empty() ? "" : ", ", state, r.servers.size() > 30 ? 2 : 10, colours[state],
@@ -90,7 +94,8 @@
 
 std::string heldPlot(const Result& r) {
   std::size_t samples = 0;
-  for (const ServerRecord& s : r.servers) samples = std::max(samples, s.held.size());
+  for (const ServerRecord& s : r.servers)
+    samples = std::max(samples, s.held.size());
   std::string data = "$h << EOD\n";
   const bool each = r.servers.size() <= 20;  // beyond that their spread says more than a tangle of lines
   for (std::size_t k = 0; k < samples; ++k) {
@@ -98,8 +103,10 @@
     std::vector<double> held;
     for (const ServerRecord& s : r.servers) {
       const double core = k < s.held.size() ? s.held[k] / s.cores : 0;
-      if (each) data += fmt::format(" {:.2f}", core);
-      else if (k < s.states.size() && s.states[k] != ServerState::gone) held.push_back(core);
+      if (each)
+        data += fmt::format(" {:.2f}", core);
+      else if (k < s.states.size() && s.states[k] != ServerState::gone)
+        held.push_back(core);
     }
     if (!each) {
       std::sort(held.begin(), held.end());
@@ -145,7 +152,8 @@
           plotted(data +
                   "set logscale y\nset ylabel 'ms'\n"
                   "plot $s using 1:12 with lines title 'median', '' using 1:13 with lines title '99 %'\n");
-  if (r.servers.empty() || r.servers.front().held.empty()) return html;
+  if (r.servers.empty() || r.servers.front().held.empty())
+    return html;
   html += "<h3>Held by each server</h3>" + plotted(heldPlot(r));
   html += "<h3>State of each server</h3>" + plotted(statesPlot(r));
   return html;
@@ -168,10 +176,14 @@
 std::string escaped(const std::string& text) {
   std::string out;
   for (char c : text) {
-    if (c == '&') out += "&amp;";
-    else if (c == '<') out += "&lt;";
-    else if (c == '>') out += "&gt;";
-    else out += c;
+    if (c == '&')
+      out += "&amp;";
+    else if (c == '<')
+      out += "&lt;";
+    else if (c == '>')
+      out += "&gt;";
+    else
+      out += c;
   }
   return out;
 }
@@ -210,7 +222,8 @@
       s.connectFailed += o.connectFailed, s.resets += o.resets, s.errors += o.errors;
       s.cutoff = std::max(s.cutoff, o.cutoff);
       s.p99 = std::max(s.p99, o.p99);
-      if (o.p50 > 0) s.p50 += o.p50, ++with;
+      if (o.p50 > 0)
+        s.p50 += o.p50, ++with;
     }
     out += fmt::format(
         "{:>6} {:>6} {:>8.1f} {:>6.1f} {:>7} {:>6} {:>6} {:>8} {:>6} {:>4} {:>5} {:>5} {:>4} {:>6.1f} "
@@ -228,10 +241,14 @@
                       s.kind, s.zone, c.held,
                       c.to > Time{} ? fmt::format(", until {:.3f} s", inSeconds(c.to)) : ", for good"));
   std::sort(chokes.begin(), chokes.end());
-  for (const std::string& text : r.happened) out += "  " + text + "\n";
-  for (const auto& [at, text] : chokes) out += text;
-  for (const Breach& b : r.breaches) out += lineOf(b) + "\n";
-  if (r.breaches.empty()) out += "rules kept\n";
+  for (const std::string& text : r.happened)
+    out += "  " + text + "\n";
+  for (const auto& [at, text] : chokes)
+    out += text;
+  for (const Breach& b : r.breaches)
+    out += lineOf(b) + "\n";
+  if (r.breaches.empty())
+    out += "rules kept\n";
   return out;
 }
 
@@ -260,10 +277,12 @@
   }
   html += "</table>";
   for (const StoredRun& run : runs) {
-    if (run.result.seconds.empty()) continue;
+    if (run.result.seconds.empty())
+      continue;
     html += fmt::format("<h2>Run {}: {}, {}, seed {}</h2>", run.id, escaped(run.result.scenario),
                         escaped(run.result.policy), run.result.seed);
-    for (const Breach& b : run.result.breaches) html += "<p class=\"bad\">" + escaped(lineOf(b)) + "</p>";
+    for (const Breach& b : run.result.breaches)
+      html += "<p class=\"bad\">" + escaped(lineOf(b)) + "</p>";
     html += figuresOf(run.result) + "<details><summary>Figures</summary><pre>" + escaped(textOf(run.result)) +
             "</pre></details>";
   }
--- a/src/lab/report/store.cpp
+++ b/src/lab/report/store.cpp
@@ -45,7 +45,8 @@
 class Statement {
  public:
   Statement(sqlite3* db, const char* text) : db_(db) {
-    if (sqlite3_prepare_v2(db, text, -1, &statement_, nullptr) != SQLITE_OK) raise(db, text);
+    if (sqlite3_prepare_v2(db, text, -1, &statement_, nullptr) != SQLITE_OK)
+      raise(db, text);
   }
   ~Statement() { sqlite3_finalize(statement_); }
   Statement(const Statement&) = delete;
@@ -68,14 +69,16 @@
     finish();
   }
   void finish() {
-    if (sqlite3_step(statement_) != SQLITE_DONE) raise(db_, "could not be written");
+    if (sqlite3_step(statement_) != SQLITE_DONE)
+      raise(db_, "could not be written");
     sqlite3_reset(statement_);
     bound_ = 0;
   }
   bool row() {
     column_ = 0;
     const int state = sqlite3_step(statement_);
-    if (state != SQLITE_ROW && state != SQLITE_DONE) raise(db_, "could not be read");
+    if (state != SQLITE_ROW && state != SQLITE_DONE)
+      raise(db_, "could not be read");
     return state == SQLITE_ROW;
   }
   void read(double& v) { v = sqlite3_column_double(statement_, column_++); }
@@ -91,7 +94,8 @@
     const auto size = static_cast<std::size_t>(sqlite3_column_bytes(statement_, column_));
     const void* data = sqlite3_column_blob(statement_, column_++);
     v.resize(size / sizeof(Value));
-    if (!v.empty()) std::memcpy(v.data(), data, v.size() * sizeof(Value));
+    if (!v.empty())
+      std::memcpy(v.data(), data, v.size() * sizeof(Value));
   }
   template <class... Values>
   void columns(Values&... values) {
@@ -100,7 +104,8 @@
 
  private:
   Statement& check(int state) {
-    if (state != SQLITE_OK) raise(db_, "bind");
+    if (state != SQLITE_OK)
+      raise(db_, "bind");
     return *this;
   }
   sqlite3* db_;
@@ -126,19 +131,23 @@
 
 Rule ruleNamed(const std::string& name) {
   for (Rule rule : {Rule::lost, Rule::duplicate, Rule::drain, Rule::fall})
-    if (name == nameOf(rule)) return rule;
+    if (name == nameOf(rule))
+      return rule;
   throw std::runtime_error("the file names an unknown rule, " + name);
 }
 
 }  // namespace
 
-void Store::Close::operator()(sqlite3* db) const { sqlite3_close(db); }
+void Store::Close::operator()(sqlite3* db) const {
+  sqlite3_close(db);
+}
 
 Store::Store(const std::string& file) {
   sqlite3* db = nullptr;
   const int state = sqlite3_open(file.c_str(), &db);
   db_.reset(db);
-  if (state != SQLITE_OK) raise(db, file);
+  if (state != SQLITE_OK)
+    raise(db, file);
   sqlite3_busy_timeout(db, 5000);
   execute(kTables);
 }
@@ -146,7 +155,8 @@
 Store::~Store() = default;
 
 void Store::execute(const char* text) {
-  if (sqlite3_exec(db_.get(), text, nullptr, nullptr, nullptr) != SQLITE_OK) raise(db_.get(), "results");
+  if (sqlite3_exec(db_.get(), text, nullptr, nullptr, nullptr) != SQLITE_OK)
+    raise(db_.get(), "results");
 }
 
 void Store::put(const std::string& label, const std::vector<Result>& results, bool series) {
@@ -192,7 +202,8 @@
       }
       for (const Breach& b : r.breaches)
         breach.insert(id, std::string(nameOf(b.rule)), inSeconds(b.at), b.request, b.server, b.what);
-      for (const std::string& text : r.happened) happened.insert(id, text);
+      for (const std::string& text : r.happened)
+        happened.insert(id, text);
     }
     execute("COMMIT");
   } catch (...) {
@@ -207,7 +218,8 @@
   Statement in(db_.get(), text.c_str());
   in.bind(label);
   std::vector<StoredRun> all;
-  while (in.row()) all.push_back(readRun(in));
+  while (in.row())
+    all.push_back(readRun(in));
   return all;
 }
 
@@ -215,7 +227,8 @@
   sqlite3* db = db_.get();
   Statement in(db, (std::string("SELECT ") + kRunColumns + " FROM runs WHERE id = ?").c_str());
   in.bind(id);
-  if (!in.row()) throw std::runtime_error("there is no run " + std::to_string(id));
+  if (!in.row())
+    throw std::runtime_error("there is no run " + std::to_string(id));
   StoredRun s = readRun(in);
   Result& r = s.result;
   Statement classes(
@@ -332,7 +345,8 @@
       std::string name;
       double value = 0;
       figures.columns(name, value);
-      if (const auto figure = figureNamed(name)) step[*figure] = value;
+      if (const auto figure = figureNamed(name))
+        step[*figure] = value;
     }
     all.push_back(std::move(step));
   }
--- a/src/lab/rig/fleet.cpp
+++ b/src/lab/rig/fleet.cpp
@@ -65,7 +65,8 @@
       if (t.kind != "surge")
         throw std::runtime_error(t.place + ": trouble '" + t.kind +
                                  "' is for virtual time; on processes use [[fault]]");
-    if (::access(plan.program.c_str(), X_OK) != 0) throw std::runtime_error("no program at " + plan.program);
+    if (::access(plan.program.c_str(), X_OK) != 0)
+      throw std::runtime_error("no program at " + plan.program);
     dir_ = plan.dir;
     if (dir_.empty()) {
       // Danger: a file renamed over another is written to the disk at once; that held the loop for 65 ms
@@ -74,7 +75,8 @@
       const fs::path memory = "/dev/shm";
       const fs::path base = ::access(memory.c_str(), W_OK) == 0 ? memory : fs::temp_directory_path();
       std::string pattern = (base / "hollyrun-fleet-XXXXXX").string();
-      if (!::mkdtemp(pattern.data())) throw std::runtime_error("no temporary directory");
+      if (!::mkdtemp(pattern.data()))
+        throw std::runtime_error("no temporary directory");
       dir_ = pattern;
       ownDir_ = true;
     }
@@ -82,7 +84,8 @@
   ~Rig() {
     killAll();
     std::error_code ignored;
-    if (ownDir_) fs::remove_all(dir_, ignored);
+    if (ownDir_)
+      fs::remove_all(dir_, ignored);
   }
 
   FleetResult play() {
@@ -97,13 +100,15 @@
       m.tmp = dir_ / (m.name + ".tmp");
       m.config = dir_ / (m.name + ".toml");
       fs::create_directories(m.tmp);
-      if (s_.membershipPeriodMs > 0) relay_.add();
+      if (s_.membershipPeriodMs > 0)
+        relay_.add();
       targets.push_back({m.name, m.port.endpoint(), i % static_cast<std::uint32_t>(s_.zones.size()), true});
     }
     load_ = std::make_unique<Load>(io_, s_, plan_.seed, LoadPlan{plan_.rate, s_.lengthS, {}},
                                    platform_.capacity(), std::move(targets));
     witness_.load = load_.get();
-    for (auto& m : members_) start(*m, [this] { began(); });
+    for (auto& m : members_)
+      start(*m, [this] { began(); });
     io_.run();
     killAll();
     return verdict();
@@ -122,14 +127,16 @@
     return load_ && load_->started() > Time{} ? inSeconds(clockNow() - load_->started()) : 0;
   }
   void note(const std::string& text) {
-    if (line_.size() < kLinesMost) line_.push_back(fmt::format("{:8.3f}  {}", since(), text));
+    if (line_.size() < kLinesMost)
+      line_.push_back(fmt::format("{:8.3f}  {}", since(), text));
   }
   void breach(Rule rule, const std::string& what) { load_->checker().breach(rule, clockNow(), 0, "", what); }
   void later(double s, std::function<void()> call) {
     auto timer = std::make_shared<asio::steady_timer>(io_);
     timer->expires_after(seconds(s));
     timer->async_wait([timer, call = std::move(call)](error_code ec) {
-      if (!ec) call();
+      if (!ec)
+        call();
     });
   }
 
@@ -147,7 +154,8 @@
   }
   // The first three are seeds: one of them is there in all but the worst of faults.
   std::string membershipOf(const Member& m) const {
-    if (s_.membershipPeriodMs <= 0) return {};
+    if (s_.membershipPeriodMs <= 0)
+      return {};
     std::string seeds;
     for (std::size_t i = 0; i < std::min(kSeeds, members_.size()); ++i)
       seeds += fmt::format("{}\"{}\"", i ? ", " : "", textOf(relay_.advertised(i)));
@@ -175,8 +183,10 @@
     awaitReady(m, m.process, clockNow() + kReadyMost, ready);
   }
   void overAsItStarted(Member& m, Process& p, const std::function<void()>& ready) {
-    if (p.asked || stopping_) return;
-    if (p.ready) return crashed(p);
+    if (p.asked || stopping_)
+      return;
+    if (p.ready)
+      return crashed(p);
     if (p.lastLine.find("in use") != std::string::npos && m.starts < kStartsMost) {
       note(m.name + " found its address taken and is started again");
       return start(m, ready);
@@ -188,7 +198,8 @@
     breach(Rule::crash, fmt::format("{} ended with {} unasked: {}", p.name, p.code, p.lastLine));
   }
   void awaitReady(Member& m, const std::shared_ptr<Process>& p, Time most, std::function<void()> ready) {
-    if (p->ended || stopping_) return;
+    if (p->ended || stopping_)
+      return;
     if (clockNow() > most) {
       breach(Rule::crash, m.name + " neither ended nor became ready");
       return end();
@@ -205,7 +216,8 @@
   }
   void watchChildren() {
     children_.async_wait([this](error_code ec, int) {
-      if (ec) return;
+      if (ec)
+        return;
       reap();
       watchChildren();
     });
@@ -214,7 +226,8 @@
     for (const auto& p : std::vector<std::shared_ptr<Process>>(processes_)) {
       int status = 0;
       rusage used{};
-      if (p->ended || ::wait4(p->pid, &status, WNOHANG, &used) != p->pid) continue;
+      if (p->ended || ::wait4(p->pid, &status, WNOHANG, &used) != p->pid)
+        continue;
       p->ended = true;
       p->code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
       cpu_ += static_cast<double>(used.ru_utime.tv_sec + used.ru_stime.tv_sec) +
@@ -224,9 +237,12 @@
       // What it said last is still in its pipe.
       asio::post(io_, [this, p] {
         // One that is ended before it has a handler for the signal dies of it.
-        if (p->asked && p->ready && p->code != 0 && p->code != 128 + SIGKILL) crashed(*p);
-        else if (p->over) p->over();
-        if (stopping_ && allEnded()) io_.stop();
+        if (p->asked && p->ready && p->code != 0 && p->code != 128 + SIGKILL)
+          crashed(*p);
+        else if (p->over)
+          p->over();
+        if (stopping_ && allEnded())
+          io_.stop();
       });
     }
   }
@@ -235,7 +251,8 @@
   }
   void killAll() {
     for (const auto& p : processes_) {
-      if (p->ended) continue;
+      if (p->ended)
+        continue;
       ::kill(p->pid, SIGKILL);
       ::waitpid(p->pid, nullptr, 0);
       p->ended = true;
@@ -245,14 +262,17 @@
   // --- The day ---
 
   void began() {
-    if (load_->started() > Time{} || stopping_) return;
+    if (load_->started() > Time{} || stopping_)
+      return;
     for (const auto& m : members_)
-      if (!m->process->ready) return;
+      if (!m->process->ready)
+        return;
     note("all are ready, clients come");
     watchViews();
     watchLag(clockNow() + kLagLook);
     load_->start([this] { end(); });
-    for (const Fault& f : s_.faults) later(f.atS, [this, &f] { befall(f); });
+    for (const Fault& f : s_.faults)
+      later(f.atS, [this, &f] { befall(f); });
     later(s_.lengthS - 0.1, [this] { lastLook(); });
     // Danger: a load that never settles would keep the rig; past every deadline nothing is open.
     later(s_.lengthS + day_.longest + 3, [this] { end(); });
@@ -260,28 +280,34 @@
   void watchLag(Time due) {
     lag_.expires_after(due - clockNow());
     lag_.async_wait([this, due](error_code ec) {
-      if (ec || stopping_) return;
+      if (ec || stopping_)
+        return;
       lagMs_ = std::max(lagMs_, inSeconds(clockNow() - due) * 1000);
       watchLag(clockNow() + kLagLook);
     });
   }
   void watchSignals() {
     signals_.async_wait([this](error_code ec, int) {
-      if (ec) return;
+      if (ec)
+        return;
       interrupted_ = true;
       io_.stop();
     });
   }
   void end() {
-    if (stopping_) return;
+    if (stopping_)
+      return;
     stopping_ = true;
     note("the day ends");
     load_->stop();
-    for (const auto& p : processes_) p->asked = true, p->send(SIGCONT), p->send(SIGTERM);
-    if (allEnded()) io_.stop();
+    for (const auto& p : processes_)
+      p->asked = true, p->send(SIGCONT), p->send(SIGTERM);
+    if (allEnded())
+      io_.stop();
     later(inSeconds(kEndMost), [this] {
       for (const auto& p : processes_)
-        if (!p->ended) breach(Rule::crash, p->name + " did not end after SIGTERM");
+        if (!p->ended)
+          breach(Rule::crash, p->name + " did not end after SIGTERM");
       io_.stop();
     });
   }
@@ -290,27 +316,33 @@
 
   // From a fault or its end on, all that are there have to see each other, and nobody else, in time.
   void watchViews() {
-    if (s_.expectAgreeS <= 0 || stopping_) return;
+    if (s_.expectAgreeS <= 0 || stopping_)
+      return;
     const int watch = ++viewWatch_;
     lookAtViews(watch, clockNow(), clockNow() + seconds(s_.expectAgreeS));
   }
   void lookAtViews(int watch, Time from, Time most) {
-    if (stopping_ || watch != viewWatch_) return;
+    if (stopping_ || watch != viewWatch_)
+      return;
     auto views = std::make_shared<std::map<std::string, std::string>>();
     auto waited = std::make_shared<std::size_t>(members_.size());
     for (const auto& m : members_)
       ask(io_, m->management->endpoint(), "/ops/fleet", std::chrono::milliseconds(500),
           [this, watch, from, most, views, waited, name = m->name](int status, const std::string& body) {
-            if (status == 200) (*views)[name] = body;
-            if (--*waited == 0) judgeViews(watch, from, most, *views);
+            if (status == 200)
+              (*views)[name] = body;
+            if (--*waited == 0)
+              judgeViews(watch, from, most, *views);
           });
   }
   void judgeViews(int watch, Time from, Time most, const std::map<std::string, std::string>& views) {
-    if (stopping_ || watch != viewWatch_) return;
+    if (stopping_ || watch != viewWatch_)
+      return;
     std::string why;
     std::set<std::string> digests, there;
     for (const auto& m : members_)
-      if (!m->process->ended && !m->held) there.insert(m->name);
+      if (!m->process->ended && !m->held)
+        there.insert(m->name);
     for (const std::string& name : there) {
       const auto it = views.find(name);
       const auto view = nlohmann::json::parse(it == views.end() ? "" : it->second, nullptr, false);
@@ -322,11 +354,14 @@
       std::set<std::string> sees;
       for (const auto& one : view.value("members", nlohmann::json::array())) {
         const std::string state = one.value("state", std::string());
-        if (state != "dead" && state != "left") sees.insert(one.value("name", std::string()));
+        if (state != "dead" && state != "left")
+          sees.insert(one.value("name", std::string()));
       }
-      if (sees != there) why = fmt::format("{} sees {} of {}", name, sees.size(), there.size());
+      if (sees != there)
+        why = fmt::format("{} sees {} of {}", name, sees.size(), there.size());
     }
-    if (why.empty() && digests.size() > 1) why = fmt::format("{} different views", digests.size());
+    if (why.empty() && digests.size() > 1)
+      why = fmt::format("{} different views", digests.size());
     if (why.empty()) {
       viewsAgree_ = true;
       return note(fmt::format("all {} see the same fleet, {:.2f} s after the last fault", there.size(),
@@ -349,20 +384,29 @@
   // Datagrams of these members, or of all, with others: `size` is a share, or milliseconds of delay.
   void network(const Fault& f, bool on) {
     std::set<std::size_t> of;
-    for (const std::size_t g : gatewaysOf(f)) of.insert(g);
+    for (const std::size_t g : gatewaysOf(f))
+      of.insert(g);
     for (std::size_t a = 0; a < members_.size(); ++a)
       for (std::size_t b = 0; b < members_.size(); ++b) {
-        if (a == b) continue;
+        if (a == b)
+          continue;
         const bool from = of.count(a) > 0, to = of.count(b) > 0;
-        if (f.kind == "net_mute" && from) relay_.cut(a, b, on);
-        else if (f.kind == "net_deaf" && to) relay_.cut(a, b, on);
-        else if (f.kind == "net_split" && from != to) relay_.cut(a, b, on);
-        if (!(from || to) || f.kind == "net_mute" || f.kind == "net_deaf" || f.kind == "net_split") continue;
+        if (f.kind == "net_mute" && from)
+          relay_.cut(a, b, on);
+        else if (f.kind == "net_deaf" && to)
+          relay_.cut(a, b, on);
+        else if (f.kind == "net_split" && from != to)
+          relay_.cut(a, b, on);
+        if (!(from || to) || f.kind == "net_mute" || f.kind == "net_deaf" || f.kind == "net_split")
+          continue;
         Weather w;
         w.leastMs = w.mostMs = 0;
-        if (on && f.kind == "net_loss") w.loss = f.size;
-        if (on && f.kind == "net_copies") w.copies = f.size;
-        if (on && f.kind == "net_spoils") w.spoils = f.size;
+        if (on && f.kind == "net_loss")
+          w.loss = f.size;
+        if (on && f.kind == "net_copies")
+          w.copies = f.size;
+        if (on && f.kind == "net_spoils")
+          w.spoils = f.size;
         if (on && f.kind == "net_delay")
           w.mostMs = f.size;  // drawn from none to that: they overtake each other
         relay_.set(a, b, w);
@@ -370,32 +414,41 @@
   }
 
   std::vector<std::size_t> gatewaysOf(const Fault& f) const {
-    if (!f.gateways.empty()) return f.gateways;
+    if (!f.gateways.empty())
+      return f.gateways;
     std::vector<std::size_t> all;
     for (const auto& m : members_)
-      if (f.zone.empty() || s_.zones[m->number % s_.zones.size()] == f.zone) all.push_back(m->number);
+      if (f.zone.empty() || s_.zones[m->number % s_.zones.size()] == f.zone)
+        all.push_back(m->number);
     return all;
   }
   std::vector<std::size_t> serversOf(const Fault& f) const {
-    if (!f.servers.empty()) return f.servers;
+    if (!f.servers.empty())
+      return f.servers;
     std::vector<std::size_t> all;
     for (std::size_t i = 0; i < platform_.servers(); ++i)
-      if (f.zone.empty() || platform_.zoneOf(i) == f.zone) all.push_back(i);
+      if (f.zone.empty() || platform_.zoneOf(i) == f.zone)
+        all.push_back(i);
     return all;
   }
   void befall(const Fault& f) {
-    if (stopping_) return;
+    if (stopping_)
+      return;
     std::string whom = f.zone.empty() ? "" : " zone " + f.zone;
-    for (std::size_t g : f.gateways) whom += " gateway-" + std::to_string(g);
-    for (std::size_t i : f.servers) whom += " server " + std::to_string(i);
+    for (std::size_t g : f.gateways)
+      whom += " gateway-" + std::to_string(g);
+    for (std::size_t i : f.servers)
+      whom += " server " + std::to_string(i);
     note("FAULT " + f.kind + whom);
     // Under these views may differ; they have to agree once it is over.
     ++viewWatch_;
     viewsAgree_ = s_.expectAgreeS <= 0;
-    if (f.lengthS <= 0 || f.kind == "kill" || f.kind == "term") watchViews();
+    if (f.lengthS <= 0 || f.kind == "kill" || f.kind == "term")
+      watchViews();
     const auto undo = [this, &f](std::function<void()> call) {
       later(f.lengthS, [this, &f, call] {
-        if (stopping_) return;
+        if (stopping_)
+          return;
         note("FAULT " + f.kind + " ends");
         call();
         watchViews();
@@ -407,8 +460,10 @@
     }
     for (std::size_t g : gatewaysOf(f)) {
       Member& m = *members_[g];
-      if (f.kind == "kill") killed(m, f);
-      else if (f.kind == "term") terminated(m, f);
+      if (f.kind == "kill")
+        killed(m, f);
+      else if (f.kind == "term")
+        terminated(m, f);
       else if (f.kind == "stop") {
         m.process->send(SIGSTOP);
         m.held = true;
@@ -418,8 +473,10 @@
           m.held = false;
           load_->heldUp(m.number, false);
         });
-      } else if (f.kind == "upgrade") upgraded(m);
-      else if (f.kind == "hup") hangUp(m, f);
+      } else if (f.kind == "upgrade")
+        upgraded(m);
+      else if (f.kind == "hup")
+        hangUp(m, f);
       else if (f.kind == "discovery_silent") {
         platform_.silence(g, true);
         undo([this, g] { platform_.silence(g, false); });
@@ -427,9 +484,11 @@
         platform_.hold(g, true);
         undo([this, g] { platform_.hold(g, false); });
       } else if (f.kind == "discovery_split") {
-        for (std::size_t i : f.servers) platform_.forgetFor(g, i);
+        for (std::size_t i : f.servers)
+          platform_.forgetFor(g, i);
         undo([this, g, &f] {
-          for (std::size_t i : f.servers) platform_.recall(g, i);
+          for (std::size_t i : f.servers)
+            platform_.recall(g, i);
         });
       }
     }
@@ -459,12 +518,14 @@
     m.process->send(SIGKILL);
     load_->released(m.number);
     later(s_.frontNoticeS.low, [this, &m, p = m.process] {
-      if (m.process == p) load_->target(m.number).known = false;
+      if (m.process == p)
+        load_->target(m.number).known = false;
     });
     later(f.lengthS, [this, &m] { back(m); });
   }
   void back(Member& m) {
-    if (stopping_) return;
+    if (stopping_)
+      return;
     start(m, [this, &m] {
       load_->target(m.number).known = true;
       watchViews();
@@ -480,7 +541,8 @@
     const auto old = m.process;
     m.process = spawn(m);
     m.process->over = [this, p = m.process.get()] {
-      if (!p->asked && !stopping_) crashed(*p);
+      if (!p->asked && !stopping_)
+        crashed(*p);
     };
     awaitReady(m, m.process, clockNow() + kReadyMost, [this, old] {
       old->asked = true;
@@ -490,7 +552,8 @@
   }
   void hangUp(Member& m, const Fault& f) {
     std::string text = configFor(m);
-    if (f.file == "broken") text += "\n[limits\n";
+    if (f.file == "broken")
+      text += "\n[limits\n";
     if (f.file == "changed")
       text +=
           "\n[[class]]\nname = \"added\"\neffect = \"safe\"\naim_ms = 500\ngive_up_ms = 900\nworth = "
@@ -500,7 +563,8 @@
     countOf(m, figure, [this, &m, figure](int before) {
       m.process->send(SIGHUP);
       later(1, [this, &m, figure, before, p = m.process] {
-        if (stopping_ || m.process != p) return;
+        if (stopping_ || m.process != p)
+          return;
         countOf(m, figure, [this, &m, figure, before](int after) {
           if (after != before + 1)
             breach(Rule::check,
@@ -560,10 +624,14 @@
 
 const char* wordOf(Verdict v) {
   switch (v) {
-    case Verdict::pass: return "pass";
-    case Verdict::fail: return "fail";
-    case Verdict::interrupted: return "interrupted";
-    case Verdict::voided: return "void: the rig itself was late";
+    case Verdict::pass:
+      return "pass";
+    case Verdict::fail:
+      return "fail";
+    case Verdict::interrupted:
+      return "interrupted";
+    case Verdict::voided:
+      return "void: the rig itself was late";
   }
   return "?";
 }
@@ -606,7 +674,9 @@
   return text;
 }
 
-FleetResult playFleet(const Scenario& scenario, const FleetPlan& plan) { return Rig(scenario, plan).play(); }
+FleetResult playFleet(const Scenario& scenario, const FleetPlan& plan) {
+  return Rig(scenario, plan).play();
+}
 
 std::string textOf(const FleetResult& f) {
   const Result& r = f.result;
@@ -623,7 +693,8 @@
   text +=
       fmt::format("processes: {:.2f} s of processor time, {:.1f} MB at most; the rig's own lag {:.0f} ms\n",
                   f.cpuS, f.memoryMb, f.lagMs);
-  for (const Breach& b : r.breaches) text += lineOf(b) + "\n";
+  for (const Breach& b : r.breaches)
+    text += lineOf(b) + "\n";
   return text + "verdict: " + wordOf(f.verdict) + "\n";
 }
 
--- a/src/lab/rig/hollow_discovery.cpp
+++ b/src/lab/rig/hollow_discovery.cpp
@@ -38,7 +38,8 @@
 std::optional<std::int64_t> parameter(std::string_view target, std::string_view name) {
   const std::string assigned = std::string(name) + "=";
   const std::size_t at = target.find(assigned);
-  if (at == std::string_view::npos) return std::nullopt;
+  if (at == std::string_view::npos)
+    return std::nullopt;
   std::int64_t value = 0;
   const char* from = target.data() + at + assigned.size();
   std::from_chars(from, target.data() + target.size(), value);
@@ -73,8 +74,10 @@
   void read() {
     request_ = {};
     http::async_read(socket_, buffer_, request_, [self = shared_from_this()](error_code ec, std::size_t n) {
-      if (!self->open_) return;
-      if (ec) return self->close();
+      if (!self->open_)
+        return;
+      if (ec)
+        return self->close();
       ++self->address_.counts.calls;
       self->address_.counts.bytesIn += n;
       self->owner_.answer(*self, self->request_.target().to_string());
@@ -85,7 +88,8 @@
     since_ = revision;
     timer_.expires_after(atMost);
     timer_.async_wait([self = shared_from_this()](error_code ec) {
-      if (ec || std::erase(self->owner_.watches_, self) == 0) return;
+      if (ec || std::erase(self->owner_.watches_, self) == 0)
+        return;
       self->write(self->owner_.changesSince(self->since_));
     });
   }
@@ -94,13 +98,16 @@
     address_.counts.bytesOut += text->size();
     asio::async_write(socket_, asio::buffer(*text),
                       [self = shared_from_this(), text](error_code ec, std::size_t) {
-                        if (!self->open_) return;
-                        if (ec) return self->close();
+                        if (!self->open_)
+                          return;
+                        if (ec)
+                          return self->close();
                         self->read();
                       });
   }
   void close() {
-    if (!open_) return;
+    if (!open_)
+      return;
     open_ = false;
     timer_.cancel();
     error_code ignored;
@@ -133,7 +140,9 @@
   }
 }
 
-HollowDiscovery::~HollowDiscovery() { suspend(); }
+HollowDiscovery::~HollowDiscovery() {
+  suspend();
+}
 
 std::size_t HollowDiscovery::addAddress() {
   Address& address = *addresses_.emplace_back(std::make_unique<Address>(io_));
@@ -161,7 +170,8 @@
 
 void HollowDiscovery::accept(Address& address) {
   address.acceptor.async_accept([this, &address](error_code ec, tcp::socket socket) {
-    if (ec == asio::error::operation_aborted || suspended_) return;
+    if (ec == asio::error::operation_aborted || suspended_)
+      return;
     if (!ec) {
       const auto connection = std::make_shared<Connection>(*this, address, std::move(socket));
       address.connections.insert(connection);
@@ -186,7 +196,8 @@
     error_code ignored;
     address->acceptor.close(ignored);
     const auto connections = address->connections;
-    for (const auto& connection : connections) connection->close();
+    for (const auto& connection : connections)
+      connection->close();
   }
 }
 
@@ -194,14 +205,17 @@
   if (anew) {
     revision_ = 1;
     wholeAt_ = -1;
-    for (Entry& entry : entries_) entry.revision = 1;
+    for (Entry& entry : entries_)
+      entry.revision = 1;
   }
   suspended_ = false;
-  for (const auto& address : addresses_) listen(*address);
+  for (const auto& address : addresses_)
+    listen(*address);
 }
 
 void HollowDiscovery::answer(Connection& connection, const std::string& target) {
-  if (!target.starts_with(kPath)) return connection.write(answerWith("404 Not Found", "{}"));
+  if (!target.starts_with(kPath))
+    return connection.write(answerWith("404 Not Found", "{}"));
   const auto since = parameter(target, "since");
   if (!since || *since > revision_) {
     ++connection.counts().wholeLists;
@@ -209,7 +223,8 @@
   }
   const std::int64_t wait =
       std::clamp(parameter(target, "timeout_ms").value_or(0), std::int64_t{0}, kLongestWatchMs);
-  if (*since < revision_ || wait == 0) return connection.write(changesSince(*since));
+  if (*since < revision_ || wait == 0)
+    return connection.write(changesSince(*since));
   watches_.push_back(connection.shared_from_this());
   connection.watch(*since, std::chrono::milliseconds(wait));
 }
@@ -218,15 +233,18 @@
   std::shared_ptr<const std::string> text;
   std::int64_t textSince = -1;
   for (const auto& connection : std::exchange(watches_, {})) {
-    if (!text || connection->since() != textSince) text = changesSince(textSince = connection->since());
+    if (!text || connection->since() != textSince)
+      text = changesSince(textSince = connection->since());
     connection->write(text);
   }
 }
 
 std::shared_ptr<const std::string> HollowDiscovery::wholeList() {
-  if (wholeAt_ == revision_) return whole_;
+  if (wholeAt_ == revision_)
+    return whole_;
   json targets = json::array();
-  for (const Entry& entry : entries_) targets.push_back(entry.target);
+  for (const Entry& entry : entries_)
+    targets.push_back(entry.target);
   whole_ = answerWith("200 OK", json{{"rev", revision_}, {"all", true}, {"targets", targets}}.dump());
   wholeAt_ = revision_;
   return whole_;
@@ -235,7 +253,8 @@
 std::shared_ptr<const std::string> HollowDiscovery::changesSince(std::int64_t revision) {
   json targets = json::array();
   for (const Entry& entry : entries_)
-    if (entry.revision > revision) targets.push_back(entry.target);
+    if (entry.revision > revision)
+      targets.push_back(entry.target);
   return answerWith("200 OK", json{{"rev", revision_}, {"all", false}, {"targets", targets}}.dump());
 }
 
--- a/src/lab/rig/hollow_gateway.cpp
+++ b/src/lab/rig/hollow_gateway.cpp
@@ -40,24 +40,34 @@
                  {[this](const HostList& list) { told(list); }, [this] { unavailable(); }}, {}),
       waker_(io),
       changed_(std::move(changed)) {
-  if (config_.membership) fleet_.emplace(io, config_, log_, [this] { divide(); });
+  if (config_.membership)
+    fleet_.emplace(io, config_, log_, [this] { divide(); });
   balancer_.onHosts(now(), ListKind::restored, {});
   carryOut();
 }
 
-HollowGateway::~HollowGateway() { discovery_.stop(); }
+HollowGateway::~HollowGateway() {
+  discovery_.stop();
+}
 
 Config HollowGateway::configOf(const HollowGatewayPlan& plan, std::size_t number) {
   const std::string name = "hollow-" + std::to_string(number);
   const auto environment = [&](const char* variable) -> const char* {
     const std::string_view asked = variable;
-    if (asked == "GW_CONFIG") return plan.config.c_str();
-    if (asked == "GW_NAME") return name.c_str();
-    if (asked == "GW_LISTEN") return kNoClients;
-    if (asked == "GW_DISCOVERY") return plan.discovery.c_str();
-    if (plan.seeds.empty()) return nullptr;
-    if (asked == "GW_MEMBERSHIP") return kAnyPort;
-    if (asked == "GW_SEEDS") return plan.seeds.c_str();
+    if (asked == "GW_CONFIG")
+      return plan.config.c_str();
+    if (asked == "GW_NAME")
+      return name.c_str();
+    if (asked == "GW_LISTEN")
+      return kNoClients;
+    if (asked == "GW_DISCOVERY")
+      return plan.discovery.c_str();
+    if (plan.seeds.empty())
+      return nullptr;
+    if (asked == "GW_MEMBERSHIP")
+      return kAnyPort;
+    if (asked == "GW_SEEDS")
+      return plan.seeds.c_str();
     return nullptr;
   };
   Config config = gateway::readConfig(environment);
@@ -67,11 +77,14 @@
   return config;
 }
 
-balancer::Time HollowGateway::now() { return clockNow(); }
+balancer::Time HollowGateway::now() {
+  return clockNow();
+}
 
 void HollowGateway::told(const HostList& list) {
   revision_ = list.version;
-  if (list.full) ++wholeLists_;
+  if (list.full)
+    ++wholeLists_;
   balancer_.onHosts(now(), list.full ? ListKind::replace : ListKind::update, {});
   carryOut();
   changed_();
@@ -85,7 +98,8 @@
 // As in a gateway: what the whole fleet may do is divided by its members.
 void HollowGateway::divide() {
   const std::uint32_t size = std::max(config_.module.groupSize, fleet_ ? fleet_->holders() : 1);
-  if (size == config_.module.groupSize) return;
+  if (size == config_.module.groupSize)
+    return;
   config_.module.groupSize = size;
   balancer_.onSettings(now(), config_.module);
   carryOut();
@@ -93,18 +107,22 @@
 
 void HollowGateway::carryOut() {
   for (const balancer::Action& action : std::exchange(balancer_.actions(), {})) {
-    if (action.kind == ActionKind::subscribe) discovery_.watch();
-    else if (action.kind == ActionKind::wake) wakeAt(action.span);
+    if (action.kind == ActionKind::subscribe)
+      discovery_.watch();
+    else if (action.kind == ActionKind::wake)
+      wakeAt(action.span);
   }
 }
 
 // Only the earliest counts: the module asks anew at each event.
 void HollowGateway::wakeAt(balancer::Time at) {
-  if (wakeAt_ > balancer::Time{} && wakeAt_ <= at) return;
+  if (wakeAt_ > balancer::Time{} && wakeAt_ <= at)
+    return;
   wakeAt_ = at;
   waker_.expires_after(at - now());
   waker_.async_wait([this](error_code ec) {
-    if (ec) return;
+    if (ec)
+      return;
     wakeAt_ = balancer::Time{};
     balancer_.onWake(now());
     carryOut();
@@ -124,10 +142,12 @@
 
  private:
   void changed() {
-    if (gateways_.empty()) return;
+    if (gateways_.empty())
+      return;
     HollowReport now = last_;
     sum(now);
-    if (now.revision == last_.revision && now.wholeLists == last_.wholeLists) return;
+    if (now.revision == last_.revision && now.wholeLists == last_.wholeLists)
+      return;
     now.changedAtNs = std::chrono::nanoseconds(Clock::now().time_since_epoch()).count();
     say(now);
   }
@@ -153,7 +173,8 @@
     say(now);
     timer_.expires_after(kReportEvery);
     timer_.async_wait([this](error_code ec) {
-      if (!ec) reportRegularly();
+      if (!ec)
+        reportRegularly();
     });
   }
 
--- a/src/lab/rig/hollow_report.cpp
+++ b/src/lab/rig/hollow_report.cpp
@@ -18,7 +18,8 @@
 
 std::optional<HollowReport> parseHollowReport(const std::string& line) {
   const json read = json::parse(line, nullptr, false);
-  if (!read.is_object()) return std::nullopt;
+  if (!read.is_object())
+    return std::nullopt;
   try {
     HollowReport report;
     read.at("port").get_to(report.port);
--- a/src/lab/rig/hollow_server.cpp
+++ b/src/lab/rig/hollow_server.cpp
@@ -49,16 +49,19 @@
     parser_.emplace();
     parser_->body_limit(kBodyMost);
     http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](error_code ec, std::size_t) {
-      if (!ec) self->wait();
+      if (!ec)
+        self->wait();
     });
   }
 
  private:
   void wait() {
-    if (shared_->answerAfter.count() <= 0) return answer();
+    if (shared_->answerAfter.count() <= 0)
+      return answer();
     timer_.expires_after(shared_->answerAfter);
     timer_.async_wait([self = shared_from_this()](error_code ec) {
-      if (!ec) self->answer();
+      if (!ec)
+        self->answer();
     });
   }
   void answer() {
@@ -70,7 +73,8 @@
     answer_.prepare_payload();
     ++shared_->answered;
     http::async_write(socket_, answer_, [self = shared_from_this()](error_code ec, std::size_t) {
-      if (!ec && self->answer_.keep_alive()) self->read();
+      if (!ec && self->answer_.keep_alive())
+        self->read();
     });
   }
 
@@ -86,15 +90,19 @@
     : io_(io), shared_(std::make_shared<Shared>()) {
   shared_->answerAfter = std::chrono::nanoseconds(static_cast<std::int64_t>(plan.answerMs * 1e6));
   bool free = false;
-  for (int i = 0; i < kPortsTried && !free; ++i) free = listenAt(freePort(io, plan.firstAddress), plan);
+  for (int i = 0; i < kPortsTried && !free; ++i)
+    free = listenAt(freePort(io, plan.firstAddress), plan);
   if (!free)
     throw boost::system::system_error(make_error_code(boost::system::errc::address_in_use), "hollow servers");
-  for (tcp::acceptor& acceptor : acceptors_) accept(acceptor);
+  for (tcp::acceptor& acceptor : acceptors_)
+    accept(acceptor);
 }
 
 HollowServers::~HollowServers() = default;
 
-std::uint64_t HollowServers::answered() const { return shared_->answered; }
+std::uint64_t HollowServers::answered() const {
+  return shared_->answered;
+}
 
 bool HollowServers::listenAt(std::uint16_t port, const HollowServerPlan& plan) {
   acceptors_.clear();
@@ -104,8 +112,10 @@
     acceptor.set_option(tcp::acceptor::reuse_address(true));
     error_code ec;
     acceptor.bind(hollowServerEndpoint(plan.firstAddress, i, port), ec);
-    if (ec == asio::error::address_in_use) return false;
-    if (ec) throw boost::system::system_error(ec, "hollow servers");
+    if (ec == asio::error::address_in_use)
+      return false;
+    if (ec)
+      throw boost::system::system_error(ec, "hollow servers");
     acceptor.listen();
   }
   port_ = port;
@@ -114,8 +124,10 @@
 
 void HollowServers::accept(tcp::acceptor& acceptor) {
   acceptor.async_accept([this, &acceptor](error_code ec, tcp::socket socket) {
-    if (ec == asio::error::operation_aborted) return;
-    if (!ec) std::make_shared<Connection>(std::move(socket), shared_)->read();
+    if (ec == asio::error::operation_aborted)
+      return;
+    if (!ec)
+      std::make_shared<Connection>(std::move(socket), shared_)->read();
     accept(acceptor);
   });
 }
@@ -139,7 +151,8 @@
     std::cout << textOf(now) << std::endl;
     timer.expires_after(kReportEvery);
     timer.async_wait([&](error_code ec) {
-      if (!ec) report();
+      if (!ec)
+        report();
     });
   };
   report();
--- a/src/lab/rig/lag_meter.hpp
+++ b/src/lab/rig/lag_meter.hpp
@@ -22,7 +22,8 @@
   void wait() {
     timer_.expires_after(kLook);
     timer_.async_wait([this, due = timer_.expiry()](boost::system::error_code ec) {
-      if (ec) return;
+      if (ec)
+        return;
       const std::chrono::duration<double, std::milli> late = std::chrono::steady_clock::now() - due;
       mostMs_ = std::max(mostMs_, late.count());
       wait();
--- a/src/lab/rig/load.cpp
+++ b/src/lab/rig/load.cpp
@@ -23,11 +23,15 @@
 constexpr Duration kWire = std::chrono::milliseconds(500);
 constexpr std::size_t kAmendment = 48;  // bytes of a body
 
-std::string parameter(const char* name, std::uint64_t value) { return name + hex(value); }
+std::string parameter(const char* name, std::uint64_t value) {
+  return name + hex(value);
+}
 
 }  // namespace
 
-std::string tenantName(std::size_t number) { return "tenant-" + std::to_string(number); }
+std::string tenantName(std::size_t number) {
+  return "tenant-" + std::to_string(number);
+}
 
 struct Load::Try {
   std::uint64_t id = 0;
@@ -46,7 +50,8 @@
   void open(const std::shared_ptr<Try>& t) {
     busy_ = t;
     socket_.async_connect(load_.targets_[gateway_].endpoint, [self = shared_from_this()](error_code ec) {
-      if (ec) return self->end();
+      if (ec)
+        return self->end();
       error_code ignored;
       self->socket_.set_option(tcp::no_delay(true), ignored);
       self->read();
@@ -61,7 +66,8 @@
   bool fresh() const { return fresh_; }
   bool usable() const { return open_; }
   void close() {
-    if (!open_) return;
+    if (!open_)
+      return;
     open_ = false;
     busy_.reset();
     error_code ignored;
@@ -73,7 +79,8 @@
     const auto text = std::make_shared<std::string>(load_.textOf(*busy_));
     asio::async_write(socket_, asio::buffer(*text),
                       [self = shared_from_this(), text, t = busy_](error_code ec, std::size_t) {
-                        if (ec || t->ended || t->taken) return;
+                        if (ec || t->ended || t->taken)
+                          return;
                         t->taken = true;
                         const Call& c = self->load_.calls_[t->call];
                         self->load_.checker_.taken(t->id, self->load_.day_.classes[c.arrival.cls].set,
@@ -84,8 +91,10 @@
     parser_.emplace();
     parser_->body_limit(64 << 20);
     http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](error_code ec, std::size_t) {
-      if (!self->open_) return;
-      if (ec || !self->busy_) return self->end();
+      if (!self->open_)
+        return;
+      if (ec || !self->busy_)
+        return self->end();
       const auto answer = self->parser_->release();
       const auto t = std::exchange(self->busy_, nullptr);
       double after = 0;
@@ -104,7 +113,8 @@
     const auto t = std::exchange(busy_, nullptr);
     close();
     std::erase(load_.idle_[gateway_], shared_from_this());
-    if (t) load_.broken(t);
+    if (t)
+      load_.broken(t);
   }
 
   Load& load_;
@@ -137,12 +147,15 @@
   if (!plan.cls.empty()) {
     const auto known = std::find_if(day_.classes.begin(), day_.classes.end(),
                                     [&](const DrawnClass& c) { return c.set.name == plan.cls; });
-    if (known == day_.classes.end()) throw std::invalid_argument("no class '" + plan.cls + "'");
-    for (DrawnClass& c : day_.classes) c.share = c.set.name == plan.cls ? 1 : 0;
+    if (known == day_.classes.end())
+      throw std::invalid_argument("no class '" + plan.cls + "'");
+    for (DrawnClass& c : day_.classes)
+      c.share = c.set.name == plan.cls ? 1 : 0;
   }
   std::vector<Surge> surges;
   for (const Trouble& t : scenario.troubles)
-    if (t.kind == "surge") surges.push_back({t.atS.low, t.atS.low + t.lengthS.low, t.size.low});
+    if (t.kind == "surge")
+      surges.push_back({t.atS.low, t.atS.low + t.lengthS.low, t.size.low});
   const double base = plan.rate > 0 ? plan.rate : day_.level * capacity / day_.meanWork;
   if (base * plan.seconds * (1 + day_.swing) > static_cast<double>(kMost))
     throw std::invalid_argument("a load of over 2,000,000 requests");
@@ -170,7 +183,8 @@
 void Load::stop() {
   nextArrival_ = arrivals_.size();
   timer_.cancel();
-  if (open_ == 0 && done_) std::exchange(done_, nullptr)();
+  if (open_ == 0 && done_)
+    std::exchange(done_, nullptr)();
 }
 
 void Load::next() {
@@ -189,12 +203,14 @@
     attempt(static_cast<std::uint32_t>(calls_.size() - 1));
   }
   if (nextArrival_ == arrivals_.size()) {
-    if (open_ == 0 && done_) std::exchange(done_, nullptr)();
+    if (open_ == 0 && done_)
+      std::exchange(done_, nullptr)();
     return;
   }
   timer_.expires_after(started_ + lab::seconds(arrivals_[nextArrival_].at) - now);
   timer_.async_wait([this](error_code ec) {
-    if (!ec) next();
+    if (!ec)
+      next();
   });
 }
 
@@ -208,7 +224,8 @@
   const Time now = clockNow();
   Duration left = lab::seconds(inSeconds(set.giveUp) * day_.tryShare);
   left = std::min(left, set.giveUp - (now - c.first));
-  if (left < std::chrono::milliseconds(1)) return leave(call, false);
+  if (left < std::chrono::milliseconds(1))
+    return leave(call, false);
   ++c.tries;
   ++result_.tries;
   secondOf(c).tries += 1;
@@ -216,10 +233,13 @@
   std::vector<std::uint32_t> dealt;
   for (const bool own : {true, false}) {
     for (std::uint32_t g = 0; g < targets_.size(); ++g)
-      if (targets_[g].known && (!own || targets_[g].zone == c.arrival.zone)) dealt.push_back(g);
-    if (!dealt.empty()) break;
+      if (targets_[g].known && (!own || targets_[g].zone == c.arrival.zone))
+        dealt.push_back(g);
+    if (!dealt.empty())
+      break;
   }
-  if (dealt.empty()) return again(call, false, true, {});
+  if (dealt.empty())
+    return again(call, false, true, {});
   const auto t = std::make_shared<Try>();
   t->call = call;
   t->gateway = dealt[front.below(dealt.size())];
@@ -231,7 +251,8 @@
   t->due.emplace(io_);
   t->due->expires_after(left + kLast);
   t->due->async_wait([this, t](error_code ec) {
-    if (!ec) overdue(t);
+    if (!ec)
+      overdue(t);
   });
   send(t);
 }
@@ -241,7 +262,8 @@
   while (!t->crossed && !idle.empty()) {
     const auto connection = idle.back();
     idle.pop_back();
-    if (!connection->usable()) continue;
+    if (!connection->usable())
+      continue;
     t->connection = connection;
     return connection->use(t);
   }
@@ -257,16 +279,21 @@
   std::string head = "/" + set.name + "/" + std::to_string(c.arrival.key) +
                      " HTTP/1.1\r\nHost: gateway\r\nX-Class: " + set.name +
                      parameter("\r\nX-Request-Id: ", t.id) + "\r\nX-Deadline-Ms: " + std::to_string(left);
-  if (c.arrival.key != 0) head += parameter("\r\nCookie: obj=", c.arrival.key);
-  if (tenants_ > 0) head += "\r\nX-Tenant: " + tenantName(Stream(seed_, "tenant", t.call).below(tenants_));
-  if (set.effect == Effect::retryable) return "GET " + head + "\r\n\r\n";
-  if (set.effect == Effect::dedup) head += parameter("\r\nIdempotency-Key: ", seed_ ^ t.call);
+  if (c.arrival.key != 0)
+    head += parameter("\r\nCookie: obj=", c.arrival.key);
+  if (tenants_ > 0)
+    head += "\r\nX-Tenant: " + tenantName(Stream(seed_, "tenant", t.call).below(tenants_));
+  if (set.effect == Effect::retryable)
+    return "GET " + head + "\r\n\r\n";
+  if (set.effect == Effect::dedup)
+    head += parameter("\r\nIdempotency-Key: ", seed_ ^ t.call);
   return "POST " + head + "\r\nContent-Length: " + std::to_string(kAmendment) + "\r\n\r\n" +
          std::string(kAmendment, 'a');
 }
 
 void Load::answered(const std::shared_ptr<Try>& t, int status, const std::string& body, double retryAfter) {
-  if (t->ended) return;
+  if (t->ended)
+    return;
   t->ended = true;
   t->due->cancel();
   tries_.erase(t->id);
@@ -297,7 +324,8 @@
 }
 
 void Load::broken(const std::shared_ptr<Try>& t) {
-  if (t->ended) return;
+  if (t->ended)
+    return;
   const bool reached = checker_.attempts(t->id) > 0;
   // The gateway closed as the request came: the client sends it once more on a new connection.
   if (t->taken && !reached && !t->connection->fresh() && !t->crossed && targets_[t->gateway].known) {
@@ -310,24 +338,29 @@
   if (t->taken && reached)
     checker_.breach(Rule::lost, clockNow(), t->id, "",
                     "the connection to " + targets_[t->gateway].name + " ended with no whole answer");
-  if (t->taken) checker_.served(t->id, clockNow());
+  if (t->taken)
+    checker_.served(t->id, clockNow());
   again(t->call, false, true, {});
 }
 
 void Load::overdue(const std::shared_ptr<Try>& t) {
-  if (t->ended) return;
+  if (t->ended)
+    return;
   t->ended = true;
   tries_.erase(t->id);
   t->connection->close();
-  if (heldUp_[t->gateway] || heldUntil_[t->gateway] > t->at) checker_.excused(t->id);
-  else if (t->taken) checker_.due(clockNow(), t->id);
+  if (heldUp_[t->gateway] || heldUntil_[t->gateway] > t->at)
+    checker_.excused(t->id);
+  else if (t->taken)
+    checker_.due(clockNow(), t->id);
   leave(t->call, false);
 }
 
 void Load::released(std::uint32_t gateway) {
   std::vector<std::shared_ptr<Try>> owed;
   for (const auto& [id, t] : tries_)
-    if (t->gateway == gateway) owed.push_back(t);
+    if (t->gateway == gateway)
+      owed.push_back(t);
   std::sort(owed.begin(), owed.end(), [](const auto& a, const auto& b) { return a->at < b->at; });
   for (const auto& t : owed) {
     t->ended = true;
@@ -337,7 +370,8 @@
     checker_.excused(t->id);
     again(t->call, false, true, {});
   }
-  for (const auto& c : std::exchange(idle_[gateway], {})) c->close();
+  for (const auto& c : std::exchange(idle_[gateway], {}))
+    c->close();
 }
 
 void Load::heldUp(std::uint32_t gateway, bool on) {
@@ -350,12 +384,14 @@
   const ClassSettings& set = day_.classes[c.arrival.cls].set;
   const auto wait =
       retryWait(day_, seed_, call, c.tries, c.left, set, {refused, unreachable, after}, clockNow() - c.first);
-  if (!wait) return leave(call, refused);
+  if (!wait)
+    return leave(call, refused);
   --c.left;
   auto timer = std::make_shared<asio::steady_timer>(io_);
   timer->expires_after(lab::seconds(*wait));
   timer->async_wait([this, timer, call](error_code ec) {
-    if (!ec) attempt(call);
+    if (!ec)
+      attempt(call);
   });
 }
 
@@ -369,7 +405,8 @@
 
 void Load::closed() {
   --open_;
-  if (open_ == 0 && nextArrival_ == arrivals_.size() && done_) std::exchange(done_, nullptr)();
+  if (open_ == 0 && nextArrival_ == arrivals_.size() && done_)
+    std::exchange(done_, nullptr)();
 }
 
 const OnTheWire* Load::find(std::uint64_t id) const {
@@ -389,7 +426,8 @@
     s.p99 = bySecond_[i].percentile(0.99);
   }
   for (const ClassRecord& c : r.classes)
-    if (c.asked > 0.05 * asked) worst = std::min(worst, c.served / c.asked);
+    if (c.asked > 0.05 * asked)
+      worst = std::min(worst, c.served / c.asked);
   r.whole = asked > 0 ? got / asked : 0;
   r.worstClass = worst;
   r.g = r.whole;
@@ -400,7 +438,8 @@
   r.p90 = latencies_.percentile(0.9);
   r.p99 = latencies_.percentile(0.99);
   r.breaches = checker_.breaches();
-  for (Breach& b : r.breaches) b.at = started_ > Time{} ? b.at - started_ : Time{};
+  for (Breach& b : r.breaches)
+    b.at = started_ > Time{} ? b.at - started_ : Time{};
   return r;
 }
 
--- a/src/lab/rig/platform.cpp
+++ b/src/lab/rig/platform.cpp
@@ -40,7 +40,8 @@
 
 std::string query(const std::string& target, const std::string& name) {
   const auto at = target.find(name + "=");
-  if (at == std::string::npos) return {};
+  if (at == std::string::npos)
+    return {};
   const auto from = at + name.size() + 1;
   return target.substr(from, target.find('&', from) - from);
 }
@@ -65,24 +66,30 @@
     parser_.emplace();
     parser_->body_limit(kBodyMost);
     http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](error_code ec, std::size_t) {
-      if (!self->open_) return;
-      if (ec) return self->gone();
+      if (!self->open_)
+        return;
+      if (ec)
+        return self->gone();
       Request request = self->parser_->release();
       ++self->requests_;
       self->read();  // goes on at once, so that the other side's leaving is seen
-      if (self->asked) self->asked(*self, std::move(request));
+      if (self->asked)
+        self->asked(*self, std::move(request));
     });
   }
   /// `written` is called once the answer's last byte is.
   void reply(Response r, std::function<void()> written = {}) {
     out_.emplace_back(std::move(r), std::move(written));
-    if (out_.size() == 1) write();
+    if (out_.size() == 1)
+      write();
   }
   void close(bool reset) {
-    if (!open_) return;
+    if (!open_)
+      return;
     open_ = false;
     error_code ignored;
-    if (reset) socket_.set_option(asio::socket_base::linger(true, 0), ignored);
+    if (reset)
+      socket_.set_option(asio::socket_base::linger(true, 0), ignored);
     socket_.close(ignored);
     asked = nullptr;
     left = nullptr;
@@ -95,15 +102,19 @@
     const auto told = left;
     const auto self = shared_from_this();
     close(false);
-    if (told) told(*this);
+    if (told)
+      told(*this);
   }
   void write() {
     http::async_write(socket_, out_.front().first, [self = shared_from_this()](error_code ec, std::size_t) {
       const auto written = std::move(self->out_.front().second);
       self->out_.pop_front();
-      if (ec || !self->open_) return;
-      if (written) written();
-      if (!self->out_.empty()) self->write();
+      if (ec || !self->open_)
+        return;
+      if (written)
+        written();
+      if (!self->out_.empty())
+        self->write();
     });
   }
 
@@ -117,7 +128,9 @@
 
 }  // namespace
 
-Time clockNow() { return std::chrono::steady_clock::now().time_since_epoch() + kOffset; }
+Time clockNow() {
+  return std::chrono::steady_clock::now().time_since_epoch() + kOffset;
+}
 
 std::string hex(std::uint64_t id) {
   char text[20];
@@ -156,13 +169,16 @@
     up = false;
     error_code ignored;
     acceptor_.close(ignored);
-    for (const auto& s : std::exchange(sessions_, {})) s->close(true);
-    for (const std::uint32_t attempt : server.drop()) end(attempt, Outcome::reset);
+    for (const auto& s : std::exchange(sessions_, {}))
+      s->close(true);
+    for (const std::uint32_t attempt : server.drop())
+      end(attempt, Outcome::reset);
     jobs_.clear();
     server.connections = 0;
   }
   void start() {
-    if (up) return;
+    if (up)
+      return;
     up = true;
     draining = false;
     server.restart(clockNow());
@@ -177,28 +193,34 @@
   // itself keeps full makes new connections hang as they do with a machine that is away.
   void cut(bool on) {
     silent = on;
-    if (!acceptor_.is_open()) return;
+    if (!acceptor_.is_open())
+      return;
     ::listen(acceptor_.native_handle(), on ? 0 : SOMAXCONN);
     fillers_.clear();
     for (int i = 0; on && i < 2; ++i) {
       fillers_.emplace_back(platform_.io_);
       fillers_.back().async_connect(endpoint(), [](error_code) {});
     }
-    if (on) return;
+    if (on)
+      return;
     resetWaiting();
     accept();
     for (auto& [session, request] : std::exchange(unheard_, {}))
-      if (session->open()) serve(*session, std::move(request));
-    for (auto& [session, r] : std::exchange(unsaid_, {})) session->reply(std::move(r));
+      if (session->open())
+        serve(*session, std::move(request));
+    for (auto& [session, r] : std::exchange(unsaid_, {}))
+      session->reply(std::move(r));
   }
   void settle() {  // what has ended by now, and when to look again
     const Time now = clockNow();
     server.advance(now);
-    for (const Server::Ended& e : std::exchange(server.ended(), {})) finish(e);
+    for (const Server::Ended& e : std::exchange(server.ended(), {}))
+      finish(e);
     if (const auto next = server.nextEnd()) {
       timer_.expires_after(std::max(*next - now, Duration(0)));
       timer_.async_wait([this](error_code ec) {
-        if (!ec) settle();
+        if (!ec)
+          settle();
       });
     }
   }
@@ -236,15 +258,18 @@
     while (!ec) {
       tcp::socket waiting(platform_.io_);
       acceptor_.accept(waiting, ec);
-      if (!ec) std::make_shared<Session>(std::move(waiting))->close(true);
+      if (!ec)
+        std::make_shared<Session>(std::move(waiting))->close(true);
     }
   }
   void accept() {
-    if (silent || accepting_) return;
+    if (silent || accepting_)
+      return;
     accepting_ = true;
     acceptor_.async_accept([this](error_code ec, tcp::socket socket) {
       accepting_ = false;
-      if (ec) return;
+      if (ec)
+        return;
       // Danger: what was accepted as the silence began belongs to it: it comes up and hears nothing.
       const bool full = static_cast<double>(server.connections) >= server.figures().connectionCap;
       if (!full) {
@@ -262,22 +287,27 @@
     std::erase_if(sessions_, [&](const auto& s) { return s.get() == &session; });
     server.connections -= std::min<std::size_t>(server.connections, 1);
     for (const auto& [attempt, held] : jobs_)
-      if (held.session.lock().get() == &session) server.abandon(attempt);
+      if (held.session.lock().get() == &session)
+        server.abandon(attempt);
   }
   void asked(Session& session, Session::Request request) {
-    if (silent) unheard_.emplace_back(session.shared_from_this(), std::move(request));
-    else serve(session, std::move(request));
+    if (silent)
+      unheard_.emplace_back(session.shared_from_this(), std::move(request));
+    else
+      serve(session, std::move(request));
   }
   void serve(Session& session, Session::Request request) {
     const Time now = clockNow();
-    if (request.count("X-Request-Id") == 0) return session.reply(response(404, "{\"error\":\"no id\"}"));
+    if (request.count("X-Request-Id") == 0)
+      return session.reply(response(404, "{\"error\":\"no id\"}"));
     const std::uint64_t id = hexOf(request["X-Request-Id"]);
     Held held{session.weak_from_this(), id, 0, {}};
     const std::string target = request.target().to_string();
     held.cls = target.substr(0, target.find_first_of("/?", 1)).substr(target.empty() ? 0 : 1);
     const DrawnClass* cls = nullptr;
     for (const DrawnClass& c : platform_.day_.classes)
-      if (c.set.name == held.cls) cls = &c;
+      if (c.set.name == held.cls)
+        cls = &c;
     Job job;
     job.deadline = now + deadlineOf(request);
     if (platform_.witness_) {
@@ -295,19 +325,24 @@
     } else if (cls) {
       job.work = cls->cv > 0 ? draw_.lognormal(cls->work, cls->cv) : cls->work;
     }
-    if (!cls) return session.reply(response(404, "{\"error\":\"no such class\"}"));
-    if (cls->noise > 0) job.work *= draw_.lognormal(1, cls->noise);
-    if (session.requests() == 1) job.work += platform_.day_.handshakeWork;
+    if (!cls)
+      return session.reply(response(404, "{\"error\":\"no such class\"}"));
+    if (cls->noise > 0)
+      job.work *= draw_.lognormal(1, cls->noise);
+    if (session.requests() == 1)
+      job.work += platform_.day_.handshakeWork;
     job.attempt = ++attempts_;
     jobs_[job.attempt] = held;
     double informed = 0;
     if (server.overdriven(now, job.work, true, platform_.scenario_.fallMultiple,
                           platform_.scenario_.fallMs / 1000, informed)) {
-      if (platform_.witness_) platform_.witness_->checker().fell(now, entry.address, informed);
+      if (platform_.witness_)
+        platform_.witness_->checker().fell(now, entry.address, informed);
       platform_.kill(number_);
       return;
     }
-    if (draining || !server.offer(now, job)) return turnAway(job.attempt);
+    if (draining || !server.offer(now, job))
+      return turnAway(job.attempt);
     settle();
   }
   static Duration deadlineOf(const Session::Request& request) {
@@ -322,9 +357,11 @@
     answer(attempt, Outcome::full, std::move(r));
   }
   void finish(const Server::Ended& e) {
-    if (e.dropped) return turnAway(e.attempt);
+    if (e.dropped)
+      return turnAway(e.attempt);
     const auto it = jobs_.find(e.attempt);
-    if (it == jobs_.end()) return;
+    if (it == jobs_.end())
+      return;
     if (draw_.chance(server.figures().errorRate))
       return answer(e.attempt, Outcome::error, response(500, "{\"error\":\"failed\"}"));
     const json body{{"id", hex(it->second.id)}, {"class", it->second.cls}, {"server", entry.address}};
@@ -332,23 +369,30 @@
   }
   void answer(std::uint32_t attempt, Outcome outcome, Response r) {
     const auto it = jobs_.find(attempt);
-    if (it == jobs_.end()) return;
+    if (it == jobs_.end())
+      return;
     const auto session = it->second.session.lock();
     end(attempt, outcome);
-    if (!session || !session->open()) return;
-    if (silent) unsaid_.emplace_back(session, std::move(r));
-    else session->reply(std::move(r));
+    if (!session || !session->open())
+      return;
+    if (silent)
+      unsaid_.emplace_back(session, std::move(r));
+    else
+      session->reply(std::move(r));
   }
   void end(std::uint32_t attempt, Outcome outcome) {
     const auto it = jobs_.find(attempt);
-    if (it == jobs_.end()) return;
-    if (platform_.witness_) platform_.witness_->checker().outcome(it->second.id, it->second.number, outcome);
+    if (it == jobs_.end())
+      return;
+    if (platform_.witness_)
+      platform_.witness_->checker().outcome(it->second.id, it->second.number, outcome);
     jobs_.erase(it);
   }
   void tick() {
     tick_.expires_after(kTick);
     tick_.async_wait([this](error_code ec) {
-      if (ec) return;
+      if (ec)
+        return;
       settle();
       tick();
     });
@@ -373,27 +417,34 @@
  public:
   Agent(Platform& platform, std::uint32_t number)
       : platform_(platform), number_(number), acceptor_(platform.io_, {asio::ip::address_v4::loopback(), 0}) {
-    for (std::size_t i = 0; i < platform.servers_.size(); ++i) note(i);
+    for (std::size_t i = 0; i < platform.servers_.size(); ++i)
+      note(i);
     accept();
   }
   ~Agent() {
-    for (const auto& w : watches_) w->session->close(false);
+    for (const auto& w : watches_)
+      w->session->close(false);
   }
 
   tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
 
   void learn(std::size_t server) {
-    if (held) return void(later_.push_back(server));
+    if (held)
+      return void(later_.push_back(server));
     note(server);
-    if (!silent) tellWatches();
+    if (!silent)
+      tellWatches();
   }
   void release() {
-    for (std::size_t server : std::exchange(later_, {})) note(server);
-    if (!silent) tellWatches();
+    for (std::size_t server : std::exchange(later_, {}))
+      note(server);
+    if (!silent)
+      tellWatches();
   }
   void speak() {
     for (auto& [session, target] : std::exchange(unheard_, {}))
-      if (session->open()) answer(session, target);
+      if (session->open())
+        answer(session, target);
     tellWatches();
   }
   void hide(std::size_t server, bool on) {
@@ -434,12 +485,15 @@
   }
   void accept() {
     acceptor_.async_accept([this](error_code ec, tcp::socket socket) {
-      if (ec) return;
+      if (ec)
+        return;
       auto session = std::make_shared<Session>(std::move(socket));
       session->asked = [this](Session& s, Session::Request r) {
         const auto self = s.shared_from_this();
-        if (silent) unheard_.emplace_back(self, r.target().to_string());
-        else answer(self, r.target().to_string());
+        if (silent)
+          unheard_.emplace_back(self, r.target().to_string());
+        else
+          answer(self, r.target().to_string());
       };
       session->left = [this](Session& s) {
         std::erase_if(watches_, [&](const auto& w) { return w->session.get() == &s; });
@@ -449,17 +503,21 @@
     });
   }
   void answer(const std::shared_ptr<Session>& session, const std::string& target) {
-    if (!target.starts_with("/discovery/hosts")) return session->reply(response(404, "{}"));
+    if (!target.starts_with("/discovery/hosts"))
+      return session->reply(response(404, "{}"));
     const std::string since = query(target, "since");
-    if (since.empty()) return tell(session, 0, true);
+    if (since.empty())
+      return tell(session, 0, true);
     std::uint64_t from = 0;
     std::from_chars(since.data(), since.data() + since.size(), from);
     const int wait = std::clamp(std::atoi(query(target, "timeout_ms").c_str()), 0, 60000);
-    if (from != rev_ || wait == 0) return tell(session, from, from > rev_);
+    if (from != rev_ || wait == 0)
+      return tell(session, from, from > rev_);
     auto watch = std::make_shared<Watch>(Watch{session, from, asio::steady_timer(platform_.io_)});
     watch->timer.expires_after(std::chrono::milliseconds(wait));
     watch->timer.async_wait([this, watch](error_code ec) {
-      if (ec || std::erase(watches_, watch) == 0) return;
+      if (ec || std::erase(watches_, watch) == 0)
+        return;
       tell(watch->session, watch->since, false);
     });
     watches_.push_back(watch);
@@ -474,13 +532,15 @@
     json targets = json::array();
     std::vector<std::pair<std::uint32_t, Phase>> told;
     for (const auto& [server, e] : list_) {
-      if (all ? e.phase == Phase::out : e.rev <= since) continue;
+      if (all ? e.phase == Phase::out : e.rev <= since)
+        continue;
       targets.push_back(e.text);
       told.emplace_back(static_cast<std::uint32_t>(server), e.phase);
     }
     const json body{{"rev", rev_}, {"all", all}, {"targets", std::move(targets)}};
     session->reply(response(200, body.dump()), [this, told] {
-      if (!platform_.witness_) return;
+      if (!platform_.witness_)
+        return;
       for (const auto& [server, phase] : told)
         platform_.witness_->checker().told(clockNow(), number_, server, phase);
     });
@@ -523,29 +583,37 @@
   return agents_.back()->endpoint();
 }
 
-const std::string& Platform::zoneOf(std::size_t server) const { return servers_[server]->entry.zone; }
+const std::string& Platform::zoneOf(std::size_t server) const {
+  return servers_[server]->entry.zone;
+}
 
 void Platform::slow(std::size_t server, double factor) {
   servers_[server]->server.slow(clockNow(), std::max(factor, 1.0));
   servers_[server]->settle();
 }
 
-void Platform::jam(std::size_t server) { servers_[server]->server.jam(clockNow()); }
+void Platform::jam(std::size_t server) {
+  servers_[server]->server.jam(clockNow());
+}
 
 void Platform::kill(std::size_t server) {
-  if (!servers_[server]->up) return;
+  if (!servers_[server]->up)
+    return;
   servers_[server]->kill();
   servers_[server]->entry.phase = Phase::out;
   publish(server);
 }
 
 void Platform::start(std::size_t server) {
-  if (servers_[server]->up) return;
+  if (servers_[server]->up)
+    return;
   servers_[server]->start();
   publish(server);
 }
 
-void Platform::cut(std::size_t server, bool on) { servers_[server]->cut(on); }
+void Platform::cut(std::size_t server, bool on) {
+  servers_[server]->cut(on);
+}
 
 void Platform::drain(std::size_t server) {
   servers_[server]->entry.phase = Phase::draining;
@@ -555,16 +623,22 @@
 
 void Platform::silence(std::size_t agent, bool on) {
   agents_[agent]->silent = on;
-  if (!on) agents_[agent]->speak();
+  if (!on)
+    agents_[agent]->speak();
 }
 
 void Platform::hold(std::size_t agent, bool on) {
   agents_[agent]->held = on;
-  if (!on) agents_[agent]->release();
+  if (!on)
+    agents_[agent]->release();
 }
 
-void Platform::forgetFor(std::size_t agent, std::size_t server) { agents_[agent]->hide(server, true); }
-void Platform::recall(std::size_t agent, std::size_t server) { agents_[agent]->hide(server, false); }
+void Platform::forgetFor(std::size_t agent, std::size_t server) {
+  agents_[agent]->hide(server, true);
+}
+void Platform::recall(std::size_t agent, std::size_t server) {
+  agents_[agent]->hide(server, false);
+}
 
 void Platform::publish(std::size_t server) {
   const double lag = servers_[server]->entry.phase == Phase::in ? scenario_.addS.draw(notices_)
@@ -573,14 +647,16 @@
     auto timer = std::make_shared<asio::steady_timer>(io_);
     timer->expires_after(seconds(lag + notices_.exponential(scenario_.spreadMs.draw(notices_) / 1000)));
     timer->async_wait([timer, server, a = agent.get()](error_code ec) {
-      if (!ec) a->learn(server);
+      if (!ec)
+        a->learn(server);
     });
   }
 }
 
 std::size_t Platform::held() const {
   std::size_t sum = 0;
-  for (const auto& s : servers_) sum += s->server.held();
+  for (const auto& s : servers_)
+    sum += s->server.held();
   return sum;
 }
 
@@ -601,7 +677,8 @@
 struct Asking : std::enable_shared_from_this<Asking> {
   explicit Asking(asio::io_context& io) : socket(io), timer(io) {}
   void end(int status, std::string body) {
-    if (!done) return;
+    if (!done)
+      return;
     const auto call = std::exchange(done, nullptr);
     error_code ignored;
     socket.close(ignored);
@@ -626,14 +703,18 @@
   a->request.set(http::field::host, textOf(to));
   a->timer.expires_after(wait);
   a->timer.async_wait([a](error_code ec) {
-    if (!ec) a->end(0, {});
+    if (!ec)
+      a->end(0, {});
   });
   a->socket.async_connect(to, [a](error_code ec) {
-    if (ec) return a->end(0, {});
+    if (ec)
+      return a->end(0, {});
     http::async_write(a->socket, a->request, [a](error_code failed, std::size_t) {
-      if (failed) return a->end(0, {});
+      if (failed)
+        return a->end(0, {});
       http::async_read(a->socket, a->buffer, a->answer, [a](error_code bad, std::size_t) {
-        if (bad) return a->end(0, {});
+        if (bad)
+          return a->end(0, {});
         a->end(static_cast<int>(a->answer.result_int()), a->answer.body());
       });
     });
--- a/src/lab/rig/process.cpp
+++ b/src/lab/rig/process.cpp
@@ -17,7 +17,8 @@
 // As execve wants them: pointers into the texts, and a null behind the last.
 std::vector<char*> pointersTo(const std::vector<std::string>& texts) {
   std::vector<char*> all;
-  for (const std::string& text : texts) all.push_back(const_cast<char*>(text.c_str()));
+  for (const std::string& text : texts)
+    all.push_back(const_cast<char*>(text.c_str()));
   all.push_back(nullptr);
   return all;
 }
@@ -27,7 +28,8 @@
 void Process::start(const std::string& program, const std::vector<std::string>& variables,
                     const std::vector<std::string>& arguments) {
   int ends[2];
-  if (::pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("no pipe for " + name);
+  if (::pipe2(ends, O_CLOEXEC) != 0)
+    throw std::runtime_error("no pipe for " + name);
   std::vector<std::string> words{program};
   words.insert(words.end(), arguments.begin(), arguments.end());
   const std::vector<char*> argv = pointersTo(words), env = pointersTo(variables);
@@ -35,7 +37,8 @@
   pid = ::fork();
   if (pid == 0) {
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-    if (::getppid() != parent) ::_exit(127);  // the rig went in between
+    if (::getppid() != parent)
+      ::_exit(127);  // the rig went in between
     ::dup2(ends[1], 1);
     ::dup2(ends[1], 2);
     // Danger: a process that inherits the rig's sockets keeps a dead server's port listening.
@@ -45,23 +48,27 @@
   }
   ::close(ends[1]);
   pipe.assign(ends[0]);
-  if (pid < 0) throw std::runtime_error("no process for " + name);
+  if (pid < 0)
+    throw std::runtime_error("no process for " + name);
   read();
 }
 
 void Process::send(int signal) {
-  if (!ended) ::kill(pid, signal);
+  if (!ended)
+    ::kill(pid, signal);
 }
 
 void Process::read() {
   asio::async_read_until(
       pipe, buffer, '\n', [self = shared_from_this()](boost::system::error_code ec, std::size_t n) {
-        if (ec) return;
+        if (ec)
+          return;
         std::string line(asio::buffers_begin(self->buffer.data()),
                          asio::buffers_begin(self->buffer.data()) + static_cast<std::ptrdiff_t>(n) - 1);
         self->buffer.consume(n);
         self->lastLine = line;
-        if (self->said) self->said(line);
+        if (self->said)
+          self->said(line);
         self->read();
       });
 }
--- a/src/lab/rig/process_usage.cpp
+++ b/src/lab/rig/process_usage.cpp
@@ -23,7 +23,8 @@
   for (const auto& thread : fs::directory_iterator(process / "task", gone)) {
     std::ifstream file(thread.path() / "schedstat");
     double ns = 0;
-    if (file >> ns) sum += ns * kNanosecond;
+    if (file >> ns)
+      sum += ns * kNanosecond;
   }
   return sum;
 }
@@ -34,7 +35,8 @@
   const fs::path process = fs::path("/proc") / std::to_string(pid);
   std::ifstream memory(process / "statm");
   std::uint64_t all = 0, resident = 0;
-  if (!(memory >> all >> resident)) throw std::runtime_error("no process " + std::to_string(pid));
+  if (!(memory >> all >> resident))
+    throw std::runtime_error("no process " + std::to_string(pid));
   const double page = static_cast<double>(::sysconf(_SC_PAGESIZE));
   return {processorSecondsOf(process), static_cast<double>(resident) * page / kMegabyte};
 }
--- a/src/lab/rig/relay.cpp
+++ b/src/lab/rig/relay.cpp
@@ -48,37 +48,46 @@
   const asio::ip::address_v4 own(base_ + 1 + static_cast<std::uint32_t>(doors_.size()));
   door->process = udp::socket(io_, udp::endpoint(own, 0)).local_endpoint();
   doors_.push_back(door);
-  for (auto& row : paths_) row.resize(doors_.size());
+  for (auto& row : paths_)
+    row.resize(doors_.size());
   paths_.emplace_back(doors_.size());
   read(door);
   return door->member;
 }
 
-udp::endpoint Relay::listen(std::size_t member) const { return doors_.at(member)->process; }
+udp::endpoint Relay::listen(std::size_t member) const {
+  return doors_.at(member)->process;
+}
 udp::endpoint Relay::advertised(std::size_t member) const {
   return doors_.at(member)->socket.local_endpoint();
 }
 
 Relay::Path& Relay::path(std::size_t from, std::size_t to) {
   Path& p = paths_.at(from).at(to);
-  if (!p.draw) p.draw = std::make_unique<Stream>(seed_, "path", from * 1000 + to);
+  if (!p.draw)
+    p.draw = std::make_unique<Stream>(seed_, "path", from * 1000 + to);
   return p;
 }
 
 void Relay::set(std::size_t from, std::size_t to, const Weather& weather) {
   path(from, to).weather = weather;
 }
-void Relay::cut(std::size_t from, std::size_t to, bool on) { path(from, to).cut = on; }
+void Relay::cut(std::size_t from, std::size_t to, bool on) {
+  path(from, to).cut = on;
+}
 
 void Relay::read(std::shared_ptr<Door> door) {
   door->socket.async_receive_from(
       asio::buffer(door->buffer), door->from, [this, door](error_code ec, std::size_t n) {
-        if (ec == asio::error::operation_aborted || !door->socket.is_open()) return;
+        if (ec == asio::error::operation_aborted || !door->socket.is_open())
+          return;
         if (!ec) {
           const auto from = std::find_if(doors_.begin(), doors_.end(),
                                          [&](const auto& d) { return d->process == door->from; });
-          if (from == doors_.end()) ++counts_.strange;
-          else pass((*from)->member, door->member, std::string(door->buffer.data(), n));
+          if (from == doors_.end())
+            ++counts_.strange;
+          else
+            pass((*from)->member, door->member, std::string(door->buffer.data(), n));
         }
         read(door);
       });
@@ -106,7 +115,8 @@
     auto timer = std::make_shared<asio::steady_timer>(io_);
     timer->expires_after(std::chrono::microseconds(static_cast<std::int64_t>(ms * 1000)));
     timer->async_wait([this, timer, from, to, copy](error_code ec) {
-      if (!ec) deliver(from, to, copy);
+      if (!ec)
+        deliver(from, to, copy);
     });
   }
 }
--- a/src/lab/rig/scale.cpp
+++ b/src/lab/rig/scale.cpp
@@ -16,7 +16,8 @@
   StepResult result;
   for (unsigned i = 0; i < std::max(plan.voidTries, 1u); ++i) {
     result = measureStep(plan, size);
-    if (result.voided.empty()) break;
+    if (result.voided.empty())
+      break;
   }
   result.size = value;
   return result;
@@ -27,7 +28,8 @@
 ScaleRun playScale(const ScalePlan& plan, const std::function<void(const StepResult&)>& told) {
   checkPlan(plan);
   for (const std::string& program : {plan.program, plan.lab})
-    if (::access(program.c_str(), X_OK) != 0) throw std::runtime_error("no program at " + program);
+    if (::access(program.c_str(), X_OK) != 0)
+      throw std::runtime_error("no program at " + program);
   ScaleRun run;
   run.dimension = nameOf(plan.dimension);
   for (unsigned round = 0; round < plan.rounds; ++round)
