--- a/src/lab/rig/scale_command.cpp
+++ b/src/lab/rig/scale_command.cpp
@@ -41,7 +41,8 @@
 }
 
 void keepStep(const std::string& db, ScaleRun run, const StepResult& step) {
-  if (db.empty()) return;
+  if (db.empty())
+    return;
   run.steps = {step};
   Store(db).putScale(run);
 }
@@ -53,8 +54,10 @@
     const auto same = std::find_if(all.begin(), all.end(), [&](const ScaleRun& other) {
       return other.label == run.label && other.command == run.command;
     });
-    if (same == all.end()) all.push_back(run);
-    else same->steps.insert(same->steps.end(), run.steps.begin(), run.steps.end());
+    if (same == all.end())
+      all.push_back(run);
+    else
+      same->steps.insert(same->steps.end(), run.steps.begin(), run.steps.end());
   }
   return all;
 }
@@ -123,27 +126,36 @@
 
 int ScaleCommand::run(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);  // a peer that left shows as an error of the write
-  if (servers_->parsed()) return runHollowServers(serverPlan_);
-  if (gateways_->parsed()) return runHollowGateways(gatewayPlan_);
-  if (kept_) return showKept();
+  if (servers_->parsed())
+    return runHollowServers(serverPlan_);
+  if (gateways_->parsed())
+    return runHollowGateways(gatewayPlan_);
+  if (kept_)
+    return showKept();
   std::string command = "hollyrun-lab";
-  for (int i = 1; i < argc; ++i) command += std::string(" ") + argv[i];
+  for (int i = 1; i < argc; ++i)
+    command += std::string(" ") + argv[i];
   return play(command);
 }
 
 int ScaleCommand::play(const std::string& command) {
-  if (scenario_.empty()) throw std::invalid_argument("scale: a scenario is required");
+  if (scenario_.empty())
+    throw std::invalid_argument("scale: a scenario is required");
   plan_.scenario = readScenario(scenario_, set_);
   plan_.lab = std::filesystem::read_symlink("/proc/self/exe").string();
   std::vector<ShapeBound> bounds;
-  for (const std::string& text : bounds_) bounds.push_back(parseShapeBound(text));
+  for (const std::string& text : bounds_)
+    bounds.push_back(parseShapeBound(text));
   std::size_t stepped = 0;
   plan_.values = {plan_.size.of(plan_.dimension)};
   for (std::size_t i = 0; i < sizes_.size(); ++i) {
     plan_.size.set(kDimensions[i], sizes_[i].front());
-    if (kDimensions[i] == plan_.dimension && stepped == 0) plan_.values = sizes_[i];
-    if (sizes_[i].size() < 2) continue;
-    if (++stepped > 1) throw std::invalid_argument("scale: only one dimension may have several sizes");
+    if (kDimensions[i] == plan_.dimension && stepped == 0)
+      plan_.values = sizes_[i];
+    if (sizes_[i].size() < 2)
+      continue;
+    if (++stepped > 1)
+      throw std::invalid_argument("scale: only one dimension may have several sizes");
     plan_.dimension = kDimensions[i];
     plan_.values = sizes_[i];
   }
@@ -160,14 +172,17 @@
     return kInterrupted;
   }
   fmt::print("{}", tableOf(run));
-  if (hasVoidStep(run)) return kVoid;
+  if (hasVoidStep(run))
+    return kVoid;
   const std::vector<std::string> faults = shapeFaults(run, bounds);
-  for (const std::string& fault : faults) fmt::print("{}\n", fault);
+  for (const std::string& fault : faults)
+    fmt::print("{}\n", fault);
   return faults.empty() ? 0 : kBroken;
 }
 
 int ScaleCommand::showKept() const {
-  if (db_.empty()) throw std::invalid_argument("scale --kept needs --db");
+  if (db_.empty())
+    throw std::invalid_argument("scale --kept needs --db");
   for (const ScaleRun& run : byCommand(Store(db_).scaleRuns(label_)))
     fmt::print("{}: {}\n\n{}\n", run.label, run.command, tableOf(run));
   return 0;
--- a/src/lab/rig/scale_figures.cpp
+++ b/src/lab/rig/scale_figures.cpp
@@ -44,7 +44,8 @@
 std::vector<Point> pointsOf(const ScaleRun& run, Figure figure) {
   std::vector<Point> all;
   for (const StepResult& step : run.steps)
-    if (step.voided.empty() && step[figure]) all.push_back({step.size, *step[figure]});
+    if (step.voided.empty() && step[figure])
+      all.push_back({step.size, *step[figure]});
   return all;
 }
 
@@ -55,7 +56,8 @@
   void add(double value) { sum += value, squares += value * value, ++count; }
   double value() const { return sum / static_cast<double>(count); }
   double error() const {
-    if (count < 2) return 0;
+    if (count < 2)
+      return 0;
     const double n = static_cast<double>(count);
     const double variance = std::max(0.0, (squares - sum * sum / n) / (n - 1));
     return std::sqrt(variance / n);
@@ -64,39 +66,48 @@
 
 std::map<double, Mean> meansOf(const ScaleRun& run, Figure figure) {
   std::map<double, Mean> all;
-  for (const Point& p : pointsOf(run, figure)) all[p.size].add(p.value);
+  for (const Point& p : pointsOf(run, figure))
+    all[p.size].add(p.value);
   return all;
 }
 
 std::map<double, std::size_t> sizesOf(const ScaleRun& run) {
   std::map<double, std::size_t> all;  // with how many of its steps are void
-  for (const StepResult& step : run.steps) all[step.size] += step.voided.empty() ? 0 : 1;
+  for (const StepResult& step : run.steps)
+    all[step.size] += step.voided.empty() ? 0 : 1;
   return all;
 }
 
 std::string cellOf(const std::map<double, Mean>& means, double size, int decimals) {
   const auto it = means.find(size);
-  if (it == means.end()) return "-";
+  if (it == means.end())
+    return "-";
   std::string text = fmt::format("{:.{}f}", it->second.value(), decimals);
-  if (it->second.count > 1) text += fmt::format(" ± {:.{}f}", it->second.error(), decimals);
+  if (it->second.count > 1)
+    text += fmt::format(" ± {:.{}f}", it->second.error(), decimals);
   return text;
 }
 
 std::string slopeText(const std::optional<Slope>& slope, int decimals) {
-  if (!slope) return "-";
+  if (!slope)
+    return "-";
   const int more = decimals + 1;
   std::string text = fmt::format("{:.{}f}", slope->slope * kSlopeFor, more);
-  if (slope->standardError) text += fmt::format(" ± {:.{}f}", *slope->standardError * kSlopeFor, more);
+  if (slope->standardError)
+    text += fmt::format(" ± {:.{}f}", *slope->standardError * kSlopeFor, more);
   return text;
 }
 
 }  // namespace
 
-const FigureText& textOf(Figure figure) { return kTexts[static_cast<std::size_t>(figure)]; }
+const FigureText& textOf(Figure figure) {
+  return kTexts[static_cast<std::size_t>(figure)];
+}
 
 std::optional<Figure> figureNamed(const std::string& name) {
   for (std::size_t i = 0; i < kFigures; ++i)
-    if (name == kTexts[i].name) return static_cast<Figure>(i);
+    if (name == kTexts[i].name)
+      return static_cast<Figure>(i);
   return std::nullopt;
 }
 
@@ -104,19 +115,23 @@
   const std::vector<Point> points = pointsOf(run, figure);
   const double n = static_cast<double>(points.size());
   double meanX = 0, meanY = 0;
-  for (const Point& p : points) meanX += p.size / n, meanY += p.value / n;
+  for (const Point& p : points)
+    meanX += p.size / n, meanY += p.value / n;
   double xx = 0, xy = 0;
   for (const Point& p : points) {
     xx += (p.size - meanX) * (p.size - meanX);
     xy += (p.size - meanX) * (p.value - meanY);
   }
-  if (!(xx > 0)) return std::nullopt;
+  if (!(xx > 0))
+    return std::nullopt;
   Slope fit;
   fit.slope = xy / xx;
   fit.intercept = meanY - fit.slope * meanX;
-  if (points.size() < 3) return fit;
+  if (points.size() < 3)
+    return fit;
   double residual = 0;
-  for (const Point& p : points) residual += std::pow(p.value - fit.intercept - fit.slope * p.size, 2);
+  for (const Point& p : points)
+    residual += std::pow(p.value - fit.intercept - fit.slope * p.size, 2);
   fit.standardError = std::sqrt(residual / (n - 2) / xx);
   return fit;
 }
@@ -132,7 +147,8 @@
   for (std::size_t i = 0; i < kFigures; ++i) {
     const auto figure = static_cast<Figure>(i);
     const auto means = meansOf(run, figure);
-    if (means.empty()) continue;
+    if (means.empty())
+      continue;
     text += fmt::format("| {} |", kTexts[i].what);
     for (const auto& [size, voided] : sizes)
       text += fmt::format(" {} |", cellOf(means, size, kTexts[i].decimals));
@@ -147,7 +163,8 @@
   if (equals == std::string::npos || !figure)
     throw std::invalid_argument("'" + text + "' is no FIGURE=FACTOR");
   ShapeBound bound{*figure, std::atof(text.c_str() + equals + 1)};
-  if (!(bound.factor > 0)) throw std::invalid_argument("'" + text + "': the factor has to be above 0");
+  if (!(bound.factor > 0))
+    throw std::invalid_argument("'" + text + "': the factor has to be above 0");
   return bound;
 }
 
--- a/src/lab/rig/scale_plan.cpp
+++ b/src/lab/rig/scale_plan.cpp
@@ -17,7 +17,8 @@
 constexpr std::size_t kStepsMost = 40;
 
 void needUpTo(const char* what, double value, double most) {
-  if (value >= 0 && value <= most) return;
+  if (value >= 0 && value <= most)
+    return;
   throw std::invalid_argument(std::string("a scale run has ") + what + " from 0 to " +
                               std::to_string(static_cast<long long>(most)));
 }
@@ -38,13 +39,20 @@
 
 const char* nameOf(Dimension dimension) {
   switch (dimension) {
-    case Dimension::gateways: return "gateways";
-    case Dimension::hollow: return "hollow";
-    case Dimension::servers: return "servers";
-    case Dimension::tenants: return "tenants";
-    case Dimension::classes: return "classes";
-    case Dimension::rate: return "rate";
-    case Dimension::changes: return "changes";
+    case Dimension::gateways:
+      return "gateways";
+    case Dimension::hollow:
+      return "hollow";
+    case Dimension::servers:
+      return "servers";
+    case Dimension::tenants:
+      return "tenants";
+    case Dimension::classes:
+      return "classes";
+    case Dimension::rate:
+      return "rate";
+    case Dimension::changes:
+      return "changes";
   }
   return "?";
 }
@@ -52,31 +60,53 @@
 void ScaleSize::set(Dimension dimension, double value) {
   const auto count = static_cast<std::size_t>(std::lround(std::max(value, 0.0)));
   switch (dimension) {
-    case Dimension::gateways: gateways = count; return;
-    case Dimension::hollow: hollow = count; return;
-    case Dimension::servers: servers = count; return;
-    case Dimension::tenants: tenants = count; return;
-    case Dimension::classes: classes = count; return;
-    case Dimension::rate: rate = value; return;
-    case Dimension::changes: changes = value; return;
+    case Dimension::gateways:
+      gateways = count;
+      return;
+    case Dimension::hollow:
+      hollow = count;
+      return;
+    case Dimension::servers:
+      servers = count;
+      return;
+    case Dimension::tenants:
+      tenants = count;
+      return;
+    case Dimension::classes:
+      classes = count;
+      return;
+    case Dimension::rate:
+      rate = value;
+      return;
+    case Dimension::changes:
+      changes = value;
+      return;
   }
 }
 
 double ScaleSize::of(Dimension dimension) const {
   switch (dimension) {
-    case Dimension::gateways: return static_cast<double>(gateways);
-    case Dimension::hollow: return static_cast<double>(hollow);
-    case Dimension::servers: return static_cast<double>(servers);
-    case Dimension::tenants: return static_cast<double>(tenants);
-    case Dimension::classes: return static_cast<double>(classes);
-    case Dimension::rate: return rate;
-    case Dimension::changes: return changes;
+    case Dimension::gateways:
+      return static_cast<double>(gateways);
+    case Dimension::hollow:
+      return static_cast<double>(hollow);
+    case Dimension::servers:
+      return static_cast<double>(servers);
+    case Dimension::tenants:
+      return static_cast<double>(tenants);
+    case Dimension::classes:
+      return static_cast<double>(classes);
+    case Dimension::rate:
+      return rate;
+    case Dimension::changes:
+      return changes;
   }
   return 0;
 }
 
 void checkPlan(const ScalePlan& plan) {
-  if (plan.values.empty()) throw std::invalid_argument("a scale run has one step at least");
+  if (plan.values.empty())
+    throw std::invalid_argument("a scale run has one step at least");
   needUpTo("steps", static_cast<double>(plan.values.size() * plan.rounds), kStepsMost);
   for (const double seconds : {plan.idleS, plan.loadS, plan.warmS, plan.outageS, plan.joinMostS})
     needUpTo("seconds of a window", seconds, kWindowMostS);
@@ -93,12 +123,14 @@
   s.swing = s.zoneSkew = s.chokeShare = s.retries = 0;
   s.troubles.clear();
   s.faults.clear();
-  if (size.classes == 0) return s;
+  if (size.classes == 0)
+    return s;
   const std::vector<RequestClass> own = s.classes;
   s.classes.clear();
   for (std::size_t i = 0; i < size.classes; ++i) {
     RequestClass c = own[i % own.size()];
-    if (i >= own.size()) c.set.name += fmt::format("-{}", i / own.size());
+    if (i >= own.size())
+      c.set.name += fmt::format("-{}", i / own.size());
     s.classes.push_back(c);
   }
   return s;
--- a/src/lab/rig/scale_rig.cpp
+++ b/src/lab/rig/scale_rig.cpp
@@ -45,7 +45,8 @@
   const fs::path memory = "/dev/shm";
   const fs::path base = ::access(memory.c_str(), W_OK) == 0 ? memory : fs::temp_directory_path();
   std::string pattern = (base / "hollyrun-scale-XXXXXX").string();
-  if (!::mkdtemp(pattern.data())) throw std::runtime_error("no temporary directory");
+  if (!::mkdtemp(pattern.data()))
+    throw std::runtime_error("no temporary directory");
   return pattern;
 }
 
@@ -82,16 +83,21 @@
   }
 }
 
-ScaleRig::~ScaleRig() { killAll(); }
+ScaleRig::~ScaleRig() {
+  killAll();
+}
 
 // --- The loop ---------------------------------------------------------------------------------------------
 
 bool ScaleRig::playUntil(const std::function<bool()>& holds, double mostS) {
   const Time most = clockNow() + seconds(mostS);
   while (!holds()) {
-    if (interrupted_) throw ScaleInterrupted();
-    if (!failure_.empty()) throw std::runtime_error(failure_);
-    if (clockNow() >= most) return false;
+    if (interrupted_)
+      throw ScaleInterrupted();
+    if (!failure_.empty())
+      throw std::runtime_error(failure_);
+    if (clockNow() >= most)
+      return false;
     io_.run_one_for(std::min<Duration>(most - clockNow(), std::chrono::milliseconds(100)));
   }
   return true;
@@ -114,22 +120,26 @@
 
 std::string ScaleRig::ask(const RealGateway& gateway, const std::string& target) {
   const OpsAnswer answer = answerOf(gateway, target);
-  if (answer.status != 200) throw std::runtime_error(gateway.name + " does not answer " + target);
+  if (answer.status != 200)
+    throw std::runtime_error(gateway.name + " does not answer " + target);
   return answer.body;
 }
 
 void ScaleRig::checkMemory() const {
   double sum = usageOf(::getpid()).residentMb;
   for (const auto& process : processes_)
-    if (!process->ended) sum += usageOf(process->pid).residentMb;
-  if (sum > kMemoryMostMb) throw std::runtime_error(fmt::format("all processes hold {:.0f} MB", sum));
+    if (!process->ended)
+      sum += usageOf(process->pid).residentMb;
+  if (sum > kMemoryMostMb)
+    throw std::runtime_error(fmt::format("all processes hold {:.0f} MB", sum));
 }
 
 // --- Processes --------------------------------------------------------------------------------------------
 
 void ScaleRig::watchChildren() {
   children_.async_wait([this](error_code ec, int) {
-    if (ec) return;
+    if (ec)
+      return;
     reap();
     watchChildren();
   });
@@ -138,7 +148,8 @@
 void ScaleRig::reap() {
   for (const auto& process : processes_) {
     int status = 0;
-    if (process->ended || ::waitpid(process->pid, &status, WNOHANG) != process->pid) continue;
+    if (process->ended || ::waitpid(process->pid, &status, WNOHANG) != process->pid)
+      continue;
     process->ended = true;
     process->code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
     // What it said last is still in its pipe.
@@ -150,7 +161,8 @@
 
 void ScaleRig::killAll() {
   for (const auto& process : processes_) {
-    if (process->ended) continue;
+    if (process->ended)
+      continue;
     ::kill(process->pid, SIGKILL);
     ::waitpid(process->pid, nullptr, 0);
     process->ended = true;
@@ -165,7 +177,8 @@
   helper.process = std::make_shared<Process>(io_, name);
   helper.process->said = [&helper](const std::string& line) {
     const auto report = parseHollowReport(line);
-    if (!report) return;
+    if (!report)
+      return;
     helper.report = *report;
     helper.lagMs = std::max(helper.lagMs, report->lagMs);
   };
@@ -197,7 +210,8 @@
 std::string ScaleRig::seeds() const {
   std::string all;
   for (std::size_t i = 0; i < std::min(kSeeds, gateways_.size()); ++i)
-    if (!gateways_[i]->membership.empty()) all += (all.empty() ? "" : ",") + gateways_[i]->membership;
+    if (!gateways_[i]->membership.empty())
+      all += (all.empty() ? "" : ",") + gateways_[i]->membership;
   return all;
 }
 
@@ -207,13 +221,16 @@
     RealGateway& gateway = *gateways_.back();
     gateway.discovery = discovery_->addAddress();
     gateway.config = dir_ / (gateway.name + ".toml");
-    if (plan_.membershipPeriodMs > 0) gateway.membership = freeMembershipAddress(io_);
+    if (plan_.membershipPeriodMs > 0)
+      gateway.membership = freeMembershipAddress(io_);
   }
   hollowAddress_ = discovery_->addAddress();
-  for (const auto& gateway : gateways_) startGateway(*gateway, seeds());
+  for (const auto& gateway : gateways_)
+    startGateway(*gateway, seeds());
   for (const auto& gateway : gateways_) {
     const auto ready = [&] { return answerOf(*gateway, "/ops/readiness").status == 200; };
-    if (!playUntil(ready, kReadyMostS)) throw std::runtime_error(gateway->name + " is not ready");
+    if (!playUntil(ready, kReadyMostS))
+      throw std::runtime_error(gateway->name + " is not ready");
     gateway->startProcessorS = usageOf(gateway->process->pid).processorS;
   }
   startHollowGateways(seeds());
@@ -241,7 +258,8 @@
                                        config.string(),
                                        "--discovery",
                                        textOf(discovery_->endpoint(hollowAddress_))};
-    if (!seeds.empty()) arguments.insert(arguments.end(), {"--seeds", seeds});
+    if (!seeds.empty())
+      arguments.insert(arguments.end(), {"--seeds", seeds});
     startHelper("hollow gateways " + std::to_string(first), arguments);
   }
   if (!playUntil([this] { return hollow_.empty() || hollowRevision() >= discovery_->revision(); },
@@ -306,49 +324,58 @@
   Load& load = *loads_.back();
   bool done = false;
   load.start([&done] { done = true; });
-  if (!playUntil([&done] { return done; }, s + kLoadEndS)) throw std::runtime_error("a load does not end");
+  if (!playUntil([&done] { return done; }, s + kLoadEndS))
+    throw std::runtime_error("a load does not end");
   checkMemory();
   return load;
 }
 
 void ScaleRig::changeRegularly(bool on) {
   changes_.cancel();
-  if (!on || size_.changes <= 0) return;
+  if (!on || size_.changes <= 0)
+    return;
   changes_.expires_after(seconds(1 / size_.changes));
   changes_.async_wait([this](error_code ec) {
-    if (ec) return;
+    if (ec)
+      return;
     changeOne();
     changeRegularly(true);
   });
 }
 
 // One after another, from the last on: the first servers are asked directly.
-void ScaleRig::changeOne() { discovery_->change(size_.servers - 1 - changed_++ % size_.servers); }
+void ScaleRig::changeOne() {
+  discovery_->change(size_.servers - 1 - changed_++ % size_.servers);
+}
 
 // --- Hollow processes
 // ---------------------------------------------------------------------------------------
 
 std::int64_t ScaleRig::hollowRevision() const {
   std::int64_t least = discovery_->revision();
-  for (const auto& helper : hollow_) least = std::min(least, helper->report.revision);
+  for (const auto& helper : hollow_)
+    least = std::min(least, helper->report.revision);
   return least;
 }
 
 std::uint64_t ScaleRig::hollowWholeLists() const {
   std::uint64_t least = UINT64_MAX;
-  for (const auto& helper : hollow_) least = std::min(least, helper->report.wholeLists);
+  for (const auto& helper : hollow_)
+    least = std::min(least, helper->report.wholeLists);
   return least;
 }
 
 std::uint32_t ScaleRig::hollowMembersSeen() const {
   std::uint32_t least = UINT32_MAX;
-  for (const auto& helper : hollow_) least = std::min(least, helper->report.membersSeen);
+  for (const auto& helper : hollow_)
+    least = std::min(least, helper->report.membersSeen);
   return least;
 }
 
 Time ScaleRig::hollowChangedAt() const {
   std::int64_t latest = 0;
-  for (const auto& helper : hollow_) latest = std::max(latest, helper->report.changedAtNs);
+  for (const auto& helper : hollow_)
+    latest = std::max(latest, helper->report.changedAtNs);
   const Duration offset = clockNow() - std::chrono::steady_clock::now().time_since_epoch();
   return std::chrono::nanoseconds(latest) + offset;
 }
@@ -356,20 +383,23 @@
 std::vector<std::pair<std::string, ProcessUsage>> ScaleRig::helperUsage() const {
   std::vector<std::pair<std::string, ProcessUsage>> all{{"the rig", usageOf(::getpid())}};
   all.emplace_back(servers_->process->name, usageOf(servers_->process->pid));
-  for (const auto& helper : hollow_) all.emplace_back(helper->process->name, usageOf(helper->process->pid));
+  for (const auto& helper : hollow_)
+    all.emplace_back(helper->process->name, usageOf(helper->process->pid));
   return all;
 }
 
 double ScaleRig::lagMs() const {
   double most = std::max(lag_.mostMs(), servers_->lagMs);
-  for (const auto& helper : hollow_) most = std::max(most, helper->lagMs);
+  for (const auto& helper : hollow_)
+    most = std::max(most, helper->lagMs);
   return most;
 }
 
 void ScaleRig::resetLag() {
   lag_.reset();
   servers_->lagMs = 0;
-  for (const auto& helper : hollow_) helper->lagMs = 0;
+  for (const auto& helper : hollow_)
+    helper->lagMs = 0;
 }
 
 }  // namespace hollyrun::lab
--- a/src/lab/rig/scale_step.cpp
+++ b/src/lab/rig/scale_step.cpp
@@ -75,14 +75,16 @@
     return sum;
   }
   double membershipBytes(const RealGateway& gateway) {
-    if (gateway.membership.empty()) return 0;
+    if (gateway.membership.empty())
+      return 0;
     const auto view = nlohmann::json::parse(rig_.ask(gateway, "/ops/fleet"));
     const auto& counters = view.at("counters");
     return counters.at("bytes_in").get<double>() + counters.at("bytes_out").get<double>();
   }
   double processorSeconds() const {
     double sum = 0;
-    for (const auto& gateway : rig_.gateways()) sum += usageOf(gateway->process->pid).processorS;
+    for (const auto& gateway : rig_.gateways())
+      sum += usageOf(gateway->process->pid).processorS;
     return sum / static_cast<double>(rig_.gateways().size());
   }
 
@@ -98,7 +100,8 @@
     const auto now = rig_.helperUsage();
     for (std::size_t i = 0; i < now.size(); ++i) {
       const double share = (now[i].second.processorS - helpers_[i].second.processorS) / passed;
-      if (passed < kShareOverS) continue;
+      if (passed < kShareOverS)
+        continue;
       raise(Figure::busiestShare, share);
       if (share > plan_.shareMost)
         voidFor(fmt::format("{}: {} took {:.2f} of a core", window, now[i].first, share));
@@ -113,7 +116,8 @@
   // --- Measures ---
 
   void waitForMembers() {
-    if (plan_.membershipPeriodMs <= 0 || size_.hollow == 0) return rig_.playFor(kSettleS);
+    if (plan_.membershipPeriodMs <= 0 || size_.hollow == 0)
+      return rig_.playFor(kSettleS);
     const auto all = static_cast<std::uint32_t>(size_.gateways + size_.hollow);
     const Time from = clockNow();
     if (rig_.playUntil([&] { return rig_.hollowMembersSeen() >= all; }, plan_.joinMostS))
@@ -123,12 +127,14 @@
 
   void measureStart() {
     double sum = 0;
-    for (const auto& gateway : rig_.gateways()) sum += gateway->startProcessorS;
+    for (const auto& gateway : rig_.gateways())
+      sum += gateway->startProcessorS;
     result_[Figure::startMs] = sum / static_cast<double>(rig_.gateways().size()) * kMs;
   }
 
   void measureIdle() {
-    if (plan_.idleS <= 0) return;
+    if (plan_.idleS <= 0)
+      return;
     const GatewayCounts before = counts();
     rig_.playFor(plan_.idleS);
     const double processorS = processorSeconds() - before.processorS;
@@ -142,7 +148,8 @@
   }
 
   void measureLoad() {
-    if (plan_.loadS <= 0 || size_.rate <= 0) return;
+    if (plan_.loadS <= 0 || size_.rate <= 0)
+      return;
     beginWatch();
     const double before = processorSeconds();
     const Time from = clockNow();
@@ -175,7 +182,8 @@
       processorS += one.processorS / plan_.hangups;
       stallMs = std::max(stallMs, one.stallMs);
     }
-    if (plan_.hangups == 0) return;
+    if (plan_.hangups == 0)
+      return;
     result_[Figure::hangupMs] = processorS * kMs;
     result_[Figure::stallMs] = stallMs;
   }
@@ -193,7 +201,8 @@
     const double ms = inSeconds(clockNow() - from) * kMs;
     const std::string name = ".reconfig_ok=";
     const std::size_t at = body.find(name);
-    if (at == std::string::npos) throw std::runtime_error(gateway.name + " counts no SIGHUP");
+    if (at == std::string::npos)
+      throw std::runtime_error(gateway.name + " counts no SIGHUP");
     return {std::atoi(body.c_str() + at + name.size()), ms};
   }
   // One that it is asked again and again until it has taken the settings; what asking costs is taken off.
@@ -215,7 +224,8 @@
     double longest = 0;
     int asks = 0;
     while (last.reloads == reloads) {
-      if (clockNow() > most) throw std::runtime_error(gateway.name + " does not take a SIGHUP");
+      if (clockNow() > most)
+        throw std::runtime_error(gateway.name + " does not take a SIGHUP");
       last = askStatistics(gateway);
       longest = std::max(longest, last.ms);
       ++asks;
@@ -226,7 +236,8 @@
   // --- The list at the hollow gateways ---
 
   void measureListChanges() {
-    if (size_.hollow == 0) return;
+    if (size_.hollow == 0)
+      return;
     beginWatch();
     for (unsigned i = 0; i < plan_.listChanges; ++i) {
       const Time from = clockNow();
@@ -235,11 +246,13 @@
         throw std::runtime_error("a change of the list does not reach all hollow gateways");
       raise(Figure::changeMs, inSeconds(rig_.hollowChangedAt() - from) * kMs);
     }
-    if (plan_.listChanges > 0) endWatch("list changes");
+    if (plan_.listChanges > 0)
+      endWatch("list changes");
   }
 
   void measureOutages() {
-    if (size_.hollow == 0 || plan_.outageS <= 0) return;
+    if (size_.hollow == 0 || plan_.outageS <= 0)
+      return;
     const Return cut = outage(false);
     result_[Figure::resumeMs] = cut.ms;
     result_[Figure::resumeKb] = cut.kilobytes;
@@ -281,6 +294,8 @@
 
 }  // namespace
 
-StepResult measureStep(const ScalePlan& plan, const ScaleSize& size) { return Step(plan, size).measure(); }
+StepResult measureStep(const ScalePlan& plan, const ScaleSize& size) {
+  return Step(plan, size).measure();
+}
 
 }  // namespace hollyrun::lab
--- a/src/lab/simulation/checker.cpp
+++ b/src/lab/simulation/checker.cpp
@@ -12,12 +12,18 @@
 
 const char* nameOf(Rule rule) {
   switch (rule) {
-    case Rule::lost: return "lost";
-    case Rule::duplicate: return "duplicate";
-    case Rule::drain: return "drain";
-    case Rule::fall: return "fall";
-    case Rule::crash: return "crash";
-    case Rule::check: return "check";
+    case Rule::lost:
+      return "lost";
+    case Rule::duplicate:
+      return "duplicate";
+    case Rule::drain:
+      return "drain";
+    case Rule::fall:
+      return "fall";
+    case Rule::crash:
+      return "crash";
+    case Rule::check:
+      return "check";
   }
   return "?";
 }
@@ -29,9 +35,11 @@
 
 void Checker::forget(std::uint64_t request) {
   const auto it = open_.find(request);
-  if (it == open_.end() || !it->second.ended || figures_.wireSlack > Duration{}) return;
+  if (it == open_.end() || !it->second.ended || figures_.wireSlack > Duration{})
+    return;
   const auto& attempts = it->second.attempts;
-  if (std::none_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; })) open_.erase(it);
+  if (std::none_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; }))
+    open_.erase(it);
 }
 
 void Checker::taken(std::uint64_t request, const balancer::ClassSettings& set, Time deadline) {
@@ -41,9 +49,12 @@
 // What is wrong with a further attempt there, given an earlier one; empty if nothing is.
 std::string Checker::repeatFault(const Taken& t, const Attempt& a, Time now,
                                  const balancer::HostEntry& entry) const {
-  if (a.out && !figures_.parallelTries) return "two attempts out at a time";
-  if (!a.mayHaveRun || t.set.effect == Effect::retryable) return {};
-  if (t.set.effect == Effect::fragile) return "sent again though it may have run";
+  if (a.out && !figures_.parallelTries)
+    return "two attempts out at a time";
+  if (!a.mayHaveRun || t.set.effect == Effect::retryable)
+    return {};
+  if (t.set.effect == Effect::fragile)
+    return "sent again though it may have run";
   if ((t.set.group == Group::zone && a.zone != entry.zone) ||
       (t.set.group == Group::cell && a.cell != entry.cell))
     return "repeated outside the group of its first server";
@@ -66,7 +77,8 @@
   Taken& t = it->second;
   for (const Attempt& a : t.attempts) {
     const std::string wrong = repeatFault(t, a, now, entry);
-    if (wrong.empty()) continue;
+    if (wrong.empty())
+      continue;
     breach(Rule::duplicate, now, request, entry.address, wrong);
     break;
   }
@@ -75,7 +87,8 @@
 
 void Checker::outcome(std::uint64_t request, std::uint32_t attempt, Outcome outcome) {
   const auto it = open_.find(request);
-  if (it == open_.end() || attempt >= it->second.attempts.size()) return;
+  if (it == open_.end() || attempt >= it->second.attempts.size())
+    return;
   Attempt& a = it->second.attempts[attempt];
   a.out = false;
   if (outcome == Outcome::full || outcome == Outcome::connectFailed || outcome == Outcome::moot)
@@ -85,7 +98,8 @@
 
 void Checker::answered(Time now, std::uint64_t request, bool refused) {
   const auto it = open_.find(request);
-  if (it == open_.end() || it->second.ended) return;
+  if (it == open_.end() || it->second.ended)
+    return;
   Taken& t = it->second;
   if (now > t.deadline + figures_.answerSlack)
     breach(Rule::lost, now, request, "", "answered after its time");
@@ -103,7 +117,8 @@
 
 void Checker::served(std::uint64_t request, Time now) {
   const auto it = open_.find(request);
-  if (it == open_.end()) return;
+  if (it == open_.end())
+    return;
   it->second.ended = true;
   it->second.endedAt = now;
   forget(request);
@@ -111,7 +126,8 @@
 
 void Checker::due(Time now, std::uint64_t request) {
   const auto it = open_.find(request);
-  if (it == open_.end() || it->second.ended) return;
+  if (it == open_.end() || it->second.ended)
+    return;
   breach(Rule::lost, now, request, "", "no answer in its time");
   it->second.ended = true;
   it->second.endedAt = now;
@@ -120,7 +136,8 @@
 
 void Checker::excused(std::uint64_t request) {
   const auto it = open_.find(request);
-  if (it != open_.end()) it->second.ended = it->second.excused = true;
+  if (it != open_.end())
+    it->second.ended = it->second.excused = true;
 }
 
 std::size_t Checker::attempts(std::uint64_t request) const {
@@ -129,8 +146,10 @@
 }
 
 void Checker::told(Time now, std::uint32_t gateway, std::uint32_t server, Phase phase) {
-  if (phase == Phase::in) closedSince_.erase(pair(gateway, server));
-  else closedSince_.emplace(pair(gateway, server), now);
+  if (phase == Phase::in)
+    closedSince_.erase(pair(gateway, server));
+  else
+    closedSince_.emplace(pair(gateway, server), now);
 }
 
 void Checker::restarted(std::uint32_t gateway) {
@@ -141,7 +160,8 @@
   char text[96];
   std::snprintf(text, sizeof text, "cold server pushed over, %.0f %% of the work by gateways that knew",
                 100 * informed);
-  if (informed >= 2.0 / 3) breach(Rule::fall, now, 0, server, text);
+  if (informed >= 2.0 / 3)
+    breach(Rule::fall, now, 0, server, text);
 }
 
 }  // namespace hollyrun::lab
--- a/src/lab/simulation/cost.cpp
+++ b/src/lab/simulation/cost.cpp
@@ -44,7 +44,8 @@
 }
 
 double percentile(std::vector<double> values, double part) {
-  if (values.empty()) return 0;
+  if (values.empty())
+    return 0;
   const auto at = static_cast<std::ptrdiff_t>(part * static_cast<double>(values.size() - 1));
   std::nth_element(values.begin(), values.begin() + at, values.end());
   return values[static_cast<std::size_t>(at)];
@@ -63,7 +64,8 @@
   c.group = Group::zone;
   c.worth = kWorths[number % 3];
   c.lateShare = 0.5;
-  if (number % 6 == 5) c.zones = {"zone-" + std::to_string(number % kZones)};
+  if (number % 6 == 5)
+    c.zones = {"zone-" + std::to_string(number % kZones)};
   c.inTurn = number % 10 == 9;
   return c;
 }
@@ -74,7 +76,8 @@
   s.groupSize = static_cast<std::uint32_t>(size.gateways);
   s.number = static_cast<std::uint32_t>(size.seed % size.gateways);
   s.zone = "zone-0";
-  for (std::size_t i = 0; i < size.classes; ++i) s.classes.push_back(classOf(i));
+  for (std::size_t i = 0; i < size.classes; ++i)
+    s.classes.push_back(classOf(i));
   for (std::size_t i = 0; i < size.tenants; ++i)
     s.tenants.push_back({"tenant-" + std::to_string(i), 1.0 + static_cast<double>(i % 100)});
   s.parallelTries = s.warmKeys = s.retryAfter = s.cancel = true;
@@ -106,7 +109,8 @@
         answers_(size.seed, "answers"),
         changes_(size.seed, "changes"),
         settings_(settingsOf(size)) {
-    for (std::size_t i = 0; i < size.hosts; ++i) list_.push_back(entryOf(i));
+    for (std::size_t i = 0; i < size.hosts; ++i)
+      list_.push_back(entryOf(i));
   }
 
   CostRow run() {
@@ -117,7 +121,8 @@
     collect();
     put(now_, Event::arrival);
     put(now_, Event::restart);
-    while (arrived_ < size_.requests || !open_.empty()) step();
+    while (arrived_ < size_.requests || !open_.empty())
+      step();
     const std::size_t after = allocatedBytes();
     row_.memoryMb = static_cast<double>(after > before ? after - before : 0) / (1 << 20);
     row_.requestMedianNs = 1e9 * percentile(requestTimes_, 0.5);
@@ -160,22 +165,35 @@
     due_.pop();
     now_ = std::max(now_, due.at);
     switch (due.event) {
-      case Event::arrival: arrive(); break;
-      case Event::answer: settle(due.result); break;
-      case Event::wake: wake(); break;
-      case Event::restart: restart(); break;
-      case Event::back: back(due.host); break;
+      case Event::arrival:
+        arrive();
+        break;
+      case Event::answer:
+        settle(due.result);
+        break;
+      case Event::wake:
+        wake();
+        break;
+      case Event::restart:
+        restart();
+        break;
+      case Event::back:
+        back(due.host);
+        break;
     }
     collect();
   }
 
   void arrive() {
-    if (arrived_ == size_.requests) return;
-    if (++arrived_ == size_.requests / 2) reload();
+    if (arrived_ == size_.requests)
+      return;
+    if (++arrived_ == size_.requests / 2)
+      reload();
     Request q;
     q.id = arrived_;
     q.classIndex = static_cast<std::uint32_t>(arrivals_.below(size_.classes));
-    if (size_.tenants > 0) q.tenantIndex = static_cast<std::uint32_t>(arrivals_.below(size_.tenants));
+    if (size_.tenants > 0)
+      q.tenantIndex = static_cast<std::uint32_t>(arrivals_.below(size_.tenants));
     q.left = milliseconds(1000);
     q.key = arrivals_.below(kKeys) * 0x9e3779b97f4a7c15ULL;
     q.hasKey = arrivals_.chance(kKeyedShare);
@@ -196,7 +214,8 @@
 
   void wake() {
     const double took = timed([&] { balancer_->onWake(now_); });
-    if (now_ - swept_ < milliseconds(100)) return;
+    if (now_ - swept_ < milliseconds(100))
+      return;
     swept_ = now_;
     sweepTimes_.push_back(took);
   }
@@ -240,18 +259,23 @@
 
   void carryOut(const Action& a) {
     switch (a.kind) {
-      case ActionKind::send: answerLater(a); break;
+      case ActionKind::send:
+        answerLater(a);
+        break;
       case ActionKind::refuse:
       case ActionKind::fail:
         row_.refused += 1;
         open_.at(a.request).ended = true;
         forget(a.request);
         break;
-      case ActionKind::wake: put(a.span, Event::wake); break;
+      case ActionKind::wake:
+        put(a.span, Event::wake);
+        break;
       case ActionKind::cancel:  // carried out without effect: the answer comes all the same
       case ActionKind::close:
       case ActionKind::subscribe:
-      case ActionKind::log: break;
+      case ActionKind::log:
+        break;
     }
   }
 
@@ -260,17 +284,22 @@
     AttemptResult result{a.request, a.attempt, a.host, Outcome::served, {}, true};
     result.taken = inTime(answers_.lognormal(kAnswerMean, kAnswerSpread));
     const double luck = answers_.unit();
-    if (luck < kErrorShare) result.outcome = Outcome::error;
-    else if (luck < kErrorShare + kTimeoutShare) result.outcome = Outcome::timeout;
-    if (result.outcome == Outcome::timeout || result.taken > a.span) result.taken = a.span;
+    if (luck < kErrorShare)
+      result.outcome = Outcome::error;
+    else if (luck < kErrorShare + kTimeoutShare)
+      result.outcome = Outcome::timeout;
+    if (result.outcome == Outcome::timeout || result.taken > a.span)
+      result.taken = a.span;
     result.terminal = result.outcome == Outcome::served;
     put(now_ + result.taken, Event::answer, result);
   }
 
   void forget(RequestId id) {
     const auto it = open_.find(id);
-    if (it == open_.end() || !it->second.ended || it->second.out > 0) return;
-    if (it->second.counted) requestTimes_.push_back(it->second.spent);
+    if (it == open_.end() || !it->second.ended || it->second.out > 0)
+      return;
+    if (it->second.counted)
+      requestTimes_.push_back(it->second.spent);
     open_.erase(it);
   }
 
@@ -293,7 +322,9 @@
 
 }  // namespace
 
-CostRow measureCost(const CostSettings& settings) { return Play(settings).run(); }
+CostRow measureCost(const CostSettings& settings) {
+  return Play(settings).run();
+}
 
 std::string textOf(const std::vector<CostRow>& rows) {
   std::string text =
--- a/src/lab/simulation/digest.hpp
+++ b/src/lab/simulation/digest.hpp
@@ -21,13 +21,15 @@
     addNumber(std::bit_cast<std::uint64_t>(action.span.count()));
     addNumber(std::bit_cast<std::uint64_t>(action.begin.count()));
     addNumber(action.text.size());
-    for (const char c : action.text) addByte(static_cast<unsigned char>(c));
+    for (const char c : action.text)
+      addByte(static_cast<unsigned char>(c));
   }
   std::uint64_t value() const { return value_; }
 
  private:
   void addNumber(std::uint64_t number) {
-    for (int shift = 0; shift < 64; shift += 8) addByte(static_cast<unsigned char>(number >> shift));
+    for (int shift = 0; shift < 64; shift += 8)
+      addByte(static_cast<unsigned char>(number >> shift));
   }
   void addByte(unsigned char byte) { value_ = (value_ ^ byte) * 0x100000001b3ULL; }
 
--- a/src/lab/simulation/draw.cpp
+++ b/src/lab/simulation/draw.cpp
@@ -51,7 +51,8 @@
     zoneShare.push_back(1 + skew * (2 * draw.unit() - 1) * 1.5);
     zoneSum += zoneShare.back();
   }
-  for (double& z : zoneShare) z /= zoneSum;
+  for (double& z : zoneShare)
+    z /= zoneSum;
 }
 
 static std::uint64_t keyAt(const DrawnDay& day, double unit) {
@@ -69,19 +70,25 @@
     bursts.push_back(when.chance(0.5) ? 1 : -1);
   const auto factor = [&](double t) {
     double f = 1;
-    if (s.shape == "wave") f += day.swing * std::sin(2 * M_PI * (t / day.period + phase));
-    else if (s.shape == "bursty") f += day.swing * bursts[static_cast<std::size_t>(t / day.period * 10)];
+    if (s.shape == "wave")
+      f += day.swing * std::sin(2 * M_PI * (t / day.period + phase));
+    else if (s.shape == "bursty")
+      f += day.swing * bursts[static_cast<std::size_t>(t / day.period * 10)];
     for (const Surge& surge : surges)
-      if (t >= surge.from && t < surge.to) f *= surge.size;
+      if (t >= surge.from && t < surge.to)
+        f *= surge.size;
     return f;
   };
   double most = 1 + day.swing;
-  for (const Surge& surge : surges) most *= std::max(surge.size, 1.0);
+  for (const Surge& surge : surges)
+    most *= std::max(surge.size, 1.0);
   std::vector<Arrival> all;
   for (double t = 0;;) {
     t += when.exponential(1 / std::max(base * most, 1e-9));
-    if (t >= s.lengthS) break;
-    if (!when.chance(factor(t) / most)) continue;
+    if (t >= s.lengthS)
+      break;
+    if (!when.chance(factor(t) / most))
+      continue;
     Arrival c;
     c.at = t;
     double pick = which.unit();
@@ -92,7 +99,8 @@
     while (c.zone + 1 < day.zoneShare.size() && pick >= day.zoneShare[c.zone])
       pick -= day.zoneShare[c.zone++];
     c.work = d.cv > 0 ? which.lognormal(d.work, d.cv) : d.work;
-    if (!day.keyWeights.empty()) c.key = keyAt(day, which.unit());
+    if (!day.keyWeights.empty())
+      c.key = keyAt(day, which.unit());
     all.push_back(c);
   }
   return all;
@@ -105,9 +113,12 @@
                    (set.effect == balancer::Effect::dedup && set.group == balancer::Group::all);
   Stream habit(seed, "habit", static_cast<std::uint64_t>(call) * 32 + tries);
   double wait = day.backoff + day.clientHop * 2;
-  if (how.after > Duration(0) && habit.chance(day.honour)) wait = std::max(wait, inSeconds(how.after));
-  if (how.unreachable) wait = std::max(wait, 0.02);
-  if (!may || left == 0 || passed + seconds(wait) >= set.giveUp) return std::nullopt;
+  if (how.after > Duration(0) && habit.chance(day.honour))
+    wait = std::max(wait, inSeconds(how.after));
+  if (how.unreachable)
+    wait = std::max(wait, 0.02);
+  if (!may || left == 0 || passed + seconds(wait) >= set.giveUp)
+    return std::nullopt;
   return wait;
 }
 
@@ -117,17 +128,21 @@
   cellSize = static_cast<std::size_t>(std::max(1L, std::lround(s.cellSize.draw(fleet))));
   std::vector<double> shares;
   double sum = 0;
-  for (const MachineKind& k : s.kinds) sum += shares.emplace_back(k.share.draw(fleet));
+  for (const MachineKind& k : s.kinds)
+    sum += shares.emplace_back(k.share.draw(fleet));
   std::vector<std::size_t>& picked = kindOf;  // largest remainders, then shuffled
   std::vector<std::pair<double, std::size_t>> rest;
   for (std::size_t k = 0; k < shares.size(); ++k) {
     const double exact = shares[k] / sum * static_cast<double>(count);
-    for (double i = 1; i <= exact; ++i) picked.push_back(k);
+    for (double i = 1; i <= exact; ++i)
+      picked.push_back(k);
     rest.emplace_back(std::floor(exact) - exact, k);
   }
   std::sort(rest.begin(), rest.end());
-  for (std::size_t i = 0; picked.size() < count; ++i) picked.push_back(rest[i % rest.size()].second);
-  for (std::size_t i = picked.size(); i > 1; --i) std::swap(picked[i - 1], picked[fleet.below(i)]);
+  for (std::size_t i = 0; picked.size() < count; ++i)
+    picked.push_back(rest[i % rest.size()].second);
+  for (std::size_t i = picked.size(); i > 1; --i)
+    std::swap(picked[i - 1], picked[fleet.below(i)]);
   for (const MachineKind& k : s.kinds) {
     Kind d;
     d.speed = k.speed.draw(fleet);
@@ -193,7 +208,8 @@
 
 balancer::Settings moduleSettings(const Scenario& s, const DrawnDay& day) {
   balancer::Settings set;
-  for (const DrawnClass& d : day.classes) set.classes.push_back(d.set);
+  for (const DrawnClass& d : day.classes)
+    set.classes.push_back(d.set);
   set.parallelTries = s.secondCopies;
   set.warmKeys = s.warmKeys;
   set.candidates = s.candidates;
--- a/src/lab/simulation/explore.cpp
+++ b/src/lab/simulation/explore.cpp
@@ -43,7 +43,9 @@
   return s;
 }
 
-membership::Address addressOf(std::size_t i) { return {0x7f000001, static_cast<std::uint16_t>(1000 + i)}; }
+membership::Address addressOf(std::size_t i) {
+  return {0x7f000001, static_cast<std::uint16_t>(1000 + i)};
+}
 
 void start(World& w, std::size_t i) {
   Record self;
@@ -58,15 +60,18 @@
   Membership& m = *w.members[i];
   for (membership::Datagram& d : std::exchange(m.datagrams(), {}))
     for (std::size_t to = 0; to < kMembers; ++to)
-      if (addressOf(to) == d.to && to != i) w.way.push_back({i, to, std::move(d.bytes)});
+      if (addressOf(to) == d.to && to != i)
+        w.way.push_back({i, to, std::move(d.bytes)});
   m.events().clear();
-  while (w.way.size() > kUnderWay) w.way.erase(w.way.begin());
+  while (w.way.size() > kUnderWay)
+    w.way.erase(w.way.begin());
 }
 
 void arrive(World& w, std::size_t which) {
   const UnderWay one = w.way[which];
   w.way.erase(w.way.begin() + static_cast<std::ptrdiff_t>(which));
-  if (!w.members[one.to]) return;
+  if (!w.members[one.to])
+    return;
   w.members[one.to]->onDatagram(w.now, addressOf(one.from), one.bytes);
   collect(w, one.to);
 }
@@ -74,16 +79,20 @@
 void passTime(World& w) {
   Time next = Time::max();
   for (const auto& m : w.members)
-    if (m) next = std::min(next, m->wakeAt());
-  if (next == Time::max()) return;
+    if (m)
+      next = std::min(next, m->wakeAt());
+  if (next == Time::max())
+    return;
   w.now = std::max(w.now, next);
   for (std::size_t i = 0; i < kMembers; ++i)
-    if (w.members[i] && w.members[i]->wakeAt() <= w.now) w.members[i]->onWake(w.now), collect(w, i);
+    if (w.members[i] && w.members[i]->wakeAt() <= w.now)
+      w.members[i]->onWake(w.now), collect(w, i);
 }
 
 std::string keyOf(const World& w) {
   std::string key = std::to_string(w.crashes) + ";";
-  for (const auto& m : w.members) key += (m ? m->fingerprint(w.now) : "-") + ";";
+  for (const auto& m : w.members)
+    key += (m ? m->fingerprint(w.now) : "-") + ";";
   std::vector<std::string> way;
   for (const UnderWay& one : w.way) {
     membership::Bad why{};
@@ -96,17 +105,21 @@
     way.push_back(std::move(text));
   }
   std::sort(way.begin(), way.end());  // the network keeps no order
-  for (const std::string& text : way) key += text + ";";
+  for (const std::string& text : way)
+    key += text + ";";
   return key;
 }
 
 bool agree(const World& w) {
   std::size_t living = 0;
   std::optional<std::uint64_t> digest;
-  for (const auto& m : w.members) living += m.has_value();
+  for (const auto& m : w.members)
+    living += m.has_value();
   for (const auto& m : w.members) {
-    if (!m) continue;
-    if (m->present() != living || (digest && *digest != m->digest())) return false;
+    if (!m)
+      continue;
+    if (m->present() != living || (digest && *digest != m->digest()))
+      return false;
     digest = m->digest();
   }
   return true;
@@ -115,8 +128,10 @@
 bool heals(World w) {
   const Time end = w.now + std::chrono::duration_cast<membership::Duration>(settings().period * kHealPeriods);
   while (w.now < end) {
-    while (!w.way.empty()) arrive(w, 0);
-    if (agree(w)) return true;
+    while (!w.way.empty())
+      arrive(w, 0);
+    if (agree(w))
+      return true;
     passTime(w);
   }
   return agree(w);
@@ -130,35 +145,45 @@
   Explored go() {
     World w;
     w.now = std::chrono::hours(1);
-    for (std::size_t i = 0; i < kMembers; ++i) start(w, i), collect(w, i);
+    for (std::size_t i = 0; i < kMembers; ++i)
+      start(w, i), collect(w, i);
     for (int i = 0; i < 400 && !(agree(w) && w.way.empty()); ++i) {
-      while (!w.way.empty()) arrive(w, 0);
+      while (!w.way.empty())
+        arrive(w, 0);
       passTime(w);
     }
-    if (!agree(w)) out_.broken.push_back("the three never agree at the start");
+    if (!agree(w))
+      out_.broken.push_back("the three never agree at the start");
     visit(w, depth_, "");
     return std::move(out_);
   }
 
  private:
   void broke(const std::string& what, const std::string& way) {
-    if (out_.broken.size() < kBrokenMost) out_.broken.push_back(what + " after " + way);
+    if (out_.broken.size() < kBrokenMost)
+      out_.broken.push_back(what + " after " + way);
   }
 
   void judge(World& w, const std::string& way) {
     for (std::size_t i = 0; i < kMembers; ++i) {
-      if (!w.members[i]) continue;
+      if (!w.members[i])
+        continue;
       const Record& self = w.members[i]->self();
-      if (self.incarnation < w.incarnations[i]) broke(self.name + "'s incarnation fell", way);
+      if (self.incarnation < w.incarnations[i])
+        broke(self.name + "'s incarnation fell", way);
       w.incarnations[i] = self.incarnation;
-      if (w.members[i]->holders() < w.members[i]->present()) broke(self.name + " divides by too few", way);
+      if (w.members[i]->holders() < w.members[i]->present())
+        broke(self.name + " divides by too few", way);
       for (std::size_t j = 0; j < kMembers; ++j) {
-        if (!w.members[j] || i == j) continue;
+        if (!w.members[j] || i == j)
+          continue;
         const auto it = w.members[j]->others().find(self.name);
-        if (it == w.members[j]->others().end() || it->second.record.epoch != self.epoch) continue;
+        if (it == w.members[j]->others().end() || it->second.record.epoch != self.epoch)
+          continue;
         if (it->second.record.incarnation > self.incarnation)
           broke("a claim on " + self.name + " not its own", way);
-        if (it->second.record.state == State::left) broke(self.name + " is said to have left", way);
+        if (it->second.record.state == State::left)
+          broke(self.name + " is said to have left", way);
       }
     }
   }
@@ -168,16 +193,19 @@
     // A state met again with fewer steps left holds nothing new.
     const std::size_t key = std::hash<std::string>{}(keyOf(w));
     const auto [it, fresh] = seen_.try_emplace(key, left);
-    if (!fresh && it->second >= left) return;
+    if (!fresh && it->second >= left)
+      return;
     it->second = left;
     if (fresh) {
       ++out_.states;
       if (out_.states % healEvery_ == 0) {
         ++out_.healed;
-        if (!heals(w)) broke("no agreement on a calm network", way);
+        if (!heals(w))
+          broke("no agreement on a calm network", way);
       }
     }
-    if (left == 0) return;
+    if (left == 0)
+      return;
     const auto step = [&](const std::string& name, auto&& act) {
       World next = w;
       act(next);
@@ -190,7 +218,8 @@
       step(which + "lost", [i](World& n) { n.way.erase(n.way.begin() + static_cast<std::ptrdiff_t>(i)); });
     }
     step("time", [](World& n) { passTime(n); });
-    if (w.crashes >= crashes_) return;
+    if (w.crashes >= crashes_)
+      return;
     for (std::size_t i = 0; i < kMembers; ++i) {
       const std::string who(1, static_cast<char>('a' + i));
       if (!w.members[i]) {
--- a/src/lab/simulation/latencies.hpp
+++ b/src/lab/simulation/latencies.hpp
@@ -12,10 +12,12 @@
   /// The time in ms that this part of them, 0 to 1, keeps within; 0 without any.
   double percentile(double part) const {
     double all = 0, sum = 0;
-    for (const auto& bin : boost::histogram::indexed(bins_)) all += *bin;
+    for (const auto& bin : boost::histogram::indexed(bins_))
+      all += *bin;
     for (const auto& bin : boost::histogram::indexed(bins_)) {
       sum += *bin;
-      if (all > 0 && sum >= part * all) return bin.bin().upper();
+      if (all > 0 && sum >= part * all)
+        return bin.bin().upper();
     }
     return 0;
   }
--- a/src/lab/simulation/member_faults.cpp
+++ b/src/lab/simulation/member_faults.cpp
@@ -22,7 +22,9 @@
 constexpr int kRestartPeriods = 3;          // from a member's leave until it starts again
 constexpr std::size_t kSamplesAPeriod = 4;  // looks at whether the views agree
 
-std::size_t zoneOf(std::size_t node) { return node % kZones; }
+std::size_t zoneOf(std::size_t node) {
+  return node % kZones;
+}
 
 /// Adds up what the members send, receive and compute, period by period.
 class LoadMeter {
@@ -32,7 +34,8 @@
   /// Forgets all that was measured.
   void restart() {
     marks_.resize(world_.nodes().size());
-    for (std::size_t i = 0; i < marks_.size(); ++i) advance(i);
+    for (std::size_t i = 0; i < marks_.size(); ++i)
+      advance(i);
     micros_ = processorMicros();
     row_ = {};
     periods_ = 0;
@@ -79,10 +82,12 @@
 
   Traffic advance(std::size_t i) {
     const MemberWorld::Node& node = world_.nodes()[i];
-    if (!node.logic) return {};
+    if (!node.logic)
+      return {};
     const membership::Counters& counters = node.logic->counters();
     Mark& mark = marks_[i];
-    if (mark.life != node.lives) mark = {node.lives, 0, 0};  // a new life counts from nothing
+    if (mark.life != node.lives)
+      mark = {node.lives, 0, 0};  // a new life counts from nothing
     const Traffic traffic{static_cast<double>(counters.bytesOut - mark.sent),
                           static_cast<double>(counters.bytesIn - mark.received)};
     mark.sent = counters.bytesOut;
@@ -119,9 +124,11 @@
   std::optional<double> playUntilAgreed() {
     const Duration step = world_.settings().period / kSamplesAPeriod;
     for (std::size_t steps = 0; steps < kAgreePeriodsMost * kSamplesAPeriod; ++steps) {
-      if (world_.agreed()) return static_cast<double>(steps) / kSamplesAPeriod;
+      if (world_.agreed())
+        return static_cast<double>(steps) / kSamplesAPeriod;
       world_.runFor(step);
-      if ((steps + 1) % kSamplesAPeriod == 0) meter_.sample();
+      if ((steps + 1) % kSamplesAPeriod == 0)
+        meter_.sample();
       world_.seen().clear();
     }
     return std::nullopt;
@@ -167,12 +174,15 @@
   std::vector<MemberFaultRow> rows;
   std::vector<std::size_t> zone;
   for (std::size_t i = 0; i < stage.world().nodes().size(); ++i)
-    if (zoneOf(i) == 0) zone.push_back(i);
-  for (const std::size_t i : zone) stage.world().kill(i);
+    if (zoneOf(i) == 0)
+      zone.push_back(i);
+  for (const std::size_t i : zone)
+    stage.world().kill(i);
   std::optional<double> agreed = stage.playUntilAgreed();
   stage.play(kAfterPeriods);
   rows.push_back(stage.rowOf("zone lost", zone.size(), {agreed}));
-  for (const std::size_t i : zone) stage.world().start(i);
+  for (const std::size_t i : zone)
+    stage.world().start(i);
   agreed = stage.playUntilAgreed();
   stage.play(kAfterPeriods);
   rows.push_back(stage.rowOf("zone back", zone.size(), {agreed}));
@@ -183,7 +193,8 @@
   std::vector<MemberFaultRow> rows;
   const auto cutOff = [](std::size_t i) { return zoneOf(i) < kZonesCutOff; };
   std::size_t affected = 0;
-  for (std::size_t i = 0; i < stage.world().nodes().size(); ++i) affected += cutOff(i);
+  for (std::size_t i = 0; i < stage.world().nodes().size(); ++i)
+    affected += cutOff(i);
   stage.world().passes = [cutOff](std::size_t from, std::size_t to) { return cutOff(from) == cutOff(to); };
   const int periods = static_cast<int>(apart / stage.world().settings().period);
   stage.play(periods);
@@ -200,11 +211,14 @@
   std::vector<std::optional<double>> agreed;
   for (std::size_t wave = 0; wave < kWaves; ++wave) {
     const std::size_t first = wave * inWave;
-    for (std::size_t i = first; i < first + inWave; ++i) stage.world().leave(i);
+    for (std::size_t i = first; i < first + inWave; ++i)
+      stage.world().leave(i);
     stage.play(kRestartPeriods);
-    for (std::size_t i = first; i < first + inWave; ++i) stage.world().start(i);
+    for (std::size_t i = first; i < first + inWave; ++i)
+      stage.world().start(i);
     agreed.push_back(stage.playUntilAgreed());
-    if (!agreed.back()) break;
+    if (!agreed.back())
+      break;
     stage.play(std::max(0, kWavePeriods - static_cast<int>(*agreed.back())));
   }
   return {stage.rowOf("restarts in ten waves", inWave * kWaves, agreed)};
@@ -213,9 +227,12 @@
 }  // namespace
 
 std::optional<MemberFault> memberFaultNamed(std::string_view name) {
-  if (name == "zone") return MemberFault::zone;
-  if (name == "cut") return MemberFault::cut;
-  if (name == "restarts") return MemberFault::restarts;
+  if (name == "zone")
+    return MemberFault::zone;
+  if (name == "cut")
+    return MemberFault::cut;
+  if (name == "restarts")
+    return MemberFault::restarts;
   return std::nullopt;
 }
 
@@ -226,9 +243,15 @@
   rows.push_back(stage.rowOf("quiet", 0, {}));
   std::vector<MemberFaultRow> fault;
   switch (run.fault) {
-    case MemberFault::zone: fault = loseZone(stage); break;
-    case MemberFault::cut: fault = cutApart(stage, run.apart); break;
-    case MemberFault::restarts: fault = restartInWaves(stage); break;
+    case MemberFault::zone:
+      fault = loseZone(stage);
+      break;
+    case MemberFault::cut:
+      fault = cutApart(stage, run.apart);
+      break;
+    case MemberFault::restarts:
+      fault = restartInWaves(stage);
+      break;
   }
   rows.insert(rows.end(), fault.begin(), fault.end());
   return rows;
--- a/src/lab/simulation/members.cpp
+++ b/src/lab/simulation/members.cpp
@@ -44,7 +44,8 @@
   self.address = n.address;
   self.zone = n.zone;
   self.version = "1";
-  if (describe) describe(self);
+  if (describe)
+    describe(self);
   n.stopped = false;
   n.inbox.clear();
   n.from.clear();
@@ -65,12 +66,15 @@
   n.stopped = false;
   // What its socket kept comes first: a loop that goes on reads before its timer, or after it.
   const bool timerFirst = draw_.chance(0.5);
-  if (timerFirst && n.logic) n.logic->onWake(now_);
+  if (timerFirst && n.logic)
+    n.logic->onWake(now_);
   for (std::size_t k = 0; k < n.inbox.size(); ++k)
-    if (n.logic) n.logic->onDatagram(now_, n.from[k], n.inbox[k].second);
+    if (n.logic)
+      n.logic->onDatagram(now_, n.from[k], n.inbox[k].second);
   n.inbox.clear();
   n.from.clear();
-  if (!n.logic) return;
+  if (!n.logic)
+    return;
   n.logic->onWake(now_);
   wakes_[i] = Time::max();
   collect(i);
@@ -82,7 +86,8 @@
 }
 
 void MemberWorld::inject(std::size_t to, const Address& from, std::string bytes) {
-  if (!nodes_[to].logic) return;
+  if (!nodes_[to].logic)
+    return;
   nodes_[to].logic->onDatagram(now_, from, bytes);
   collect(to);
 }
@@ -91,8 +96,10 @@
   Membership& logic = *nodes_[i].logic;
   for (membership::Datagram& d : std::exchange(logic.datagrams(), {})) {
     const auto to = nodeAt(d.to);
-    if (tap && to) tap(i, *to, d.bytes);
-    if (!to || !passes(i, *to) || draw_.chance(weather_.loss)) continue;
+    if (tap && to)
+      tap(i, *to, d.bytes);
+    if (!to || !passes(i, *to) || draw_.chance(weather_.loss))
+      continue;
     for (int copies = draw_.chance(weather_.copies) ? 2 : 1; copies > 0; --copies) {
       Due due;
       due.at =
@@ -106,8 +113,10 @@
       due_.push(std::move(due));
     }
   }
-  for (membership::Event& e : std::exchange(logic.events(), {})) seen_.push_back({now_, i, std::move(e)});
-  if (logic.wakeAt() >= wakes_[i]) return;
+  for (membership::Event& e : std::exchange(logic.events(), {}))
+    seen_.push_back({now_, i, std::move(e)});
+  if (logic.wakeAt() >= wakes_[i])
+    return;
   wakes_[i] = logic.wakeAt();
   Due due;
   due.at = std::max(now_, wakes_[i]);
@@ -124,10 +133,12 @@
     due_.pop();
     now_ = std::max(now_, due.at);
     Node& n = nodes_[due.node];
-    if (!n.logic || (due.wake && due.life != n.lives)) continue;
+    if (!n.logic || (due.wake && due.life != n.lives))
+      continue;
     if (n.stopped) {
       // A socket holds so much; the rest is lost.
-      if (!due.wake && n.inbox.size() < 500) n.inbox.push_back({now_, due.bytes}), n.from.push_back(due.from);
+      if (!due.wake && n.inbox.size() < 500)
+        n.inbox.push_back({now_, due.bytes}), n.from.push_back(due.from);
       continue;
     }
     ++steps_;
@@ -145,7 +156,8 @@
 bool MemberWorld::runUntil(const std::function<bool()>& done, Duration most) {
   const Time end = now_ + most;
   while (!done()) {
-    if (now_ >= end) return false;
+    if (now_ >= end)
+      return false;
     runUntil(std::min(end, now_ + settings_.period / 4));
   }
   return true;
@@ -154,21 +166,24 @@
 std::vector<std::size_t> MemberWorld::living() const {
   std::vector<std::size_t> all;
   for (std::size_t i = 0; i < nodes_.size(); ++i)
-    if (nodes_[i].logic && !nodes_[i].stopped) all.push_back(i);
+    if (nodes_[i].logic && !nodes_[i].stopped)
+      all.push_back(i);
   return all;
 }
 
 bool MemberWorld::agreed() const {
   const std::vector<std::size_t> all = living();
   for (const std::size_t i : all)
-    if (at(i).present() != all.size() || at(i).digest() != at(all.front()).digest()) return false;
+    if (at(i).present() != all.size() || at(i).digest() != at(all.front()).digest())
+      return false;
   return true;
 }
 
 membership::Counters MemberWorld::counters() const {
   membership::Counters sum;
   for (const Node& n : nodes_) {
-    if (!n.logic) continue;
+    if (!n.logic)
+      continue;
     const membership::Counters& c = n.logic->counters();
     sum.sent += c.sent;
     sum.bytesOut += c.bytesOut;
@@ -186,7 +201,9 @@
   return static_cast<double>(d.count()) / static_cast<double>(s.period.count());
 }
 
-double allocatedBytes() { return static_cast<double>(mallinfo2().uordblks); }
+double allocatedBytes() {
+  return static_cast<double>(mallinfo2().uordblks);
+}
 
 /// Hashes all that is sent, in order, so that two builds can be compared to the byte.
 class Trace {
@@ -205,7 +222,8 @@
 };
 
 double quantileOf(std::vector<double> v, double at) {
-  if (v.empty()) return 0;
+  if (v.empty())
+    return 0;
   std::sort(v.begin(), v.end());
   return v[static_cast<std::size_t>(at * static_cast<double>(v.size() - 1))];
 }
@@ -243,11 +261,13 @@
     };
   const auto forgetSeen = [&] {
     if (run.trace)
-      for (const MemberWorld::Seen& s : world.seen()) trace.add(s);
+      for (const MemberWorld::Seen& s : world.seen())
+        trace.add(s);
     world.seen().clear();
   };
   Stream draw(run.seed, "kills");
-  for (std::size_t i = 0; i < run.members; ++i) world.start(world.add("gateway-" + std::to_string(i)));
+  for (std::size_t i = 0; i < run.members; ++i)
+    world.start(world.add("gateway-" + std::to_string(i)));
   world.runUntil([&] { return world.agreed(); }, settings.period * 60);  // under loss views never rest
 
   const membership::Counters before = world.counters();
@@ -283,7 +303,8 @@
     const auto gone = [&] {
       for (const std::size_t i : world.living()) {
         const auto it = world.at(i).others().find(name);
-        if (it != world.at(i).others().end() && membership::present(it->second.record.state)) return false;
+        if (it != world.at(i).others().end() && membership::present(it->second.record.state))
+          return false;
       }
       return true;
     };
@@ -298,9 +319,11 @@
     const Time back = world.now();
     const auto known = [&] {
       for (const std::size_t i : world.living()) {
-        if (i == victim) continue;
+        if (i == victim)
+          continue;
         const auto it = world.at(i).others().find(name);
-        if (it == world.at(i).others().end() || !membership::present(it->second.record.state)) return false;
+        if (it == world.at(i).others().end() || !membership::present(it->second.record.state))
+          return false;
       }
       return true;
     };
@@ -314,7 +337,8 @@
   row.allMost = quantileOf(all, 1);
   row.joinP99 = quantileOf(join, 0.99);
   forgetSeen();
-  if (run.trace) row.trace = trace.hash();
+  if (run.trace)
+    row.trace = trace.hash();
   return row;
 }
 
--- a/src/lab/simulation/policy.cpp
+++ b/src/lab/simulation/policy.cpp
@@ -44,12 +44,15 @@
 
   void onSettings(Time, const Settings& settings) override { set_ = settings; }
   void onHosts(Time, ListKind kind, const std::vector<HostEntry>& entries) override {
-    if (kind == ListKind::unavailable) return;
+    if (kind == ListKind::unavailable)
+      return;
     if (kind != ListKind::update)
-      for (Known& k : hosts_) k.entry.phase = Phase::out;
+      for (Known& k : hosts_)
+        k.entry.phase = Phase::out;
     for (const HostEntry& e : entries) {
       const auto [it, fresh] = ids_.emplace(e.address, static_cast<HostId>(hosts_.size()));
-      if (fresh) hosts_.emplace_back();
+      if (fresh)
+        hosts_.emplace_back();
       hosts_[it->second].entry = e;
     }
   }
@@ -58,32 +61,39 @@
     Held& h = held_[q.id] = Held{c, now + q.left, 0, false, {}};
     due_.push({h.deadline, q.id});
     actions_.push_back({ActionKind::wake, 0, 0, kNone, h.deadline, {}});
-    if (!send(now, q.id, h)) give(q.id, h);
+    if (!send(now, q.id, h))
+      give(q.id, h);
   }
   void onResult(Time now, const AttemptResult& r) override {
     const auto it = held_.find(r.request);
     hosts_[r.host].held -= 1;
-    if (it == held_.end()) return;
+    if (it == held_.end())
+      return;
     Held& h = it->second;
     --h.out;
     if (r.outcome == Outcome::full || r.outcome == Outcome::connectFailed || r.outcome == Outcome::moot)
       h.tries[r.attempt].mayHaveRun = false;
-    if (r.terminal) h.ended = true;
+    if (r.terminal)
+      h.ended = true;
     if (!h.ended && h.out == 0 &&
         (now >= h.deadline || r.outcome == Outcome::moot || !send(now, r.request, h)))
       return give(r.request, h);
-    if (h.ended && h.out == 0) held_.erase(it);
+    if (h.ended && h.out == 0)
+      held_.erase(it);
   }
   void onClientGone(Time, RequestId id) override {
     const auto it = held_.find(id);
-    if (it == held_.end()) return;
+    if (it == held_.end())
+      return;
     it->second.ended = true;
-    if (it->second.out == 0) held_.erase(it);
+    if (it->second.out == 0)
+      held_.erase(it);
   }
   void onWake(Time now) override {
     for (; !due_.empty() && due_.top().first <= now; due_.pop()) {
       const auto it = held_.find(due_.top().second);
-      if (it != held_.end() && !it->second.ended) give(it->first, it->second);
+      if (it != held_.end() && !it->second.ended)
+        give(it->first, it->second);
     }
   }
   std::vector<Action>& actions() override { return actions_; }
@@ -122,28 +132,36 @@
   };
   bool allowed(Time now, const Held& h, const HostEntry& e) const {
     for (const Sent& s : h.tries) {
-      if (!s.mayHaveRun || h.set.effect == Effect::retryable) continue;
-      if (h.set.effect == Effect::fragile) return false;
+      if (!s.mayHaveRun || h.set.effect == Effect::retryable)
+        continue;
+      if (h.set.effect == Effect::fragile)
+        return false;
       const HostEntry& first = hosts_[s.host].entry;
-      if (h.set.group != Group::all && first.zone != e.zone) return false;
-      if (h.set.group == Group::cell && first.cell != e.cell) return false;
-      if (now > s.at + h.set.window) return false;
+      if (h.set.group != Group::all && first.zone != e.zone)
+        return false;
+      if (h.set.group == Group::cell && first.cell != e.cell)
+        return false;
+      if (now > s.at + h.set.window)
+        return false;
     }
     return true;
   }
   bool send(Time now, RequestId id, Held& h) {
-    if (h.tries.size() >= set_.maxAttempts || now >= h.deadline) return false;
+    if (h.tries.size() >= set_.maxAttempts || now >= h.deadline)
+      return false;
     std::vector<HostId> from;
     for (HostId i = 0; i < hosts_.size(); ++i) {
       const HostEntry& e = hosts_[i].entry;
-      if (e.phase != Phase::in || !allowed(now, h, e)) continue;
+      if (e.phase != Phase::in || !allowed(now, h, e))
+        continue;
       const double age = e.upSince > Time{} ? std::chrono::duration<double>(now - e.upSince).count() : 1e9;
       const double whole = std::max(std::chrono::duration<double>(set_.coldTime).count(), 1e-9);
       if (age >= whole || random_.chance(set_.coldShare + (1 - set_.coldShare) * age / whole))
         from.push_back(i);
     }
     const HostId host = from.empty() ? kNone : choose(now, from, h.set, h.deadline);
-    if (host == kNone) return false;
+    if (host == kNone)
+      return false;
     actions_.push_back(
         {ActionKind::send, id, static_cast<std::uint32_t>(h.tries.size()), host, h.deadline - now, {}});
     h.tries.push_back({host, now});
@@ -157,7 +175,8 @@
     const bool harmless = !mayHaveRun || h.set.effect == Effect::retryable;
     actions_.push_back({harmless ? ActionKind::refuse : ActionKind::fail, id, 0, kNone, {}, {}});
     h.ended = true;
-    if (h.out == 0) held_.erase(id);
+    if (h.out == 0)
+      held_.erase(id);
   }
 
   std::vector<Action> actions_;
@@ -182,9 +201,11 @@
     int least = std::numeric_limits<int>::max();
     std::vector<HostId> best;
     for (HostId id : from) {
-      if (hosts_[id].held < least) best.clear();
+      if (hosts_[id].held < least)
+        best.clear();
       least = std::min(least, hosts_[id].held);
-      if (hosts_[id].held == least) best.push_back(id);
+      if (hosts_[id].held == least)
+        best.push_back(id);
     }
     return best[random_.below(best.size())];
   }
@@ -206,14 +227,16 @@
   using Plain::Plain;
   HostId choose(Time now, const std::vector<HostId>& from, const ClassSettings& set, Time deadline) override {
     double most = 0;
-    for (const ClassSettings& c : set_.classes) most = std::max(most, c.worth);
+    for (const ClassSettings& c : set_.classes)
+      most = std::max(most, c.worth);
     const double full = kFull * (0.5 + 0.5 * set.worth / std::max(most, 1e-9));
     double first = std::min(std::chrono::duration<double>(deadline - now).count(),
                             std::chrono::duration<double>(set.aim).count());
     HostId best = kNone;
     for (HostId id : from) {
       const Truth::State state = truth_.look(hosts_[id].entry.address, kWork);
-      if (state.jammed || state.held >= full || state.seconds >= first) continue;
+      if (state.jammed || state.held >= full || state.seconds >= first)
+        continue;
       first = state.seconds;
       best = id;
     }
@@ -247,14 +270,16 @@
 
 PolicyMaker policyNamed(const std::string& name) {
   const auto it = makers().find(name);
-  if (it == makers().end()) throw std::invalid_argument("no policy '" + name + "'");
+  if (it == makers().end())
+    throw std::invalid_argument("no policy '" + name + "'");
   return it->second;
 }
 
 const std::vector<std::string>& policyNames() {
   static const std::vector<std::string> names = [] {
     std::vector<std::string> all;
-    for (const auto& [name, maker] : makers()) all.push_back(name);
+    for (const auto& [name, maker] : makers())
+      all.push_back(name);
     return all;
   }();
   return names;
--- a/src/lab/simulation/random.hpp
+++ b/src/lab/simulation/random.hpp
@@ -40,7 +40,8 @@
  private:
   static std::uint64_t hash(std::string_view text) {  // FNV-1a: the same on every machine
     std::uint64_t h = 0xcbf29ce484222325ULL;
-    for (unsigned char c : text) h = (h ^ c) * 0x100000001b3ULL;
+    for (unsigned char c : text)
+      h = (h ^ c) * 0x100000001b3ULL;
     return h;
   }
   pcg64 engine_;
--- a/src/lab/simulation/scenario.cpp
+++ b/src/lab/simulation/scenario.cpp
@@ -17,7 +17,8 @@
 constexpr double kMost = std::numeric_limits<double>::max();
 
 std::string placeOf(const toml::node* node) {
-  if (!node || !node->source().path) return "command line";
+  if (!node || !node->source().path)
+    return "command line";
   const auto line = node->source().begin.line;
   return *node->source().path + (line > 0 ? ":" + std::to_string(line) : "");
 }
@@ -41,45 +42,56 @@
   void number(const char* key, double& out, double least = 0, double most = kMost) {
     if (const toml::node* node = take(key)) {
       const auto value = node->value<double>();
-      if (!value || !node->is_number()) return fault(node, key, "has to be a number");
-      if (inside(node, key, *value, least, most)) out = *value;
+      if (!value || !node->is_number())
+        return fault(node, key, "has to be a number");
+      if (inside(node, key, *value, least, most))
+        out = *value;
     }
   }
   void range(const char* key, Range& out, double least = 0, double most = kMost) {
     const toml::node* node = take(key);
-    if (!node) return;
+    if (!node)
+      return;
     if (node->is_number()) {
       const double value = *node->value<double>();
-      if (inside(node, key, value, least, most)) out = value;
+      if (inside(node, key, value, least, most))
+        out = value;
       return;
     }
     const toml::array* pair = node->as_array();
     if (!pair || pair->size() != 2 || !pair->get(0)->is_number() || !pair->get(1)->is_number())
       return fault(node, key, "has to be a number or [low, high]");
     const double low = *pair->get(0)->value<double>(), high = *pair->get(1)->value<double>();
-    if (inside(node, key, low, least, most) && inside(node, key, high, least, most)) out = {low, high};
+    if (inside(node, key, low, least, most) && inside(node, key, high, least, most))
+      out = {low, high};
   }
   void count(const char* key, unsigned& out, unsigned least, unsigned most) {
     if (const toml::node* node = take(key)) {
       const auto value = node->value_exact<std::int64_t>();
-      if (!value) return fault(node, key, "has to be a whole number");
-      if (inside(node, key, static_cast<double>(*value), least, most)) out = static_cast<unsigned>(*value);
+      if (!value)
+        return fault(node, key, "has to be a whole number");
+      if (inside(node, key, static_cast<double>(*value), least, most))
+        out = static_cast<unsigned>(*value);
     }
   }
   void flag(const char* key, bool& out) {
     if (const toml::node* node = take(key)) {
       const auto value = node->value_exact<bool>();
-      if (value) out = *value;
-      else fault(node, key, "has to be true or false");
+      if (value)
+        out = *value;
+      else
+        fault(node, key, "has to be true or false");
     }
   }
   void text(const char* key, std::string& out, const std::vector<std::string>& allowed = {}) {
     if (const toml::node* node = take(key)) {
       const auto value = node->value_exact<std::string>();
-      if (!value) return fault(node, key, "has to be a text");
+      if (!value)
+        return fault(node, key, "has to be a text");
       if (!allowed.empty() && std::find(allowed.begin(), allowed.end(), *value) == allowed.end()) {
         std::string list;
-        for (const std::string& a : allowed) list += (list.empty() ? "" : ", ") + a;
+        for (const std::string& a : allowed)
+          list += (list.empty() ? "" : ", ") + a;
         return fault(node, key, "'" + *value + "' is none of " + list);
       }
       out = *value;
@@ -87,35 +99,41 @@
   }
   void texts(const char* key, std::vector<std::string>& out) {
     const toml::node* node = take(key);
-    if (!node) return;
+    if (!node)
+      return;
     const toml::array* list = node->as_array();
     if (!list || list->empty() || !list->is_homogeneous(toml::node_type::string))
       return fault(node, key, "has to be a list of texts, not empty");
     out.clear();
-    for (const toml::node& item : *list) out.push_back(*item.value<std::string>());
+    for (const toml::node& item : *list)
+      out.push_back(*item.value<std::string>());
   }
   void numbers(const char* key, std::vector<std::size_t>& out) {
     const toml::node* node = take(key);
-    if (!node) return;
+    if (!node)
+      return;
     const toml::array* list = node->as_array();
     if (!list || !list->is_homogeneous(toml::node_type::integer))
       return fault(node, key, "has to be a list of whole numbers");
     out.clear();
     for (const toml::node& item : *list) {
       const auto value = *item.value<std::int64_t>();
-      if (value < 0) return fault(node, key, "has to be a list of whole numbers from 0");
+      if (value < 0)
+        return fault(node, key, "has to be a list of whole numbers from 0");
       out.push_back(static_cast<std::size_t>(value));
     }
   }
   const toml::table* table(const char* key) {
     const toml::node* node = take(key);
-    if (node && !node->is_table()) fault(node, key, "has to be a table");
+    if (node && !node->is_table())
+      fault(node, key, "has to be a table");
     return node ? node->as_table() : nullptr;
   }
   /// The tables of `[[key]]`, or null if the file has none.
   const toml::array* tables(const char* key) {
     const toml::node* node = take(key);
-    if (!node) return nullptr;
+    if (!node)
+      return nullptr;
     const toml::array* list = node->as_array();
     if (!list || !(list->empty() || list->is_homogeneous(toml::node_type::table))) {
       fault(node, key, "has to be a list of tables, [[" + std::string(key) + "]]");
@@ -127,9 +145,11 @@
     faults_.add(node ? node : table_, path_ + key, what);
   }
   void done() {
-    if (!table_) return;
+    if (!table_)
+      return;
     for (const auto& [key, node] : *table_)
-      if (!asked_.count(std::string(key.str()))) fault(&node, std::string(key.str()), "unknown key");
+      if (!asked_.count(std::string(key.str())))
+        fault(&node, std::string(key.str()), "unknown key");
   }
 
  private:
@@ -138,16 +158,19 @@
     return table_ ? table_->get(key) : nullptr;
   }
   bool inside(const toml::node* node, const char* key, double value, double least, double most) {
-    if (std::isfinite(value) && value >= least && value <= most) return true;
+    if (std::isfinite(value) && value >= least && value <= most)
+      return true;
     std::string text = "has to be " + trimmed(least) + " or more";
-    if (most < kMost) text = "has to lie in " + trimmed(least) + " to " + trimmed(most);
+    if (most < kMost)
+      text = "has to lie in " + trimmed(least) + " to " + trimmed(most);
     fault(node, key, text);
     return false;
   }
   static std::string trimmed(double value) {
     std::string text = std::to_string(value);
     text.erase(text.find_last_not_of('0') + 1);
-    if (text.back() == '.') text.pop_back();
+    if (text.back() == '.')
+      text.pop_back();
     return text;
   }
 
@@ -165,7 +188,8 @@
   Section in(table, "kind[" + std::to_string(at) + "].", faults);
   MachineKind k;
   in.text("name", k.name);
-  if (k.name.empty()) in.fault(table, "name", "is missing");
+  if (k.name.empty())
+    in.fault(table, "name", "is missing");
   in.range("share", k.share);
   in.range("cores", k.cores, 1, 64);
   in.range("speed", k.speed, 0.01, 100);
@@ -189,7 +213,8 @@
   double aim = 400, giveUp = 1000, window = 0;
   std::string effect = "unsafe", group = "all";
   in.text("name", c.set.name);
-  if (c.set.name.empty()) in.fault(table, "name", "is missing");
+  if (c.set.name.empty())
+    in.fault(table, "name", "is missing");
   in.range("share", c.share);
   in.range("work_ms", c.workMs, 0.001);
   in.range("cv", c.cv, 0, 10);
@@ -201,7 +226,8 @@
   in.number("late_share", c.set.lateShare, 0, 1);
   in.text("effect", effect, {"safe", "keyed", "unsafe"});
   in.text("group", group, {"all", "zone", "cell"});
-  if (giveUp < aim) in.fault(table, "give_up_ms", "must not be below aim_ms");
+  if (giveUp < aim)
+    in.fault(table, "give_up_ms", "must not be below aim_ms");
   in.done();
   c.set.aim = millis(aim);
   c.set.giveUp = millis(giveUp);
@@ -217,7 +243,8 @@
   in.text("kind", t.kind,
           {"slow", "pauses", "deploy", "zone", "cut", "kill", "silence", "resets", "errors", "lost_answers",
            "settings", "surge", "late_lists"});
-  if (!table->contains("kind")) in.fault(table, "kind", "is missing");
+  if (!table->contains("kind"))
+    in.fault(table, "kind", "is missing");
   in.range("chance", t.chance, 0, 1);
   in.range("at_s", t.atS);
   in.range("length_s", t.lengthS);
@@ -256,7 +283,8 @@
            "net_mute",
            "net_deaf",
            "net_split"});
-  if (!table->contains("kind")) in.fault(table, "kind", "is missing");
+  if (!table->contains("kind"))
+    in.fault(table, "kind", "is missing");
   in.number("at_s", f.atS, 0, 3600);
   in.number("length_s", f.lengthS, 0, 3600);
   in.number("size", f.size);
@@ -264,7 +292,8 @@
   in.numbers("servers", f.servers);
   in.text("zone", f.zone);
   in.text("file", f.file, {"same", "changed", "broken"});
-  if (f.kind == "hup" && f.file.empty()) in.fault(table, "file", "is missing: same, changed or broken");
+  if (f.kind == "hup" && f.file.empty())
+    in.fault(table, "file", "is missing: same, changed or broken");
   f.place = placeOf(table);
   in.done();
   s.faults.push_back(f);
@@ -376,9 +405,11 @@
   });
   const auto list = [&](const char* key, auto& into, auto read) {
     const toml::array* tables = top.tables(key);
-    if (!tables) return;
+    if (!tables)
+      return;
     into.clear();
-    for (std::size_t i = 0; i < tables->size(); ++i) read(tables->get(i)->as_table(), i, s, faults);
+    for (std::size_t i = 0; i < tables->size(); ++i)
+      read(tables->get(i)->as_table(), i, s, faults);
   };
   list("kind", s.kinds, readKind);
   list("class", s.classes, readClass);
@@ -406,7 +437,8 @@
     return;
   }
   if (const auto base = root["extends"].value<std::string>()) {
-    if (depth > 8) return faults.add(root.get("extends"), "extends", "goes in a circle, or too deep");
+    if (depth > 8)
+      return faults.add(root.get("extends"), "extends", "goes in a circle, or too deep");
     load((std::filesystem::path(file).parent_path() / *base).string(), s, faults, depth + 1);
     s.name = s.description = {};
   }
@@ -414,8 +446,10 @@
 }
 
 void checkWhole(const Scenario& s, Faults& faults) {
-  if (s.kinds.empty()) faults.lines.push_back(s.file + ": kind: at least one [[kind]] is needed");
-  if (s.classes.empty()) faults.lines.push_back(s.file + ": class: at least one [[class]] is needed");
+  if (s.kinds.empty())
+    faults.lines.push_back(s.file + ": kind: at least one [[kind]] is needed");
+  if (s.classes.empty())
+    faults.lines.push_back(s.file + ": class: at least one [[class]] is needed");
   for (std::size_t i = 0; i < s.troubles.size(); ++i) {
     const Trouble& t = s.troubles[i];
     const auto fault = [&](const std::string& key, const std::string& what) {
@@ -425,7 +459,8 @@
       fault("zone", "'" + t.zone + "' is none of fleet.zones");
     const bool known = std::any_of(s.classes.begin(), s.classes.end(),
                                    [&](const RequestClass& c) { return c.set.name == t.className; });
-    if (!t.className.empty() && !known) fault("class", "'" + t.className + "' is no [[class]]");
+    if (!t.className.empty() && !known)
+      fault("class", "'" + t.className + "' is no [[class]]");
   }
   for (std::size_t i = 0; i < s.faults.size(); ++i) {
     const Fault& f = s.faults[i];
@@ -437,7 +472,8 @@
     if (f.kind.starts_with("net_") && s.membershipPeriodMs == 0)
       fault("kind", "the processes send no datagrams: membership.period_ms is not set");
     for (std::size_t g : f.gateways)
-      if (static_cast<double>(g) >= s.gateways.low) fault("gateways", std::to_string(g) + " is none of them");
+      if (static_cast<double>(g) >= s.gateways.low)
+        fault("gateways", std::to_string(g) + " is none of them");
     for (std::size_t server : f.servers)
       if (static_cast<double>(server) >= s.servers.low)
         fault("servers", std::to_string(server) + " is none of them");
@@ -462,13 +498,16 @@
       faults.lines.push_back("--set " + one + ": " + std::string(e.description()));
     }
   }
-  if (faults.lines.empty()) checkWhole(s, faults);
+  if (faults.lines.empty())
+    checkWhole(s, faults);
   if (!faults.lines.empty()) {
     std::string all;
-    for (const std::string& line : faults.lines) all += (all.empty() ? "" : "\n") + line;
+    for (const std::string& line : faults.lines)
+      all += (all.empty() ? "" : "\n") + line;
     throw ScenarioError(all);
   }
-  if (s.name.empty()) s.name = std::filesystem::path(file).stem().string();
+  if (s.name.empty())
+    s.name = std::filesystem::path(file).stem().string();
   return s;
 }
 
--- a/src/lab/simulation/server.cpp
+++ b/src/lab/simulation/server.cpp
@@ -14,7 +14,8 @@
 }  // namespace
 
 double Server::rate() const {
-  if (paused_ || running_.empty()) return 0;
+  if (paused_ || running_.empty())
+    return 0;
   const double core = capacity() / figures_.cores;
   return core * std::min(1.0, figures_.cores / static_cast<double>(running_.size()));
 }
@@ -30,17 +31,21 @@
 
 double Server::backlog() const {
   double work = 0;
-  for (const Running& r : running_) work += std::max(r.until - progress_, 0.0);
-  for (const Job& j : waiting_) work += j.work;
+  for (const Running& r : running_)
+    work += std::max(r.until - progress_, 0.0);
+  for (const Job& j : waiting_)
+    work += j.work;
   return work;
 }
 
 double Server::workOf(const Job& job, Time now) {
-  if (!job.hasKey || figures_.warmGain <= 0) return job.work;
+  if (!job.hasKey || figures_.warmGain <= 0)
+    return job.work;
   const auto known = keys_.find(job.key);
   double work = job.work;
   if (known != keys_.end()) {
-    if (inSeconds(now - known->second->second) <= figures_.warmKeepS) work *= 1 - figures_.warmGain;
+    if (inSeconds(now - known->second->second) <= figures_.warmKeepS)
+      work *= 1 - figures_.warmGain;
     recent_.erase(known->second);
   }
   recent_.emplace_front(job.key, now);
@@ -58,7 +63,8 @@
     waiting_.pop_front();
     const auto given = std::find(abandoned_.begin(), abandoned_.end(), job.attempt);
     const bool gone = given != abandoned_.end();
-    if (gone) abandoned_.erase(given);
+    if (gone)
+      abandoned_.erase(given);
     if ((gone && figures_.dropsCancelled) || (figures_.dropsExpired && now >= job.deadline)) {
       ended_.push_back({job.attempt, now, 0, true});
       continue;
@@ -71,7 +77,8 @@
 
 bool Server::offer(Time now, const Job& job) {
   advance(now);
-  if (running_.size() >= figures_.slots && waiting_.size() >= figures_.room) return false;
+  if (running_.size() >= figures_.slots && waiting_.size() >= figures_.room)
+    return false;
   waiting_.push_back(job);
   start(now);
   observe(now);
@@ -81,14 +88,17 @@
 void Server::abandon(std::uint32_t attempt) {
   const bool waits =
       std::any_of(waiting_.begin(), waiting_.end(), [&](const Job& j) { return j.attempt == attempt; });
-  if (waits) abandoned_.push_back(attempt);
+  if (waits)
+    abandoned_.push_back(attempt);
 }
 
 std::optional<Time> Server::nextEnd() const {
   const double speed = rate();
-  if (speed <= 0) return std::nullopt;
+  if (speed <= 0)
+    return std::nullopt;
   double first = running_.front().until;
-  for (const Running& r : running_) first = std::min(first, r.until);
+  for (const Running& r : running_)
+    first = std::min(first, r.until);
   return last_ + std::max(seconds((first - progress_) / speed), Duration(0)) + Duration(1);
 }
 
@@ -99,7 +109,8 @@
 
 void Server::advance(Time now) {
   while (const auto end = nextEnd()) {
-    if (*end > now) break;
+    if (*end > now)
+      break;
     const auto first = std::min_element(running_.begin(), running_.end(),
                                         [](const Running& a, const Running& b) { return a.until < b.until; });
     const double passed = inSeconds(*end - last_);
@@ -112,7 +123,8 @@
     start(*end);
     observe(*end);
   }
-  if (now <= last_) return;
+  if (now <= last_)
+    return;
   const double passed = inSeconds(now - last_);
   progress_ += rate() * passed;
   noteBusy(passed);
@@ -127,7 +139,8 @@
         std::max(inSeconds(now - startedAt_) / std::max(figures_.coldS, 1e-9), full > 0 ? done_ / full : 1);
     warmth_ = figures_.coldFrom + (1 - figures_.coldFrom) * std::min(way, 1.0);
   }
-  if (!figures_.chokes) return;
+  if (!figures_.chokes)
+    return;
   // Crowded in the mean: with every dip counted as relief a server never jams that the simulator jams at
   // once.
   crowd_ +=
@@ -135,11 +148,13 @@
   crowdAt_ = now;
   level_ = std::min(static_cast<double>(held()) / figures_.cores, kCrowdMost * figures_.chokeAt);
   if (!choked_) {
-    if (crowd_ > figures_.chokeAt) choke(now);
+    if (crowd_ > figures_.chokeAt)
+      choke(now);
     return;
   }
   const bool resting = busy_ < figures_.chokeBelow;
-  if (resting && !resting_) restSince_ = now;
+  if (resting && !resting_)
+    restSince_ = now;
   resting_ = resting;
   const bool rested = resting_ && inSeconds(now - restSince_) >= figures_.chokeRestS;
   if (rested || inSeconds(now - chokedAt_) >= figures_.chokeMostS) {
@@ -159,13 +174,16 @@
 void Server::jam(Time now) {
   advance(now);
   figures_.chokes = true;
-  if (!choked_) choke(now);
+  if (!choked_)
+    choke(now);
 }
 
 std::vector<std::uint32_t> Server::drop() {
   std::vector<std::uint32_t> all;
-  for (const Running& r : running_) all.push_back(r.job.attempt);
-  for (const Job& j : waiting_) all.push_back(j.attempt);
+  for (const Running& r : running_)
+    all.push_back(r.job.attempt);
+  for (const Job& j : waiting_)
+    all.push_back(j.attempt);
   running_.clear();
   waiting_.clear();
   abandoned_.clear();
@@ -176,7 +194,8 @@
   advance(now);
   drop();
   ended_.clear();
-  if (choked_) chokeLog_.back().to = now;
+  if (choked_)
+    chokeLog_.back().to = now;
   choked_ = resting_ = paused_ = false;
   startedAt_ = now;
   done_ = busy_ = crowd_ = level_ = 0;
@@ -198,14 +217,17 @@
 }
 
 bool Server::overdriven(Time now, double work, bool informed, double multiple, double window, double& share) {
-  if (!cold()) return false;
+  if (!cold())
+    return false;
   arrived_.push_back({now, work, informed});
-  while (now - arrived_.front().at > seconds(window)) arrived_.pop_front();
+  while (now - arrived_.front().at > seconds(window))
+    arrived_.pop_front();
   double all = 0, known = 0, largest = 0;
   for (const Arrived& a : arrived_) {
     all += a.work;
     largest = std::max(largest, a.work);
-    if (a.informed) known += a.work;
+    if (a.informed)
+      known += a.work;
   }
   share = all > 0 ? known / all : 0;
   const double able = figures_.cores * figures_.speed * warmth_;
--- a/src/lab/simulation/server.hpp
+++ b/src/lab/simulation/server.hpp
@@ -16,8 +16,12 @@
 using balancer::Duration;
 using balancer::Time;
 
-inline Duration seconds(double s) { return Duration(static_cast<std::int64_t>(s * 1e9)); }
-inline double inSeconds(Duration d) { return static_cast<double>(d.count()) * 1e-9; }
+inline Duration seconds(double s) {
+  return Duration(static_cast<std::int64_t>(s * 1e9));
+}
+inline double inSeconds(Duration d) {
+  return static_cast<double>(d.count()) * 1e-9;
+}
 
 /// What one machine was drawn with. Works are seconds on a core of speed 1.
 struct ServerFigures {
--- a/src/lab/simulation/world.cpp
+++ b/src/lab/simulation/world.cpp
@@ -177,7 +177,8 @@
   }
   /// When a gateway handles what reaches it then: its next tick.
   Time door(Time when) const {
-    if (tick_ <= Duration(0)) return when;
+    if (tick_ <= Duration(0))
+      return when;
     const auto rest = when.count() % tick_.count();
     return rest == 0 ? when : when + tick_ - Duration(rest);
   }
@@ -201,7 +202,8 @@
   void drawServers() {
     for (std::size_t i = 0; i < fleet_.kindOf.size(); ++i)
       addMachine(fleet_.kindOf[i], static_cast<std::uint32_t>(i % s_.zones.size()), i / fleet_.cellSize);
-    for (const Machine& m : machines_) capacity_ += m.server.figures().cores * m.server.figures().speed;
+    for (const Machine& m : machines_)
+      capacity_ += m.server.figures().cores * m.server.figures().speed;
   }
 
   std::uint32_t addMachine(std::size_t kind, std::uint32_t zone, std::size_t cell) {
@@ -275,7 +277,8 @@
     Duration left = balancer::Duration(
         static_cast<std::int64_t>(static_cast<double>(d.set.giveUp.count()) * d_.tryShare));
     left = std::min(left, d.set.giveUp - (now_ - c.first));
-    if (left <= Duration(0)) return leave(c, false);
+    if (left <= Duration(0))
+      return leave(c, false);
     Stream front(seed_, "front", static_cast<std::uint64_t>(id) * 32 + c.tries);
     ++c.tries;
     secondOf(c.first).tries += 1;
@@ -284,16 +287,20 @@
     std::uint32_t chosen = kNobody;
     for (const bool own : {true, false}) {
       for (std::uint32_t g = 0; g < gateways_.size(); ++g) {
-        if (!gateways_[g].known || (own && gateways_[g].zone != c.zone)) continue;
+        if (!gateways_[g].known || (own && gateways_[g].zone != c.zone))
+          continue;
         sum += gateways_[g].weight;
-        if (front.unit() * sum < gateways_[g].weight) chosen = g;
+        if (front.unit() * sum < gateways_[g].weight)
+          chosen = g;
       }
-      if (chosen != kNobody) break;
+      if (chosen != kNobody)
+        break;
     }
     Try t;
     t.call = id;
     t.gateway = chosen;
-    if (chosen == kNobody || !gateways_[chosen].up) return retry(id, false, true, {});
+    if (chosen == kNobody || !gateways_[chosen].up)
+      return retry(id, false, true, {});
     t.life = gateways_[chosen].life;
     const Time arrives = door(now_ + secs(d_.clientHop));
     t.deadline = arrives + left;
@@ -312,7 +319,8 @@
     const ClassSettings& set = settings_.classes[c.cls];
     const auto wait =
         retryWait(d_, seed_, id, c.tries, c.left, set, {refused, unreachable, after}, now_ - c.first);
-    if (!wait) return leave(c, refused);
+    if (!wait)
+      return leave(c, refused);
     --c.left;
     at(now_ + secs(*wait), Happens::clientTry, id);
   }
@@ -338,7 +346,8 @@
   }
 
   void startMember(std::uint32_t g) {
-    if (s_.membershipPeriodMs <= 0) return;
+    if (s_.membershipPeriodMs <= 0)
+      return;
     Gateway& w = gateways_[g];
     membership::MembershipSettings set;
     set.period = millis(s_.membershipPeriodMs);
@@ -364,7 +373,8 @@
         continue;
       const Range& way = w.zone == gateways_[to].zone ? s_.sameMs : s_.crossMs;
       at(now_ + millis(way.draw(between_) / 2), [this, g, to, bytes = std::move(d.bytes)] {
-        if (!gateways_[to].member) return;
+        if (!gateways_[to].member)
+          return;
         gateways_[to].member->onDatagram(now_, addressOf(g), bytes);
         settleMember(to);
       });
@@ -375,11 +385,13 @@
       w.policy->onSettings(now_, settingsOf(g));
       carryOut(g);
     }
-    if (w.member->wakeAt() >= w.memberWake) return;
+    if (w.member->wakeAt() >= w.memberWake)
+      return;
     w.memberWake = w.member->wakeAt();
     at(w.memberWake, [this, g, life = w.life] {
       Gateway& later = gateways_[g];
-      if (!later.member || later.life != life) return;
+      if (!later.member || later.life != life)
+        return;
       later.memberWake = Time::max();
       later.member->onWake(now_);
       settleMember(g);
@@ -403,9 +415,11 @@
     for (std::uint32_t m = 0; m < machines_.size(); ++m) {
       const bool in =
           first ? static_cast<bool>(publishedIn_[m]) : m < w.told.size() && w.told[m] != Phase::out;
-      if (!in) continue;
+      if (!in)
+        continue;
       HostEntry e = published_[m];
-      if (!first) e.phase = w.told[m], e.upSince = w.toldStart[m];
+      if (!first)
+        e.phase = w.told[m], e.upSince = w.toldStart[m];
       entries.push_back(e);
       learn(g, m, e);
     }
@@ -413,27 +427,32 @@
     carryOut(g);
     startMember(g);
     at(now_ + std::chrono::milliseconds(20), [this, g, life = w.life] {
-      if (gateways_[g].life == life && gateways_[g].up) tellAll(g);
+      if (gateways_[g].life == life && gateways_[g].up)
+        tellAll(g);
     });
   }
 
   void killGateway(std::uint32_t g) {
     Gateway& w = gateways_[g];
-    if (!w.up) return;
+    if (!w.up)
+      return;
     w.up = false;
     for (std::uint32_t t : std::vector<std::uint32_t>(w.open)) {
-      if (tries_[t].ended) continue;
+      if (tries_[t].ended)
+        continue;
       tries_[t].ended = true;
       checker_.released(t + 1);
       for (std::uint8_t i = 0; i < tries_[t].attempts; ++i) {
         Attempt& a = attempts_[tries_[t].ids[i]];
-        if (a.out) a.out = false, hangUp(a, tries_[t].ids[i]);
+        if (a.out)
+          a.out = false, hangUp(a, tries_[t].ids[i]);
       }
       retry(tries_[t].call, false, true, {});
     }
     w.open.clear();
     for (std::size_t m = 0; m < w.pools.size(); ++m)
-      if (w.pools[m].epoch == machines_[m].epoch) lower(machines_[m], w.pools[m].idle.size());
+      if (w.pools[m].epoch == machines_[m].epoch)
+        lower(machines_[m], w.pools[m].idle.size());
     w.pools.clear();
     w.policy.reset();
     w.member.reset();
@@ -446,7 +465,8 @@
   void arrive(std::uint32_t id) {
     Try& t = tries_[id];
     Gateway& w = gateways_[t.gateway];
-    if (!w.up || w.life != t.life) return retry(t.call, false, true, {});
+    if (!w.up || w.life != t.life)
+      return retry(t.call, false, true, {});
     const Call& c = clientCalls_[t.call];
     checker_.taken(id + 1, settings_.classes[c.cls], t.deadline);
     w.open.push_back(id);
@@ -467,17 +487,20 @@
     t.ended = true;
     std::vector<std::uint32_t>& open = gateways_[t.gateway].open;
     const auto found = std::find(open.rbegin(), open.rend(), id);
-    if (found != open.rend()) *found = open.back(), open.pop_back();
+    if (found != open.rend())
+      *found = open.back(), open.pop_back();
     Call& c = clientCalls_[t.call];
     if (!served) {
       (refused ? secondOf(now_).refused : secondOf(now_).failed) += 1;
       return retry(t.call, refused, false, after);
     }
-    if (c.end != CallEnd::open) return;
+    if (c.end != CallEnd::open)
+      return;
     const Duration taken = now_ - c.first - secs(d_.clientHop);
     c.end = taken <= d_.classes[c.cls].set.aim ? CallEnd::inTime : CallEnd::late;
     c.endAt = now_;
-    if (c.first >= kStart + secs(s_.warmS)) latency_.add(inSeconds(taken) * 1000);
+    if (c.first >= kStart + secs(s_.warmS))
+      latency_.add(inSeconds(taken) * 1000);
   }
 
   void carryOut(std::uint32_t g) {
@@ -486,7 +509,8 @@
     while (!w.policy->actions().empty()) {
       std::vector<Action> actions;
       actions.swap(w.policy->actions());
-      for (const Action& a : actions) carryOut(g, a);
+      for (const Action& a : actions)
+        carryOut(g, a);
     }
   }
 
@@ -494,11 +518,14 @@
     Gateway& w = gateways_[g];
     digest_.add(g, a);
     switch (a.kind) {
-      case ActionKind::send: send(g, a); break;
+      case ActionKind::send:
+        send(g, a);
+        break;
       case ActionKind::refuse:
       case ActionKind::fail: {
         const std::uint32_t id = tryOf(a.request, "answered");
-        if (tries_[id].ended) break;
+        if (tries_[id].ended)
+          break;
         const bool refused = a.kind == ActionKind::refuse;
         checker_.answered(now_, a.request, refused);
         end(id, false, refused, s_.retryAfter ? std::min(a.span, millis(s_.maxRetryAfterMs)) : Duration(0));
@@ -506,24 +533,29 @@
       }
       case ActionKind::cancel: {
         const Try& t = tries_[tryOf(a.request, "cancelled")];
-        if (a.attempt >= t.attempts) throw std::logic_error("an attempt was cancelled that was never made");
+        if (a.attempt >= t.attempts)
+          throw std::logic_error("an attempt was cancelled that was never made");
         finishAttempt(t.ids[a.attempt], Outcome::cancelled, true);
         break;
       }
       case ActionKind::close: {
         const std::uint32_t m = serverOf(g, a.host);
         if (m < w.pools.size()) {
-          if (w.pools[m].epoch == machines_[m].epoch) lower(machines_[m], w.pools[m].idle.size());
+          if (w.pools[m].epoch == machines_[m].epoch)
+            lower(machines_[m], w.pools[m].idle.size());
           w.pools[m].idle.clear();
         }
         break;
       }
-      case ActionKind::wake: at(door(std::max(a.span, now_ + Duration(1))), Happens::wake, g, w.life); break;
+      case ActionKind::wake:
+        at(door(std::max(a.span, now_ + Duration(1))), Happens::wake, g, w.life);
+        break;
       case ActionKind::log:
         if (result_.said.size() < kSaidMost)
           result_.said.push_back(stamp() + "[" + std::to_string(g) + "] " + a.text);
         break;
-      case ActionKind::subscribe: break;
+      case ActionKind::subscribe:
+        break;
     }
   }
 
@@ -535,8 +567,10 @@
 
   std::uint32_t serverOf(std::uint32_t g, HostId host) {
     Gateway& w = gateways_[g];
-    if (host >= w.serverOf.size()) w.serverOf.resize(host + 1, kNobody);
-    if (w.serverOf[host] == kNobody) w.serverOf[host] = byAddress_.at(w.policy->address(host));
+    if (host >= w.serverOf.size())
+      w.serverOf.resize(host + 1, kNobody);
+    if (w.serverOf[host] == kNobody)
+      w.serverOf[host] = byAddress_.at(w.policy->address(host));
     return w.serverOf[host];
   }
 
@@ -558,7 +592,8 @@
     Machine& m = machines_[server];
     Gateway& w = gateways_[g];
     checker_.sent(now_, g, action.request, server, m.entry);
-    if (t.attempts >= t.ids.size()) throw std::logic_error("a request was sent more than eight times");
+    if (t.attempts >= t.ids.size())
+      throw std::logic_error("a request was sent more than eight times");
     Attempt a;
     a.of = id;
     a.server = server;
@@ -575,22 +610,27 @@
     }
     secondOf(now_).attempts += 1;
     ++result_.attempts;
-    if (clientCalls_[t.call].first >= kStart) crossed_ += gateways_[g].zone != m.zone;
+    if (clientCalls_[t.call].first >= kStart)
+      crossed_ += gateways_[g].zone != m.zone;
     const Duration limit =
         std::min(action.span > Duration(0) ? action.span : t.deadline - now_, t.deadline - now_);
     at(door(now_ + std::max(limit, Duration(1))), Happens::timeout, number);
-    if (server >= w.pools.size()) w.pools.resize(machines_.size());
+    if (server >= w.pools.size())
+      w.pools.resize(machines_.size());
     Pool& pool = w.pools[server];
-    if (pool.epoch != m.epoch && !m.leftSilently) pool.idle.clear();
+    if (pool.epoch != m.epoch && !m.leftSilently)
+      pool.idle.clear();
     while (!pool.idle.empty() && now_ - pool.idle.back() >= settings_.idleClose) {
-      if (pool.epoch == m.epoch) lower(m, pool.idle.size());
+      if (pool.epoch == m.epoch)
+        lower(m, pool.idle.size());
       pool.idle.clear();
     }
     if (!pool.idle.empty()) {
       made.epoch = pool.epoch;
       made.connected = true;
       pool.idle.pop_back();
-      if (reachable(g, m)) at(now_ + hop(g, m), Happens::atServer, number);
+      if (reachable(g, m))
+        at(now_ + hop(g, m), Happens::atServer, number);
       return;
     }
     pool.epoch = m.epoch;
@@ -612,9 +652,11 @@
 
   void respond(std::uint32_t id, Outcome outcome) {
     Attempt& a = attempts_[id];
-    if (!a.out) return;
+    if (!a.out)
+      return;
     const std::uint32_t g = tries_[a.of].gateway;
-    if (a.swallowed || !reachable(g, machines_[a.server])) return;  // on its way
+    if (a.swallowed || !reachable(g, machines_[a.server]))
+      return;  // on its way
     a.outcome = outcome;
     at(door(now_ + hop(g, machines_[a.server])), Happens::atGateway, id);
   }
@@ -623,9 +665,12 @@
     Attempt& a = attempts_[id];
     Machine& m = machines_[a.server];
     const Try& t = tries_[a.of];
-    if (!reachable(t.gateway, m)) return;
-    if (a.epoch != m.epoch || !m.up) return respond(id, Outcome::reset);
-    if (!a.out) return;  // given up and its connection closed before it came
+    if (!reachable(t.gateway, m))
+      return;
+    if (a.epoch != m.epoch || !m.up)
+      return respond(id, Outcome::reset);
+    if (!a.out)
+      return;  // given up and its connection closed before it came
     const Call& c = clientCalls_[t.call];
     const DrawnClass& d = d_.classes[c.cls];
     Stream draw(seed_, "attempt", (static_cast<std::uint64_t>(t.call) * 32 + c.tries) * 8 + a.number);
@@ -645,15 +690,18 @@
       publishLater(noticeTime(), a.server, Phase::out, m.entry.upSince);
       return;
     }
-    if (m.draining) return respond(id, Outcome::full);
+    if (m.draining)
+      return respond(id, Outcome::full);
     if (m.resets > 0 && draw.chance(m.resets)) {
       m.server.offer(now_, job);  // it runs, but the answer is lost
       reschedule(a.server);
       return respond(id, Outcome::reset);
     }
     a.swallowed = m.losses > 0 && draw.chance(m.losses);
-    if (m.errors > 0 && draw.chance(m.errors)) return respond(id, Outcome::error);
-    if (!m.server.offer(now_, job)) return respond(id, Outcome::full);
+    if (m.errors > 0 && draw.chance(m.errors))
+      return respond(id, Outcome::error);
+    if (!m.server.offer(now_, job))
+      return respond(id, Outcome::full);
     collect(a.server);
     reschedule(a.server);
   }
@@ -666,9 +714,12 @@
     for (const Server::Ended& e : ended) {
       Attempt& a = attempts_[e.attempt];
       const bool wanted = a.out && !tries_[a.of].ended && a.outcome == Outcome::served;
-      if (!wanted) waste_ += e.work;
-      if (!a.out || a.outcome != Outcome::served) continue;
-      if (e.dropped) respond(e.attempt, Outcome::full);
+      if (!wanted)
+        waste_ += e.work;
+      if (!a.out || a.outcome != Outcome::served)
+        continue;
+      if (e.dropped)
+        respond(e.attempt, Outcome::full);
       else
         respond(e.attempt, Stream(seed_, "error", e.attempt).chance(m.server.figures().errorRate)
                                ? Outcome::error
@@ -679,36 +730,47 @@
   void reschedule(std::uint32_t server) {
     Machine& m = machines_[server];
     ++m.turn;
-    if (const auto end = m.server.nextEnd()) at(std::max(*end, now_), Happens::serverDone, server, m.turn);
+    if (const auto end = m.server.nextEnd())
+      at(std::max(*end, now_), Happens::serverDone, server, m.turn);
   }
 
   // The gateway closes the attempt's connection; waiting work may be dropped for it.
   void hangUp(Attempt& a, std::uint32_t id) {
     Machine& m = machines_[a.server];
-    if (a.epoch != m.epoch || !a.connected) return;
+    if (a.epoch != m.epoch || !a.connected)
+      return;
     lower(m, 1);
     m.server.abandon(id);
   }
 
   void finishAttempt(std::uint32_t id, Outcome outcome, bool givenUp) {
     Attempt& a = attempts_[id];
-    if (!a.out) return;
+    if (!a.out)
+      return;
     a.out = false;
     const std::uint32_t tryId = a.of;
     Try& t = tries_[tryId];
     Gateway& w = gateways_[t.gateway];
-    if (!w.up || w.life != t.life) return;
+    if (!w.up || w.life != t.life)
+      return;
     Machine& m = machines_[a.server];
-    if (givenUp || outcome == Outcome::reset) hangUp(a, id);
+    if (givenUp || outcome == Outcome::reset)
+      hangUp(a, id);
     else if (outcome != Outcome::connectFailed && outcome != Outcome::moot && a.epoch == m.epoch) {
-      if (w.pools[a.server].epoch == m.epoch) w.pools[a.server].idle.push_back(now_);
+      if (w.pools[a.server].epoch == m.epoch)
+        w.pools[a.server].idle.push_back(now_);
     }
     Second& second = secondOf(now_);
-    if (outcome == Outcome::full) second.full += 1;
-    if (outcome == Outcome::timeout) second.timeouts += 1;
-    if (outcome == Outcome::connectFailed) second.connectFailed += 1;
-    if (outcome == Outcome::reset) second.resets += 1;
-    if (outcome == Outcome::error) second.errors += 1;
+    if (outcome == Outcome::full)
+      second.full += 1;
+    if (outcome == Outcome::timeout)
+      second.timeouts += 1;
+    if (outcome == Outcome::connectFailed)
+      second.connectFailed += 1;
+    if (outcome == Outcome::reset)
+      second.resets += 1;
+    if (outcome == Outcome::error)
+      second.errors += 1;
     checker_.outcome(tryId + 1, a.number, outcome);
     AttemptResult r;
     r.request = tryId + 1;
@@ -723,16 +785,19 @@
     r.terminal = tries_[tryId].ended;
     const std::uint32_t g = tries_[tryId].gateway;
     w.policy->onResult(now_, r);
-    if (outcome != Outcome::cancelled) carryOut(g);  // else it is being carried out already
+    if (outcome != Outcome::cancelled)
+      carryOut(g);  // else it is being carried out already
   }
 
   void due(std::uint32_t id) {
     Try& t = tries_[id];
-    if (t.ended) return;
+    if (t.ended)
+      return;
     Gateway& w = gateways_[t.gateway];
     checker_.due(now_, id + 1);
     end(id, false, false, {});
-    if (!w.up || w.life != t.life) return;
+    if (!w.up || w.life != t.life)
+      return;
     w.policy->onClientGone(now_, id + 1);
     carryOut(t.gateway);
   }
@@ -750,7 +815,8 @@
   }
 
   void tell(std::uint32_t g, std::uint32_t change) {
-    if (!gateways_[g].up) return;
+    if (!gateways_[g].up)
+      return;
     const Change& c = changes_[change];
     learn(g, c.server, c.entry);
     gateways_[g].policy->onHosts(now_, ListKind::update, {c.entry});
@@ -761,9 +827,11 @@
     std::vector<HostEntry> entries;
     for (std::uint32_t m = 0; m < machines_.size(); ++m) {
       HostEntry e = published_[m];
-      if (!publishedIn_[m]) e.phase = Phase::out;
+      if (!publishedIn_[m])
+        e.phase = Phase::out;
       learn(g, m, e);
-      if (e.phase != Phase::out) entries.push_back(e);
+      if (e.phase != Phase::out)
+        entries.push_back(e);
     }
     gateways_[g].policy->onHosts(now_, ListKind::replace, entries);
     carryOut(g);
@@ -806,7 +874,8 @@
     m.up = false;
     m.leftSilently = silently;
     if (!silently)
-      for (std::uint32_t id : held) respond(id, Outcome::reset);
+      for (std::uint32_t id : held)
+        respond(id, Outcome::reset);
     ++m.epoch;
     m.server.connections = 0;
   }
@@ -824,7 +893,8 @@
 
   std::vector<std::uint32_t> some(double part, const std::vector<std::uint32_t>& from) {
     std::vector<std::uint32_t> all = from;
-    for (std::size_t i = all.size(); i > 1; --i) std::swap(all[i - 1], all[trouble_.below(i)]);
+    for (std::size_t i = all.size(); i > 1; --i)
+      std::swap(all[i - 1], all[trouble_.below(i)]);
     all.resize(std::min<std::size_t>(
         all.size(),
         static_cast<std::size_t>(std::max(1.0, std::round(part * static_cast<double>(from.size()))))));
@@ -833,7 +903,8 @@
   }
   std::vector<std::uint32_t> firstServers() const {
     std::vector<std::uint32_t> all(machines_.size());
-    for (std::uint32_t i = 0; i < all.size(); ++i) all[i] = i;
+    for (std::uint32_t i = 0; i < all.size(); ++i)
+      all[i] = i;
     return all;
   }
 
@@ -859,9 +930,11 @@
       const double size = t.size.draw(trouble_), every = t.everyS.draw(trouble_);
       std::uint32_t zone = static_cast<std::uint32_t>(trouble_.below(s_.zones.size()));
       for (std::uint32_t z = 0; z < s_.zones.size(); ++z)
-        if (s_.zones[z] == t.zone) zone = z;
+        if (s_.zones[z] == t.zone)
+          zone = z;
       const bool happens = trouble_.chance(t.chance.draw(trouble_));
-      if (!happens) continue;
+      if (!happens)
+        continue;
       const double to = from + length;
       if (t.kind == "slow") {
         during(from, to, some(part, firstServers()), "slow", [this, size](std::uint32_t i, bool on) {
@@ -884,12 +957,14 @@
       } else if (t.kind == "silence") {
         during(from, to, some(part, firstServers()), "silence", [this](std::uint32_t i, bool on) {
           machines_[i].reachable = !on;
-          if (on) noticeSilence(i);
+          if (on)
+            noticeSilence(i);
         });
       } else if (t.kind == "zone") {
         std::vector<std::uint32_t> servers;
         for (std::uint32_t i = 0; i < machines_.size(); ++i)
-          if (machines_[i].zone == zone) servers.push_back(i);
+          if (machines_[i].zone == zone)
+            servers.push_back(i);
         during(from, to, servers, "zone " + s_.zones[zone] + " lost", [this](std::uint32_t i, bool on) {
           if (on) {
             machines_[i].reachable = false;
@@ -906,12 +981,14 @@
         at(kStart + secs(to), [this] { note("cut ends"), cutZone_ = kNobody; });
       } else if (t.kind == "kill") {
         std::vector<std::uint32_t> all(gateways_.size());
-        for (std::uint32_t i = 0; i < all.size(); ++i) all[i] = i;
+        for (std::uint32_t i = 0; i < all.size(); ++i)
+          all[i] = i;
         const double notice = s_.frontNoticeS.draw(trouble_);
         for (std::uint32_t g : some(part, all)) {
           at(kStart + secs(from), [this, g] { killGateway(g); });
           at(kStart + secs(from + notice), [this, g] {
-            if (!gateways_[g].up) gateways_[g].known = false;
+            if (!gateways_[g].up)
+              gateways_[g].known = false;
           });
           at(kStart + secs(from + std::max(length, 0.1) * trouble_.uniform(0.5, 1.5)),
              [this, g] { startGateway(g, false); });
@@ -942,7 +1019,8 @@
 
   void noticeSilence(std::uint32_t i) {
     at(now_ + secs(s_.silentNoticeS.draw(notices_)), [this, i] {
-      if (!machines_[i].reachable) publish(i, Phase::out, machines_[i].entry.upSince);
+      if (!machines_[i].reachable)
+        publish(i, Phase::out, machines_[i].entry.upSince);
     });
   }
 
@@ -959,7 +1037,8 @@
                                      static_cast<double>(std::max<std::size_t>(steps, 1));
       at(kStart + secs(when), [this, id = chosen[i], drain] {
         Machine& m = machines_[id];
-        if (m.draining || !m.up) return;
+        if (m.draining || !m.up)
+          return;
         m.draining = true;
         publishLater(noticeTime(), id, Phase::draining, m.entry.upSince);
         at(now_ + secs(drain), [this, id] {
@@ -975,9 +1054,11 @@
   }
 
   void newSettings(const Trouble& t, double attempts) {
-    if (attempts >= 1) settings_.maxAttempts = static_cast<std::uint32_t>(std::min(attempts, 8.0));
+    if (attempts >= 1)
+      settings_.maxAttempts = static_cast<std::uint32_t>(std::min(attempts, 8.0));
     for (std::size_t i = 0; i < settings_.classes.size(); ++i) {
-      if (settings_.classes[i].name != t.className || t.effect.empty()) continue;
+      if (settings_.classes[i].name != t.className || t.effect.empty())
+        continue;
       settings_.classes[i].effect = effectNamed(t.effect);
     }
     note("settings changed");
@@ -993,13 +1074,18 @@
 
   void happen(const Event& e) {
     switch (e.what) {
-      case Happens::clientTry: return clientTry(e.a);
-      case Happens::arrive: return arrive(e.a);
-      case Happens::due: return due(e.a);
-      case Happens::atServer: return atServer(e.a);
+      case Happens::clientTry:
+        return clientTry(e.a);
+      case Happens::arrive:
+        return arrive(e.a);
+      case Happens::due:
+        return due(e.a);
+      case Happens::atServer:
+        return atServer(e.a);
       case Happens::serverDone: {
         Machine& m = machines_[e.a];
-        if (e.b != m.turn) return;
+        if (e.b != m.turn)
+          return;
         m.server.advance(now_);
         collect(e.a);
         return reschedule(e.a);
@@ -1009,33 +1095,45 @@
         m.server.advance(now_);
         collect(e.a);
         reschedule(e.a);
-        if (m.up || m.server.held() > 0 || !m.draining) at(now_ + kServerTick, Happens::tick, e.a);
+        if (m.up || m.server.held() > 0 || !m.draining)
+          at(now_ + kServerTick, Happens::tick, e.a);
         return;
       }
-      case Happens::atGateway: return finishAttempt(e.a, attempts_[e.a].outcome, false);
-      case Happens::timeout: return finishAttempt(e.a, Outcome::timeout, true);
+      case Happens::atGateway:
+        return finishAttempt(e.a, attempts_[e.a].outcome, false);
+      case Happens::timeout:
+        return finishAttempt(e.a, Outcome::timeout, true);
       case Happens::wake: {
         Gateway& w = gateways_[e.a];
-        if (!w.up || w.life != e.b) return;
+        if (!w.up || w.life != e.b)
+          return;
         w.policy->onWake(now_);
         return carryOut(e.a);
       }
-      case Happens::tell: return tell(e.a, e.b);
+      case Happens::tell:
+        return tell(e.a, e.b);
       case Happens::call: {
         const std::function<void()> call = std::move(calls_[e.a]);
         return call();
       }
-      case Happens::sample: return sample();
+      case Happens::sample:
+        return sample();
     }
   }
 
   ServerState stateOf(const Machine& m) const {
-    if (!m.reachable) return ServerState::silent;
-    if (!m.up) return ServerState::gone;
-    if (m.draining) return ServerState::draining;
-    if (m.server.choked()) return ServerState::choked;
-    if (m.paused > 0) return ServerState::paused;
-    if (m.slow > 1) return ServerState::slowed;
+    if (!m.reachable)
+      return ServerState::silent;
+    if (!m.up)
+      return ServerState::gone;
+    if (m.draining)
+      return ServerState::draining;
+    if (m.server.choked())
+      return ServerState::choked;
+    if (m.paused > 0)
+      return ServerState::paused;
+    if (m.slow > 1)
+      return ServerState::slowed;
     return m.server.cold() ? ServerState::cold : ServerState::usual;
   }
 
@@ -1048,9 +1146,12 @@
     double cut = 0;
     std::size_t up = 0;
     for (const Gateway& w : gateways_)
-      if (w.up) cut += w.policy->cutoff(), ++up;
-    if (up > 0) secondOf(now_).cutoff = std::max(secondOf(now_).cutoff, cut / static_cast<double>(up));
-    if (now_ + kSample <= kStart + secs(s_.lengthS)) at(now_ + kSample, Happens::sample);
+      if (w.up)
+        cut += w.policy->cutoff(), ++up;
+    if (up > 0)
+      secondOf(now_).cutoff = std::max(secondOf(now_).cutoff, cut / static_cast<double>(up));
+    if (now_ + kSample <= kStart + secs(s_.lengthS))
+      at(now_ + kSample, Happens::sample);
   }
 
   void settle() {
@@ -1073,7 +1174,8 @@
         times[static_cast<std::size_t>(&second - r.seconds.data())].push_back(inSeconds(c.endAt - c.first) *
                                                                               1000);
       offered += c.work;
-      if (c.first < kStart + secs(s_.warmS)) continue;
+      if (c.first < kStart + secs(s_.warmS))
+        continue;
       ++r.calls;
       ClassRecord& record = r.classes[c.cls];
       record.asked += c.worth;
@@ -1082,18 +1184,22 @@
       record.inTime += c.end == CallEnd::inTime;
       record.late += c.end == CallEnd::late;
       const bool unserved = c.end != CallEnd::inTime && c.end != CallEnd::late;
-      if (!unserved) continue;
+      if (!unserved)
+        continue;
       (c.end == CallEnd::refused ? record.refused : record.failed) += 1;
       ++(c.end == CallEnd::refused ? refused : failed);
-      if (c.end == CallEnd::open || c.endAt - c.first > set.aim) lateFailed += c.worth;
+      if (c.end == CallEnd::open || c.endAt - c.first > set.aim)
+        lateFailed += c.worth;
     }
     for (std::size_t i = 0; i < times.size(); ++i) {
       std::sort(times[i].begin(), times[i].end());
-      if (times[i].empty()) continue;
+      if (times[i].empty())
+        continue;
       r.seconds[i].p50 = times[i][(times[i].size() - 1) / 2];
       r.seconds[i].p99 = times[i][(times[i].size() - 1) * 99 / 100];
     }
-    for (const ClassRecord& record : r.classes) asked += record.asked, served += record.served;
+    for (const ClassRecord& record : r.classes)
+      asked += record.asked, served += record.served;
     if (r.calls > 0) {
       r.refusedShare = static_cast<double>(refused) / static_cast<double>(r.calls);
       r.failedShare = static_cast<double>(failed) / static_cast<double>(r.calls);
@@ -1102,14 +1208,16 @@
     r.whole = asked > 0 ? served / asked : 1;
     r.worstClass = 1;
     for (const ClassRecord& record : r.classes)
-      if (record.asked > 0) r.worstClass = std::min(r.worstClass, record.served / record.asked);
+      if (record.asked > 0)
+        r.worstClass = std::min(r.worstClass, record.served / record.asked);
     r.worstWindow = r.whole;
     const std::size_t window = std::min<std::size_t>(10, r.seconds.size());
     for (std::size_t i = static_cast<std::size_t>(s_.warmS); i + window <= r.seconds.size(); ++i) {
       double a = 0, got = 0;
       for (std::size_t j = i; j < i + window; ++j)
         a += r.seconds[j].asked, got += r.seconds[j].inTime + r.seconds[j].late;
-      if (a > 0 && got / a < r.worstWindow) r.worstWindow = got / a, r.worstAt = static_cast<double>(i);
+      if (a > 0 && got / a < r.worstWindow)
+        r.worstWindow = got / a, r.worstAt = static_cast<double>(i);
     }
     const double first = std::max<double>(1, static_cast<double>(clientCalls_.size()));
     r.priceCrossZone = s_.priceCrossZone * static_cast<double>(crossed_) / first;
@@ -1120,7 +1228,8 @@
       r.servers[i].chokes = machines_[i].server.chokes();
       for (Server::Choke& c : r.servers[i].chokes) {
         c.from -= kStart;
-        if (c.to > Time{}) c.to -= kStart;
+        if (c.to > Time{})
+          c.to -= kStart;
       }
       choked += !r.servers[i].chokes.empty();
     }
@@ -1130,7 +1239,8 @@
     r.p90 = latency_.percentile(0.9);
     r.p99 = latency_.percentile(0.99);
     r.breaches = checker_.breaches();
-    for (Breach& b : r.breaches) b.at -= kStart;
+    for (Breach& b : r.breaches)
+      b.at -= kStart;
     r.g = s_.goalWhole * r.whole + s_.goalWorstWindow * r.worstWindow + s_.goalWorstClass * r.worstClass -
           r.priceCrossZone - r.priceWaste - r.priceHandshake - r.priceChoke - r.priceLateFail;
   }
@@ -1174,14 +1284,22 @@
 
 const char* nameOf(ServerState state) {
   switch (state) {
-    case ServerState::usual: return "usual";
-    case ServerState::cold: return "cold";
-    case ServerState::choked: return "choked";
-    case ServerState::slowed: return "slowed";
-    case ServerState::paused: return "paused";
-    case ServerState::silent: return "silent";
-    case ServerState::draining: return "draining";
-    case ServerState::gone: return "gone";
+    case ServerState::usual:
+      return "usual";
+    case ServerState::cold:
+      return "cold";
+    case ServerState::choked:
+      return "choked";
+    case ServerState::slowed:
+      return "slowed";
+    case ServerState::paused:
+      return "paused";
+    case ServerState::silent:
+      return "silent";
+    case ServerState::draining:
+      return "draining";
+    case ServerState::gone:
+      return "gone";
   }
   return "?";
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -26,7 +26,8 @@
 constexpr int kFailed = 1, kWrong = 2;
 
 void warn(const Config& config, Log& log) {
-  for (const std::string& warning : config.warnings) log.write(LogLevel::warning, "configuration", warning);
+  for (const std::string& warning : config.warnings)
+    log.write(LogLevel::warning, "configuration", warning);
 }
 
 // Danger: a file that is no good must not end a gateway that serves; it goes on with what it has.
@@ -47,7 +48,8 @@
 void reloadAtEach(boost::asio::signal_set& hangups, Gateway& gateway, Config& running,
                   const Environment& environment, Log& log) {
   hangups.async_wait([&](boost::system::error_code ec, int) {
-    if (ec) return;
+    if (ec)
+      return;
     reload(gateway, running, environment, log);
     reloadAtEach(hangups, gateway, running, environment, log);
   });
@@ -62,7 +64,8 @@
   Gateway gateway(io, config, {}, log);
   reloadAtEach(hangups, gateway, config, environment, log);
   stops.async_wait([&](boost::system::error_code ec, int) {
-    if (!ec) gateway.shutDown([&] { io.stop(); });
+    if (!ec)
+      gateway.shutDown([&] { io.stop(); });
   });
   io.run();
   return 0;
@@ -71,32 +74,38 @@
 // Prints what is wrong with the file, all of it; the file as read, if nothing is.
 bool good(const Environment& environment, ReadFile& file) {
   const char* path = environment("GW_CONFIG");
-  if (!path) throw BadConfig("no file: name one with --config or GW_CONFIG");
+  if (!path)
+    throw BadConfig("no file: name one with --config or GW_CONFIG");
   file = readFile(path);
   for (const auto& [key, variable] :
        {std::pair("listen", "GW_LISTEN"), std::pair("discovery", "GW_DISCOVERY")})
     if (file.faults.empty() && !environment(variable) && !file.json.contains(key))
       file.faults.push_back({path, key, "is missing, and " + std::string(variable) + " is not set"});
-  if (file.faults.empty()) try {
+  if (file.faults.empty())
+    try {
       parseConfig(file.json, environment);
     } catch (const BadConfig& bad) {
       file.faults.push_back({path, "configuration", bad.what()});
     }
-  for (const Remark& warning : file.warnings) std::cerr << "warning: " << warning.text() << '\n';
-  for (const Remark& fault : file.faults) std::cerr << fault.text() << '\n';
+  for (const Remark& warning : file.warnings)
+    std::cerr << "warning: " << warning.text() << '\n';
+  for (const Remark& fault : file.faults)
+    std::cerr << fault.text() << '\n';
   return file.faults.empty();
 }
 
 int check(const Environment& environment) {
   ReadFile file;
-  if (!good(environment, file)) return kWrong;
+  if (!good(environment, file))
+    return kWrong;
   std::cout << environment("GW_CONFIG") << ": good\n";
   return 0;
 }
 
 int showAll(const Environment& environment) {
   ReadFile file;
-  if (!good(environment, file)) return kWrong;
+  if (!good(environment, file))
+    return kWrong;
   std::cout << textOf(show(parseConfig(file.json, environment), file, environment));
   return 0;
 }
@@ -136,7 +145,8 @@
       const auto add = [&](const char* name, const char* what, int (*f)(const Environment&)) {
         CLI::App* sub = app.add_subcommand(name, what);
         sub->callback([&command, f] { command = f; });
-        if (f == version) return;
+        if (f == version)
+          return;
         if (f == fleet) {
           sub->add_option("address", addresses, "management address, host:port")->required();
           return;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -64,7 +64,9 @@
 
 // --- Time ---------------------------------------------------------------------------------------------
 
-Duration Membership::timeout() const { return settings_.period * kTimeoutTenths / 10; }
+Duration Membership::timeout() const {
+  return settings_.period * kTimeoutTenths / 10;
+}
 
 Duration Membership::suspicion(Duration period, std::size_t present, std::size_t accusers) {
   const double least = kSuspicionLeast * std::max(1.0, std::log10(static_cast<double>(present)));
@@ -82,12 +84,14 @@
 bool Membership::advance(Time now) {
   now_ = std::max(now_, now);
   const Duration late = now_ - wakeAt_;
-  if (late <= scaled(settings_.period) * kStallPeriods) return false;
+  if (late <= scaled(settings_.period) * kStallPeriods)
+    return false;
   ++counters_.stalls;
   questions_.clear();
   probe_ = 0;
   round_.clear();
-  for (const std::string& name : suspects_) others_.at(name).suspectSince += late;
+  for (const std::string& name : suspects_)
+    others_.at(name).suspectSince += late;
   // Danger: what was to be told is as old as the stall; told now, it would accuse those that were cleared
   // since.
   std::erase_if(news_, [&](const auto& n) { return n.first != self_.name; });
@@ -100,23 +104,29 @@
 
 void Membership::setWake() {
   wakeAt_ = periodAt_;
-  if (probe_ != 0 && nacksWanted_ == 0) wakeAt_ = std::min(wakeAt_, lateAt_);
+  if (probe_ != 0 && nacksWanted_ == 0)
+    wakeAt_ = std::min(wakeAt_, lateAt_);
   for (const auto& [nonce, q] : questions_)
-    if (!q.probe) wakeAt_ = std::min(wakeAt_, q.until);
-  for (const std::string& name : suspects_) wakeAt_ = std::min(wakeAt_, suspectUntil(others_.at(name)));
+    if (!q.probe)
+      wakeAt_ = std::min(wakeAt_, q.until);
+  for (const std::string& name : suspects_)
+    wakeAt_ = std::min(wakeAt_, suspectUntil(others_.at(name)));
   // Danger: a suspicion that a further witness shortens may be over already; that makes nobody late.
   wakeAt_ = std::max(wakeAt_, now_);
 }
 
 void Membership::onWake(Time now) {
-  if (left_) return;
-  if (!advance(now) && now_ < wakeAt_) return;
+  if (left_)
+    return;
+  if (!advance(now) && now_ < wakeAt_)
+    return;
   tick();
   setWake();
 }
 
 void Membership::tick() {
-  if (probe_ != 0 && nacksWanted_ == 0 && now_ >= lateAt_) probeLate();
+  if (probe_ != 0 && nacksWanted_ == 0 && now_ >= lateAt_)
+    probeLate();
   for (auto it = questions_.begin(); it != questions_.end();) {
     const Question q = it->second;
     if (q.probe || now_ < q.until) {
@@ -124,17 +134,20 @@
       continue;
     }
     it = questions_.erase(it);
-    if (q.askerNonce != 0) send(q.asker, Type::nack, q.askerNonce);
+    if (q.askerNonce != 0)
+      send(q.asker, Type::nack, q.askerNonce);
   }
   expireSuspicions();
-  if (now_ < periodAt_) return;
+  if (now_ < periodAt_)
+    return;
   probeOver();
   ++periods_;
   verifies_ = 0;
   forgetGone();
   periodAt_ = now_ + scaled(settings_.period);
   if (yielded_) {
-    if (periods_ % kYieldedPeriods == 0) reachOut();
+    if (periods_ % kYieldedPeriods == 0)
+      reachOut();
     return;
   }
   probeNext();
@@ -145,7 +158,8 @@
 
 std::uint64_t Membership::ask(const std::string& target, const Address& at, Duration wait, bool probe) {
   std::uint64_t nonce = 0;
-  while (nonce == 0 || questions_.count(nonce)) nonce = draw();
+  while (nonce == 0 || questions_.count(nonce))
+    nonce = draw();
   Question q;
   q.target = target;
   q.at = at;
@@ -159,17 +173,22 @@
   nacksWanted_ = nacks_ = 0;
   for (bool refilled = false;;) {
     if (round_.empty()) {
-      if (refilled) return;
+      if (refilled)
+        return;
       refilled = true;
       for (const auto& [name, m] : others_)
-        if (membership::present(m.record.state)) round_.push_back(name);
-      for (std::size_t i = round_.size(); i > 1; --i) std::swap(round_[i - 1], round_[drawBelow(i)]);
-      if (round_.empty()) return;
+        if (membership::present(m.record.state))
+          round_.push_back(name);
+      for (std::size_t i = round_.size(); i > 1; --i)
+        std::swap(round_[i - 1], round_[drawBelow(i)]);
+      if (round_.empty())
+        return;
     }
     const std::string name = std::move(round_.back());
     round_.pop_back();
     const auto it = others_.find(name);
-    if (it == others_.end() || !membership::present(it->second.record.state)) continue;
+    if (it == others_.end() || !membership::present(it->second.record.state))
+      continue;
     probe_ = ask(name, it->second.record.address, scaled(settings_.period), true);
     lateAt_ = now_ + scaled(timeout());
     // One that we suspect is told so first, so that it can refute.
@@ -193,39 +212,49 @@
     able.erase(able.begin() + static_cast<std::ptrdiff_t>(at));
     ++nacksWanted_;
   }
-  if (nacksWanted_ == 0) lateAt_ = periodAt_;  // nobody to ask
+  if (nacksWanted_ == 0)
+    lateAt_ = periodAt_;  // nobody to ask
 }
 
 void Membership::probeOver() {
   const auto it = questions_.find(probe_);
-  if (probe_ == 0 || it == questions_.end()) return;
+  if (probe_ == 0 || it == questions_.end())
+    return;
   const std::string target = it->second.target;
   questions_.erase(it);
   probe_ = 0;
   // Danger: where we wake late ourselves, the answer may lie unread in our socket.
-  if (now_ - periodAt_ > timeout()) return unwell();
+  if (now_ - periodAt_ > timeout())
+    return unwell();
   // Helpers that say nothing either, or none to ask: the fault may be ours.
-  if (nacksWanted_ == 0 || nacks_ < nacksWanted_) unwell();
+  if (nacksWanted_ == 0 || nacks_ < nacksWanted_)
+    unwell();
   accuse(target, State::suspect);
 }
 
 void Membership::well() {
-  if (health_ > 0) --health_;
+  if (health_ > 0)
+    --health_;
+}
+void Membership::unwell() {
+  health_ = std::min(health_ + 1, kHealthMost);
 }
-void Membership::unwell() { health_ = std::min(health_ + 1, kHealthMost); }
 
 // Seeds while they are missing, and the dead now and then, so that two halves find each other again.
 void Membership::reachOut() {
   std::vector<Address> missing;
   for (const Address& seed : settings_.seeds)
-    if (seed != self_.address && !presentAt_.count(seed)) missing.push_back(seed);
+    if (seed != self_.address && !presentAt_.count(seed))
+      missing.push_back(seed);
   const auto ping = [this](const Address& at) { send(at, Type::ping, ask({}, at, settings_.period, false)); };
   if (yielded_) {  // our rival, which then knows that we serve; and another, which knows whether it is there
     ping(rivalAt_);
     std::vector<Address> here;
     for (const auto& [address, members] : presentAt_)
-      if (address != self_.address) here.push_back(address);
-    if (!here.empty()) ping(here[drawBelow(here.size())]);
+      if (address != self_.address)
+        here.push_back(address);
+    if (!here.empty())
+      ping(here[drawBelow(here.size())]);
     return;
   }
   if (periods_ == 1) {
@@ -234,13 +263,18 @@
     return;
   }
   const bool alone = present_ == 0;
-  if (!missing.empty() && (alone || periods_ % kReachPeriods == 0)) ping(missing[seedAt_++ % missing.size()]);
-  if (periods_ % kReachPeriods != kReachPeriods / 2) return;
-  if (others_.size() == present_) return;
+  if (!missing.empty() && (alone || periods_ % kReachPeriods == 0))
+    ping(missing[seedAt_++ % missing.size()]);
+  if (periods_ % kReachPeriods != kReachPeriods / 2)
+    return;
+  if (others_.size() == present_)
+    return;
   std::vector<const Member*> dead;
   for (const auto& [name, m] : others_)
-    if (m.record.state == State::dead) dead.push_back(&m);
-  if (dead.empty()) return;
+    if (m.record.state == State::dead)
+      dead.push_back(&m);
+  if (dead.empty())
+    return;
   const Member& m = *dead[goneAt_++ % dead.size()];
   // It learns first of all that it is held dead, and answers with a higher incarnation.
   send(m.record.address, Type::ping, ask(m.record.name, m.record.address, settings_.period, false),
@@ -266,22 +300,27 @@
 
 std::uint64_t Membership::digest() const {
   std::uint64_t sum = digestOf(self_);
-  for (const std::uint64_t b : buckets_) sum += b;
+  for (const std::uint64_t b : buckets_)
+    sum += b;
   return sum;
 }
 
-std::size_t Membership::present() const { return present_ + 1; }
+std::size_t Membership::present() const {
+  return present_ + 1;
+}
 
 std::map<std::string, std::size_t> Membership::presentByZone() const {
   std::map<std::string, std::size_t> all{{self_.zone, 1}};
   for (const auto& [name, m] : others_)
-    if (membership::present(m.record.state)) ++all[m.record.zone];
+    if (membership::present(m.record.state))
+      ++all[m.record.zone];
   return all;
 }
 
 std::size_t Membership::holders() const {
   std::size_t all = 1;
-  for (const auto& [name, m] : others_) all += m.record.state != State::left;
+  for (const auto& [name, m] : others_)
+    all += m.record.state != State::left;
   const bool rival = rivalHeard_ > Time{} && now_ - rivalHeard_ < settings_.period * kRivalPeriods;
   return all + (rival ? 1 : 0);
 }
@@ -290,17 +329,20 @@
   std::vector<std::string> names;
   const std::uint64_t own = digest();
   for (const auto& [name, m] : others_)
-    if (membership::present(m.record.state) && m.heard > Time{} && m.digest != own) names.push_back(name);
+    if (membership::present(m.record.state) && m.heard > Time{} && m.digest != own)
+      names.push_back(name);
   return names;
 }
 
 void Membership::compareViews(const std::string& name, const Address& at, std::uint64_t theirs) {
-  if (theirs == digest() || now_ - pulledAt_ < settings_.period) return;
+  if (theirs == digest() || now_ - pulledAt_ < settings_.period)
+    return;
   pullFrom(name, at, {});
 }
 
 void Membership::pullFrom(const std::string& name, const Address& to, std::string cursor) {
-  if (questions_.size() >= kQuestionsMost) return;
+  if (questions_.size() >= kQuestionsMost)
+    return;
   pulledAt_ = now_;
   Message m = frame(Type::pull, ask(name, to, settings_.period, false));
   questions_.at(m.nonce).pull = true;
@@ -316,9 +358,11 @@
   bool more = false;
   for (auto it = others_.upper_bound(pull.cursor); it != others_.end(); ++it) {
     const std::size_t bucket = bucketOf(it->first);
-    if (own[bucket] == pull.buckets[bucket]) continue;
+    if (own[bucket] == pull.buckets[bucket])
+      continue;
     more = m.news.size() == kCandidates;
-    if (more) break;
+    if (more)
+      break;
     m.news.push_back(it->second.record);
   }
   // Where the rest begins is known once it is seen what fits, with the longest cursor.
@@ -336,7 +380,8 @@
 void Membership::onDatagram(Time now, const Address& from, std::string_view bytes) {
   ++counters_.received;
   counters_.bytesIn += bytes.size();
-  if (left_) return;
+  if (left_)
+    return;
   Bad why{};
   const std::optional<Message> m = decode(bytes, settings_.fleet, why);
   if (!m) {
@@ -359,7 +404,8 @@
       heard(*m, from, false);
       const auto it = others_.find(m->target);
       // Only those that we know are asked: nobody is to point us at an address.
-      if (it == others_.end() || questions_.size() >= kQuestionsMost) break;
+      if (it == others_.end() || questions_.size() >= kQuestionsMost)
+        break;
       const std::uint64_t nonce = ask(m->target, it->second.record.address, timeout(), false);
       questions_.at(nonce).asker = from;
       questions_.at(nonce).askerNonce = m->nonce;
@@ -369,8 +415,12 @@
     case Type::ack:
     case Type::ackFor:
     case Type::nack:
-    case Type::view: answered(*m, from); break;
-    case Type::leave: heard(*m, from, false); break;
+    case Type::view:
+      answered(*m, from);
+      break;
+    case Type::leave:
+      heard(*m, from, false);
+      break;
     case Type::pull:
       heard(*m, from, false);
       noteDifference(*m);
@@ -383,16 +433,19 @@
 // The asker's parts that differ from ours name what we disagree about.
 void Membership::noteDifference(const Message& pull) {
   const auto it = others_.find(pull.self.name);
-  if (it == others_.end()) return;
+  if (it == others_.end())
+    return;
   std::vector<std::string>& names = it->second.differs;
   names.clear();
   const auto own = buckets();
   const auto look = [&](const std::string& name) {
     const std::size_t bucket = bucketOf(name);
-    if (own[bucket] != pull.buckets[bucket] && names.size() < kDiffersMost) names.push_back(name);
+    if (own[bucket] != pull.buckets[bucket] && names.size() < kDiffersMost)
+      names.push_back(name);
   };
   look(self_.name);
-  for (const auto& [name, m] : others_) look(name);
+  for (const auto& [name, m] : others_)
+    look(name);
 }
 
 void Membership::answered(const Message& m, const Address& from) {
@@ -403,21 +456,28 @@
   const bool proven = known && (self || (it->second.probe && m.type != Type::ack));
   const Question q = known ? it->second : Question{};
   heard(m, from, proven);
-  if (!known) return;
+  if (!known)
+    return;
   if (m.type == Type::nack) {
-    if (q.probe) ++nacks_;
+    if (q.probe)
+      ++nacks_;
     return;
   }
   if (m.type == Type::view) {
-    if (!q.pull) return;
+    if (!q.pull)
+      return;
     questions_.erase(m.nonce);
-    if (!m.cursor.empty() && self) pullFrom(q.target, from, m.cursor);
+    if (!m.cursor.empty() && self)
+      pullFrom(q.target, from, m.cursor);
     return;
   }
-  if ((m.type == Type::ack && !self) || (m.type == Type::ackFor && !q.probe) || q.pull) return;
+  if ((m.type == Type::ack && !self) || (m.type == Type::ackFor && !q.probe) || q.pull)
+    return;
   questions_.erase(m.nonce);
-  if (q.askerNonce != 0) send(q.asker, Type::ackFor, q.askerNonce, q.target);
-  if (!q.probe) return;
+  if (q.askerNonce != 0)
+    send(q.asker, Type::ackFor, q.askerNonce, q.target);
+  if (!q.probe)
+    return;
   probe_ = 0;
   well();
 }
@@ -429,7 +489,8 @@
   if (who.name == self_.name) {
     takeOfSelf(who);
     // One that gave way to us still serves.
-    if (who.incarnation == 0 || who.epoch == rivalEpoch_) rivalHeard_ = now_;
+    if (who.incarnation == 0 || who.epoch == rivalEpoch_)
+      rivalHeard_ = now_;
   }
   auto it = others_.find(who.name);
   const bool later = it != others_.end() && membership::present(it->second.record.state) &&
@@ -439,9 +500,11 @@
     ++counters_.stale;
     // What it says against ourselves does no harm, however old: we know better, and the others hear it.
     for (const Record& claim : m.news)
-      if (claim.name == self_.name && claim.epoch == self_.epoch) takeOfSelf(claim);
+      if (claim.name == self_.name && claim.epoch == self_.epoch)
+        takeOfSelf(claim);
     const bool lives = m.type == Type::ping || m.type == Type::pull || m.type == Type::pingFor;
-    if (!lives || who.state == State::left || verifies_ >= kVerifiesMost || who.name == self_.name) return;
+    if (!lives || who.state == State::left || verifies_ >= kVerifiesMost || who.name == self_.name)
+      return;
     ++verifies_;
     send(from, Type::ping, ask(who.name, from, settings_.period, false), who.name);
     return;
@@ -458,7 +521,8 @@
   for (std::size_t i = 0; i < std::min(kNewsMost, m.news.size()); ++i) {
     Record claim = m.news[i];
     known = known || claim.name == self_.name;
-    if (doubt && claim.state == State::dead) claim.state = State::suspect;
+    if (doubt && claim.state == State::dead)
+      claim.state = State::suspect;
     take(claim);
   }
   // Nobody remembers our rival: the name is free.
@@ -466,23 +530,29 @@
     yielded_ = false;
     rivalTimes_ = 0;
   }
-  if (who.name == self_.name) return;
+  if (who.name == self_.name)
+    return;
   take(who, true);
   it = others_.find(who.name);
-  if (it == others_.end() || it->second.record.epoch != who.epoch) return;
+  if (it == others_.end() || it->second.record.epoch != who.epoch)
+    return;
   it->second.sequence = m.sequence;
   it->second.digest = m.digest;
   it->second.heard = now_;
-  if (m.digest == digest()) it->second.differs.clear();
-  if (membership::present(it->second.record.state) && !yielded_) compareViews(who.name, from, m.digest);
+  if (m.digest == digest())
+    it->second.differs.clear();
+  if (membership::present(it->second.record.state) && !yielded_)
+    compareViews(who.name, from, m.digest);
 }
 
 void Membership::take(const Record& claim, bool ofItself) {
-  if (claim.name == self_.name) return takeOfSelf(claim);
+  if (claim.name == self_.name)
+    return takeOfSelf(claim);
   auto it = others_.find(claim.name);
   if (it == others_.end()) {
     // Of one that we never knew, an end is no news.
-    if (claim.state == State::suspect || !membership::present(claim.state)) return;
+    if (claim.state == State::suspect || !membership::present(claim.state))
+      return;
     if (others_.size() >= settings_.mostMembers) {
       auto oldest = others_.end();
       for (auto at = others_.begin(); at != others_.end(); ++at)
@@ -519,7 +589,8 @@
     }
     return;
   }
-  if (claim.against(before) <= 0) return;
+  if (claim.against(before) <= 0)
+    return;
   Record next = claim;
   if (claim.state == State::suspect || !membership::present(claim.state)) {  // they speak of no place
     next = before;
@@ -531,12 +602,18 @@
   put(m, next);
   spread(claim.name);
   const bool was = membership::present(before.state), is = membership::present(next.state);
-  if (is && (!was || before.epoch != next.epoch)) raise(Event::Kind::joined, next);
-  else if (next.state == State::suspect) ++counters_.suspicions, raise(Event::Kind::suspected, next);
-  else if (is && before.state == State::suspect) raise(Event::Kind::cleared, next);
-  else if (is && !samePlace(before, next)) raise(Event::Kind::changed, next);
-  else if (next.state == State::dead && was) ++counters_.deaths, raise(Event::Kind::died, next);
-  else if (next.state == State::left && before.state != State::left) raise(Event::Kind::left, next);
+  if (is && (!was || before.epoch != next.epoch))
+    raise(Event::Kind::joined, next);
+  else if (next.state == State::suspect)
+    ++counters_.suspicions, raise(Event::Kind::suspected, next);
+  else if (is && before.state == State::suspect)
+    raise(Event::Kind::cleared, next);
+  else if (is && !samePlace(before, next))
+    raise(Event::Kind::changed, next);
+  else if (next.state == State::dead && was)
+    ++counters_.deaths, raise(Event::Kind::died, next);
+  else if (next.state == State::left && before.state != State::left)
+    raise(Event::Kind::left, next);
 }
 
 void Membership::put(Member& m, const Record& record) {
@@ -548,15 +625,18 @@
     buckets_[bucket] -= digestOf(before);
     --present_;
     const auto at = presentAt_.find(before.address);
-    if (--at->second == 0) presentAt_.erase(at);
+    if (--at->second == 0)
+      presentAt_.erase(at);
   }
   if (is) {
     buckets_[bucket] += digestOf(record);
     ++present_;
     ++presentAt_[record.address];
   }
-  if (before.state != record.state || before.epoch != record.epoch) m.since = now_;
-  if (before.epoch != record.epoch) m.sequence = 0, m.heard = Time{};
+  if (before.state != record.state || before.epoch != record.epoch)
+    m.since = now_;
+  if (before.epoch != record.epoch)
+    m.sequence = 0, m.heard = Time{};
   m.accusers.clear();
   if (record.state != State::suspect) {
     suspects_.erase(record.name);
@@ -569,26 +649,34 @@
 
 void Membership::takeOfSelf(const Record& claim) {
   if (claim.epoch == self_.epoch) {
-    if (claim.incarnation < self_.incarnation || claim.state <= self_.state) return;
-    if (claim.state == State::suspect || claim.state == State::dead) unwell();
+    if (claim.incarnation < self_.incarnation || claim.state <= self_.state)
+      return;
+    if (claim.state == State::suspect || claim.state == State::dead)
+      unwell();
     return refute(claim.incarnation);
   }
   if (yielded_) {
     // Our rival is gone: the name is ours again.
-    if (membership::present(claim.state)) return;
+    if (membership::present(claim.state))
+      return;
     yielded_ = false;
     rivalTimes_ = 0;
     return refute(claim.incarnation);
   }
-  if (std::tie(claim.incarnation, claim.epoch) < std::tie(self_.incarnation, self_.epoch)) return;
+  if (std::tie(claim.incarnation, claim.epoch) < std::tie(self_.incarnation, self_.epoch))
+    return;
   if (membership::present(claim.state)) {
-    if (claim.epoch != rivalEpoch_) rivalTimes_ = 0, rivalOver_ = 0;
+    if (claim.epoch != rivalEpoch_)
+      rivalTimes_ = 0, rivalOver_ = 0;
     rivalEpoch_ = claim.epoch;
-    if (claim.state != State::suspect) rivalAt_ = claim.address;
-    if (claim.incarnation >= rivalOver_) ++rivalTimes_;
+    if (claim.state != State::suspect)
+      rivalAt_ = claim.address;
+    if (claim.incarnation >= rivalOver_)
+      ++rivalTimes_;
     if (rivalTimes_ >= kRivalTimes) {
       rivalHeard_ = now_;
-      if (rivalTimes_ == kRivalTimes) raise(Event::Kind::rival, claim);
+      if (rivalTimes_ == kRivalTimes)
+        raise(Event::Kind::rival, claim);
       if (self_.epoch < rivalEpoch_) {  // both know both lives, so just one goes
         yielded_ = true;
         self_.state = State::joining;
@@ -611,7 +699,8 @@
 
 void Membership::accuse(const std::string& name, State state) {
   const auto it = others_.find(name);
-  if (it == others_.end()) return;
+  if (it == others_.end())
+    return;
   Record claim = it->second.record;
   claim.state = state;
   claim.by = self_.name;
@@ -625,15 +714,19 @@
 void Membership::expireSuspicions() {
   std::vector<std::string> over;
   for (const std::string& name : suspects_)
-    if (now_ >= suspectUntil(others_.at(name))) over.push_back(name);
-  for (const std::string& name : over) accuse(name, State::dead);
+    if (now_ >= suspectUntil(others_.at(name)))
+      over.push_back(name);
+  for (const std::string& name : over)
+    accuse(name, State::dead);
 }
 
 void Membership::forgetGone() {
-  if (others_.size() == present_) return;
+  if (others_.size() == present_)
+    return;
   std::erase_if(others_, [&](const auto& entry) {
     const Member& m = entry.second;
-    if (membership::present(m.record.state) || now_ - m.since <= settings_.keepGone) return false;
+    if (membership::present(m.record.state) || now_ - m.since <= settings_.keepGone)
+      return false;
     news_.erase(entry.first);
     return true;
   });
@@ -647,7 +740,8 @@
 }
 
 const Record* Membership::recordOf(const std::string& name) const {
-  if (name == self_.name) return &self_;
+  if (name == self_.name)
+    return &self_;
   const auto it = others_.find(name);
   return it == others_.end() ? nullptr : &it->second.record;
 }
@@ -656,7 +750,9 @@
   return kTellings * static_cast<unsigned>(std::ceil(std::log2(static_cast<double>(present_ + 2))));
 }
 
-void Membership::spread(const std::string& name) { news_[name] = {0, ++added_}; }
+void Membership::spread(const std::string& name) {
+  news_[name] = {0, ++added_};
+}
 
 Message Membership::frame(Type type, std::uint64_t nonce) const {
   Message m;
@@ -664,7 +760,8 @@
   m.nonce = nonce;
   m.digest = digest();
   m.self = self_;
-  if (yielded_) m.self.incarnation = 0;  // above nothing that is known of our name
+  if (yielded_)
+    m.self.incarnation = 0;  // above nothing that is known of our name
   return m;
 }
 
@@ -683,7 +780,8 @@
     const bool agrees = (m.type == Type::ping || m.type == Type::ack) && known != others_.end() &&
                         known->second.record.address == to && known->second.heard > Time{} &&
                         known->second.digest == digest() && !stranger;
-    if (about && (!agrees || about->state != State::alive)) m.news.push_back(*about);
+    if (about && (!agrees || about->state != State::alive))
+      m.news.push_back(*about);
     std::vector<std::pair<std::tuple<unsigned, std::uint64_t>, const std::string*>> told;
     for (auto it = news_.begin(); it != news_.end();) {
       auto& [name, n] = *it;
@@ -693,11 +791,13 @@
         continue;
       }
       ++it;
-      if (!knows && name != self_.name && name != first) told.push_back({{n.told, ~n.added}, &name});
+      if (!knows && name != self_.name && name != first)
+        told.push_back({{n.told, ~n.added}, &name});
     }
     const std::size_t most = std::min(kCandidates, told.size());
     std::partial_sort(told.begin(), told.begin() + static_cast<std::ptrdiff_t>(most), told.end());
-    for (std::size_t i = 0; i < most; ++i) m.news.push_back(*recordOf(*told[i].second));
+    for (std::size_t i = 0; i < most; ++i)
+      m.news.push_back(*recordOf(*told[i].second));
   }
   std::size_t took = 0;
   std::string bytes = encode(m, settings_.fleet, took);
@@ -711,11 +811,13 @@
 }
 
 void Membership::onSettings(Time now, MembershipSettings settings, const Record& self) {
-  if (left_) return;
+  if (left_)
+    return;
   advance(now);
   settings.fleet = settings_.fleet;
   settings_ = std::move(settings);
-  if (samePlace(self, self_)) return;
+  if (samePlace(self, self_))
+    return;
   const auto keep = std::tuple(self_.name, self_.epoch, self_.incarnation, self_.state, self_.startedMs);
   self_ = self;
   std::tie(self_.name, self_.epoch, self_.incarnation, self_.state, self_.startedMs) = keep;
@@ -724,14 +826,17 @@
 }
 
 void Membership::leave(Time now) {
-  if (left_) return;
+  if (left_)
+    return;
   now_ = std::max(now_, now);
   left_ = true;
-  if (yielded_) return;  // the name is another's
+  if (yielded_)
+    return;  // the name is another's
   self_.state = State::left;
   std::vector<Address> there;
   for (const auto& [name, m] : others_)
-    if (membership::present(m.record.state)) there.push_back(m.record.address);
+    if (membership::present(m.record.state))
+      there.push_back(m.record.address);
   for (std::size_t i = 0; i < std::min(kFarewells, there.size()); ++i) {
     std::swap(there[i], there[i + drawBelow(there.size() - i)]);
     send(there[i], Type::leave, 0);
@@ -743,17 +848,21 @@
   const auto add = [&text](auto... values) { ((text += std::to_string(values) + ","), ...); };
   add(self_.incarnation, static_cast<int>(self_.state), left_, yielded_, health_, (periodAt_ - now).count(),
       probe_ != 0, nacksWanted_, nacks_, rivalTimes_, rivalOver_);
-  if (probe_ != 0 && nacksWanted_ == 0) add((lateAt_ - now).count());
+  if (probe_ != 0 && nacksWanted_ == 0)
+    add((lateAt_ - now).count());
   for (const auto& [name, m] : others_) {
     text += name + ":";
     add(m.record.epoch, m.record.incarnation, static_cast<int>(m.record.state));
     if (m.record.state == State::suspect) {
       add((m.suspectSince - now).count());
-      for (const std::string& by : m.accusers) text += by + ",";
+      for (const std::string& by : m.accusers)
+        text += by + ",";
     }
   }
-  for (const auto& [name, n] : news_) text += name + "=" + std::to_string(n.told) + ",";
-  for (const std::string& name : round_) text += name + "|";
+  for (const auto& [name, n] : news_)
+    text += name + "=" + std::to_string(n.told) + ",";
+  for (const std::string& name : round_)
+    text += name + "|";
   for (const auto& [nonce, q] : questions_) {
     text += q.target + "?";
     add(q.probe, q.pull, q.askerNonce != 0, (q.until - now).count());
--- a/src/membership/message.hpp
+++ b/src/membership/message.hpp
@@ -44,7 +44,9 @@
   /// Of two claims on one name the greater holds, whatever their order of arrival.
   std::strong_ordering against(const Record& other) const;
 };
-inline bool present(State s) { return s <= State::suspect; }
+inline bool present(State s) {
+  return s <= State::suspect;
+}
 
 enum class Type : std::uint8_t { ping, ack, pingFor, ackFor, nack, leave, pull, view };
 
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -14,8 +14,10 @@
   std::size_t done = 0;
   while (done < text.size()) {
     const ssize_t n = write(STDOUT_FILENO, text.data() + done, text.size() - done);
-    if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) return false;
+    if (n < 0 && errno == EINTR)
+      continue;
+    if (n <= 0)
+      return false;
     done += static_cast<std::size_t>(n);
   }
   return true;
@@ -29,13 +31,17 @@
   std::string pending, reply;
   for (;;) {
     const ssize_t n = read(STDIN_FILENO, block.data(), block.size());
-    if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) break;
+    if (n < 0 && errno == EINTR)
+      continue;
+    if (n <= 0)
+      break;
     pending.append(block.data(), static_cast<std::size_t>(n));
     std::size_t from = 0;
     for (std::size_t end; (end = pending.find('\n', from)) != std::string::npos; from = end + 1) {
-      if (!adapter.feed(std::string_view(pending).substr(from, end - from), reply)) continue;
-      if (!writeAll(reply)) return 1;
+      if (!adapter.feed(std::string_view(pending).substr(from, end - from), reply))
+        continue;
+      if (!writeAll(reply))
+        return 1;
       reply.clear();
     }
     pending.erase(0, from);
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -29,9 +29,11 @@
 bool nextPair(std::string_view& rest, Pair& pair) {
   while (!rest.empty()) {
     const std::string_view part = nextPart(rest);
-    if (part.empty()) continue;
+    if (part.empty())
+      continue;
     const std::size_t eq = part.find('=');
-    if (eq == std::string_view::npos) throw BadLine("no '=' in '" + std::string(part) + "'");
+    if (eq == std::string_view::npos)
+      throw BadLine("no '=' in '" + std::string(part) + "'");
     pair = {part.substr(0, eq), part.substr(eq + 1)};
     return true;
   }
@@ -47,25 +49,38 @@
   return n;
 }
 
-Duration span(const Pair& p) { return Duration(number<std::int64_t>(p)); }
+Duration span(const Pair& p) {
+  return Duration(number<std::int64_t>(p));
+}
 
 bool boolean(const Pair& p) {
-  if (p.value == "1" || p.value == "true") return true;
-  if (p.value == "0" || p.value == "false") return false;
+  if (p.value == "1" || p.value == "true")
+    return true;
+  if (p.value == "0" || p.value == "false")
+    return false;
   throw BadLine("'" + std::string(p.value) + "' is no bool (" + std::string(p.name) + ")");
 }
 
 Outcome outcomeOf(int code) {
   switch (code) {
-    case 10: return Outcome::served;
-    case 20: return Outcome::error;
-    case 30: return Outcome::full;
-    case 40: return Outcome::timeout;
-    case 50: return Outcome::connectFailed;
-    case 60: return Outcome::reset;
-    case 70: return Outcome::cancelled;
-    case 80: return Outcome::moot;
-    default: throw BadLine("unknown disposition " + std::to_string(code));
+    case 10:
+      return Outcome::served;
+    case 20:
+      return Outcome::error;
+    case 30:
+      return Outcome::full;
+    case 40:
+      return Outcome::timeout;
+    case 50:
+      return Outcome::connectFailed;
+    case 60:
+      return Outcome::reset;
+    case 70:
+      return Outcome::cancelled;
+    case 80:
+      return Outcome::moot;
+    default:
+      throw BadLine("unknown disposition " + std::to_string(code));
   }
 }
 
@@ -78,13 +93,16 @@
 // Calls f(index, field) for a path such as "<head>.<index>.<field>".
 template <class F>
 void indexed(std::string_view path, std::string_view head, F f) {
-  if (path.substr(0, head.size()) != head || path.size() <= head.size() || path[head.size()] != '.') return;
+  if (path.substr(0, head.size()) != head || path.size() <= head.size() || path[head.size()] != '.')
+    return;
   path.remove_prefix(head.size() + 1);
   const std::size_t dot = path.find('.');
-  if (dot == std::string_view::npos) return;
+  if (dot == std::string_view::npos)
+    return;
   std::size_t index = 0;
   const auto [end, error] = std::from_chars(path.data(), path.data() + dot, index);
-  if (error != std::errc{} || end != path.data() + dot || index > 1000) return;
+  if (error != std::errc{} || end != path.data() + dot || index > 1000)
+    return;
   f(index, path.substr(dot + 1));
 }
 
@@ -92,14 +110,16 @@
   std::vector<std::string> out;
   for (std::size_t end; !list.empty(); list.remove_prefix(std::min(end + 1, list.size()))) {
     end = std::min(list.find(','), list.size());
-    if (end > 0) out.emplace_back(list.substr(0, end));
+    if (end > 0)
+      out.emplace_back(list.substr(0, end));
   }
   return out;
 }
 
 template <class T>
 T& at(std::vector<T>& v, std::size_t index) {
-  if (v.size() <= index) v.resize(index + 1);
+  if (v.size() <= index)
+    v.resize(index + 1);
   return v[index];
 }
 
@@ -111,41 +131,73 @@
   try {
     while (nextPair(rest, p)) {
       const std::string_view n = p.name;
-      if (n == "rngSeed") s.seed = static_cast<std::uint64_t>(number<std::int64_t>(p));
-      else if (n == "groupSize") s.groupSize = number<std::uint32_t>(p);
-      else if (n == "ceilings.parallelTries") s.parallelTries = boolean(p);
-      else if (n == "weights") s.liveWeights = p.value == "live";
-      else if (n == "myNumber") s.number = number<std::uint32_t>(p);
-      else if (n == "zone") s.zone = p.value;
-      else if (n == "overShareWorth") s.overShareWorth = number<double>(p);
-      else if (n == "registryMode") s.askDiscovery = p.value == "ask";
-      else if (n == "stepNs") s.step = span(p);
-      else if (n == "domain.warmKeys") s.warmKeys = boolean(p);
-      else if (n == "ceilings.retryAfter") s.retryAfter = boolean(p);
-      else if (n == "ceilings.cancel") s.cancel = boolean(p);
-      else if (n == "ceilings.maxAttempts") s.maxAttempts = number<std::uint32_t>(p);
-      else if (n == "ceilings.streamsPerConn") s.streamsPerConnection = number<std::uint32_t>(p);
-      else if (n == "ceilings.idleCloseNs") s.idleClose = span(p);
-      else if (n == "ceilings.maxRetryAfterNs") s.maxRetryAfter = span(p);
-      else if (n == "rules.askWithinNs") s.askWithin = span(p);
-      else if (n == "rules.coldNs") s.coldTime = span(p);
-      else if (n == "rules.coldShare") s.coldShare = number<double>(p);
-      else if (n == "rules.fallMultiple") s.fallMultiple = number<double>(p);
-      else if (n == "rules.fallNs") s.fallWindow = span(p);
-      else if (n == "rules.keyRestNs") s.keyRest = span(p);
+      if (n == "rngSeed")
+        s.seed = static_cast<std::uint64_t>(number<std::int64_t>(p));
+      else if (n == "groupSize")
+        s.groupSize = number<std::uint32_t>(p);
+      else if (n == "ceilings.parallelTries")
+        s.parallelTries = boolean(p);
+      else if (n == "weights")
+        s.liveWeights = p.value == "live";
+      else if (n == "myNumber")
+        s.number = number<std::uint32_t>(p);
+      else if (n == "zone")
+        s.zone = p.value;
+      else if (n == "overShareWorth")
+        s.overShareWorth = number<double>(p);
+      else if (n == "registryMode")
+        s.askDiscovery = p.value == "ask";
+      else if (n == "stepNs")
+        s.step = span(p);
+      else if (n == "domain.warmKeys")
+        s.warmKeys = boolean(p);
+      else if (n == "ceilings.retryAfter")
+        s.retryAfter = boolean(p);
+      else if (n == "ceilings.cancel")
+        s.cancel = boolean(p);
+      else if (n == "ceilings.maxAttempts")
+        s.maxAttempts = number<std::uint32_t>(p);
+      else if (n == "ceilings.streamsPerConn")
+        s.streamsPerConnection = number<std::uint32_t>(p);
+      else if (n == "ceilings.idleCloseNs")
+        s.idleClose = span(p);
+      else if (n == "ceilings.maxRetryAfterNs")
+        s.maxRetryAfter = span(p);
+      else if (n == "rules.askWithinNs")
+        s.askWithin = span(p);
+      else if (n == "rules.coldNs")
+        s.coldTime = span(p);
+      else if (n == "rules.coldShare")
+        s.coldShare = number<double>(p);
+      else if (n == "rules.fallMultiple")
+        s.fallMultiple = number<double>(p);
+      else if (n == "rules.fallNs")
+        s.fallWindow = span(p);
+      else if (n == "rules.keyRestNs")
+        s.keyRest = span(p);
       else {
         indexed(n, "grades", [&](std::size_t i, std::string_view field) {
           ClassSettings& c = at(s.classes, i);
-          if (field == "name") c.name = p.value;
-          else if (field == "aimNs") c.aim = span(p);
-          else if (field == "giveUpNs") c.giveUp = span(p);
-          else if (field == "windowNs") c.window = span(p);
-          else if (field == "points") c.worth = number<double>(p);
-          else if (field == "lateShare") c.lateShare = number<double>(p);
-          else if (field == "aimStretch") c.aimStretch = number<double>(p);
-          else if (field == "inTurn") c.inTurn = boolean(p);
-          else if (field == "staysIn") c.zones = names(p.value);
-          else if (field == "boundTo") c.kinds = names(p.value);
+          if (field == "name")
+            c.name = p.value;
+          else if (field == "aimNs")
+            c.aim = span(p);
+          else if (field == "giveUpNs")
+            c.giveUp = span(p);
+          else if (field == "windowNs")
+            c.window = span(p);
+          else if (field == "points")
+            c.worth = number<double>(p);
+          else if (field == "lateShare")
+            c.lateShare = number<double>(p);
+          else if (field == "aimStretch")
+            c.aimStretch = number<double>(p);
+          else if (field == "inTurn")
+            c.inTurn = boolean(p);
+          else if (field == "staysIn")
+            c.zones = names(p.value);
+          else if (field == "boundTo")
+            c.kinds = names(p.value);
           else if (field == "effect")
             c.effect = p.value == "retryable" ? Effect::retryable
                        : p.value == "dedup"   ? Effect::dedup
@@ -155,15 +207,18 @@
         });
         indexed(n, "tenants", [&](std::size_t i, std::string_view field) {
           TenantSettings& t = at(s.tenants, i);
-          if (field == "name") t.name = p.value;
-          else if (field == "quotaRps") t.quotaPerSecond = number<double>(p);
+          if (field == "name")
+            t.name = p.value;
+          else if (field == "quotaRps")
+            t.quotaPerSecond = number<double>(p);
         });
       }
     }
   } catch (const BadLine& bad) {
     throw std::invalid_argument(bad.what());
   }
-  for (ClassSettings& c : s.classes) c.giveUp = std::max(c.giveUp, c.aim);
+  for (ClassSettings& c : s.classes)
+    c.giveUp = std::max(c.giveUp, c.aim);
   return s;
 }
 
@@ -213,13 +268,15 @@
   }
   Ref* find(std::string_view id, std::uint32_t& slot) {
     const auto it = slotOf.find(id);
-    if (it == slotOf.end()) return nullptr;
+    if (it == slotOf.end())
+      return nullptr;
     slot = it->second;
     return &refs[slot];
   }
   void dropIfOver(std::uint32_t slot) {
     Ref& r = refs[slot];
-    if (!r.ended || r.out > 0) return;
+    if (!r.ended || r.out > 0)
+      return;
     slotOf.erase(r.id);
     r.id.clear();
     freeRefs.push_back(slot);
@@ -235,8 +292,10 @@
 
 bool Adapter::feed(std::string_view line, std::string& reply) {
   ++lineNumber_;
-  if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
-  if (line.empty()) return false;
+  if (!line.empty() && line.back() == '\r')
+    line.remove_suffix(1);
+  if (line.empty())
+    return false;
   std::string_view rest = line;
   const std::string_view name = nextPart(rest);
   try {
@@ -245,7 +304,8 @@
       complain(line, "rows missing from the list before this line");
     }
     if (name == "FRAME") {
-      if (insideBatch_) complain(line, "a batch begins inside another");
+      if (insideBatch_)
+        complain(line, "a batch begins inside another");
       insideBatch_ = true;
       Pair p;
       bool timed = false;
@@ -254,11 +314,13 @@
           clock_ = std::max(clock_, number<std::int64_t>(p));
           timed = true;
         }
-      if (!timed) throw BadLine("no tNs");
+      if (!timed)
+        throw BadLine("no tNs");
       return false;
     }
     if (name == "EOF_BATCH") {
-      if (!insideBatch_) complain(line, "a batch ends that never began");
+      if (!insideBatch_)
+        complain(line, "a batch ends that never began");
       insideBatch_ = false;
       for (Gateway* g : touched_) {
         reply += g->reply;
@@ -269,7 +331,8 @@
       reply += "OK\n";
       return true;
     }
-    if (!insideBatch_) throw BadLine("outside a batch");
+    if (!insideBatch_)
+      throw BadLine("outside a batch");
     event(name, rest);
   } catch (const BadLine& bad) {
     complain(line, bad.what());
@@ -280,9 +343,11 @@
 Adapter::Gateway& Adapter::gatewayOf(std::string_view rest) {
   while (!rest.empty()) {
     const std::string_view part = nextPart(rest);
-    if (part.substr(0, 2) != "i=") continue;
+    if (part.substr(0, 2) != "i=")
+      continue;
     const auto it = gateways_.find(part.substr(2));
-    if (it == gateways_.end()) throw BadLine("unknown instance");
+    if (it == gateways_.end())
+      throw BadLine("unknown instance");
     Gateway& g = *it->second;
     if (!g.touched) {
       g.touched = true;
@@ -294,12 +359,18 @@
 }
 
 void Adapter::event(std::string_view name, std::string_view rest) {
-  if (name == "REQ") return request(gatewayOf(rest), rest);
-  if (name == "SETTLED") return settled(gatewayOf(rest), rest);
-  if (name == "ROW") return row(rest);
-  if (name == "LEDGER") return ledger(rest);
-  if (name == "ENLIST") return enlist(rest);
-  if (name == "MEMBERSHIP") return membership(gatewayOf(rest), rest);
+  if (name == "REQ")
+    return request(gatewayOf(rest), rest);
+  if (name == "SETTLED")
+    return settled(gatewayOf(rest), rest);
+  if (name == "ROW")
+    return row(rest);
+  if (name == "LEDGER")
+    return ledger(rest);
+  if (name == "ENLIST")
+    return enlist(rest);
+  if (name == "MEMBERSHIP")
+    return membership(gatewayOf(rest), rest);
   Pair p;
   if (name == "RETIRE") {
     Gateway& g = gatewayOf(rest);  // whatever it still wanted dies with it, unsent actions too
@@ -317,11 +388,15 @@
     std::string_view id;
     std::uint32_t attempt = 0, slot = 0;
     while (nextPair(rest, p))
-      if (p.name == "ref") id = p.value;
-      else if (p.name == "go") attempt = number<std::uint32_t>(p);
-    if (id.empty()) throw BadLine("no ref");
+      if (p.name == "ref")
+        id = p.value;
+      else if (p.name == "go")
+        attempt = number<std::uint32_t>(p);
+    if (id.empty())
+      throw BadLine("no ref");
     Gateway::Ref* ref = g.find(id, slot);
-    if (!ref) return;  // it may have been dropped already
+    if (!ref)
+      return;  // it may have been dropped already
     if (name == "LEFT") {
       g.balancer.onClientGone(Time(clock_), g.idOf(slot));
       ref->ended = true;
@@ -329,7 +404,8 @@
       g.balancer.onAnswerStarted(Time(clock_), g.idOf(slot), attempt);
     }
     print(g);
-    if (name == "LEFT" && g.find(id, slot)) g.dropIfOver(slot);
+    if (name == "LEFT" && g.find(id, slot))
+      g.dropIfOver(slot);
     return;
   }
   if (name == "PROBED" || name == "FROM_PEER") {
@@ -347,7 +423,8 @@
       name = p.value;
       break;
     }
-  if (name.empty()) throw BadLine("no instance");
+  if (name.empty())
+    throw BadLine("no instance");
   const auto old = gateways_.find(name);
   if (old != gateways_.end()) {
     touched_.erase(std::remove(touched_.begin(), touched_.end(), old->second.get()), touched_.end());
@@ -365,9 +442,12 @@
   Pair p;
   std::size_t index = lists_.size(), rows = 0;
   while (nextPair(rest, p))
-    if (p.name == "buffer") index = number<std::size_t>(p);
-    else if (p.name == "rowsIn") rows = number<std::size_t>(p);
-  if (index >= lists_.size()) throw BadLine("list number missing or out of range");
+    if (p.name == "buffer")
+      index = number<std::size_t>(p);
+    else if (p.name == "rowsIn")
+      rows = number<std::size_t>(p);
+  if (index >= lists_.size())
+    throw BadLine("list number missing or out of range");
   rowsInto_ = &lists_[index];
   rowsInto_->known = true;
   rowsInto_->entries.clear();
@@ -375,25 +455,37 @@
 }
 
 void Adapter::row(std::string_view rest) {
-  if (rowsDue_ == 0) throw BadLine("a row outside a list");
+  if (rowsDue_ == 0)
+    throw BadLine("a row outside a list");
   --rowsDue_;
   HostEntry e;
   Pair p;
   while (nextPair(rest, p)) {
-    if (p.name == "host") e.address = p.value;
-    else if (p.name == "locality") e.zone = p.value;
-    else if (p.name == "machine") e.kind = p.value;
-    else if (p.name == "block") e.cell = number<std::int64_t>(p);
-    else if (p.name == "capacityHint") e.weight = number<double>(p);
-    else if (p.name == "upSinceNs") e.upSince = span(p);
+    if (p.name == "host")
+      e.address = p.value;
+    else if (p.name == "locality")
+      e.zone = p.value;
+    else if (p.name == "machine")
+      e.kind = p.value;
+    else if (p.name == "block")
+      e.cell = number<std::int64_t>(p);
+    else if (p.name == "capacityHint")
+      e.weight = number<double>(p);
+    else if (p.name == "upSinceNs")
+      e.upSince = span(p);
     else if (p.name == "phase") {
-      if (p.value == "IN") e.phase = Phase::in;
-      else if (p.value == "LAME") e.phase = Phase::draining;
-      else if (p.value == "OUT") e.phase = Phase::out;
-      else throw BadLine("unknown phase");
+      if (p.value == "IN")
+        e.phase = Phase::in;
+      else if (p.value == "LAME")
+        e.phase = Phase::draining;
+      else if (p.value == "OUT")
+        e.phase = Phase::out;
+      else
+        throw BadLine("unknown phase");
     }
   }
-  if (e.address.empty()) throw BadLine("no host");
+  if (e.address.empty())
+    throw BadLine("no host");
   rowsInto_->entries.push_back(std::move(e));
 }
 
@@ -402,19 +494,26 @@
   std::size_t index = lists_.size();
   std::string_view kind;
   while (nextPair(rest, p))
-    if (p.name == "kind") kind = p.value;
-    else if (p.name == "buffer" && p.value != "-") index = number<std::size_t>(p);
+    if (p.name == "kind")
+      kind = p.value;
+    else if (p.name == "buffer" && p.value != "-")
+      index = number<std::size_t>(p);
   static const std::vector<HostEntry> none;
   if (kind == "unavailable") {
     g.balancer.onHosts(Time(clock_), ListKind::unavailable, none);
     return print(g);
   }
   ListKind what;
-  if (kind == "update") what = ListKind::update;
-  else if (kind == "replace") what = ListKind::replace;
-  else if (kind == "restored") what = ListKind::restored;
-  else throw BadLine("unknown kind of news");
-  if (index >= lists_.size() || !lists_[index].known) throw BadLine("unknown list");
+  if (kind == "update")
+    what = ListKind::update;
+  else if (kind == "replace")
+    what = ListKind::replace;
+  else if (kind == "restored")
+    what = ListKind::restored;
+  else
+    throw BadLine("unknown kind of news");
+  if (index >= lists_.size() || !lists_[index].known)
+    throw BadLine("unknown list");
   g.balancer.onHosts(Time(clock_), what, lists_[index].entries);
   print(g);
 }
@@ -431,9 +530,11 @@
       break;
     }
   }
-  if (id.empty()) throw BadLine("no ref");
+  if (id.empty())
+    throw BadLine("no ref");
   std::uint32_t slot = 0;
-  if (g.find(id, slot)) throw BadLine("an id that is still open");
+  if (g.find(id, slot))
+    throw BadLine("an id that is still open");
   try {
     bool timed = false, classed = false;
     while (nextPair(rest, p)) {
@@ -451,14 +552,17 @@
         q.tenantIndex = it == g.tenantOf.end() ? kNone : it->second;
       } else if (p.name == "routeKey") {
         const auto [end, error] = std::from_chars(p.value.data(), p.value.data() + p.value.size(), q.key, 16);
-        if (error != std::errc{} || end != p.value.data() + p.value.size()) throw BadLine("bad routeKey");
+        if (error != std::errc{} || end != p.value.data() + p.value.size())
+          throw BadLine("bad routeKey");
         q.hasKey = true;
       } else if (p.name == "repeat") {
         boolean(p);  // checked only: the time left tells more
       }
     }
-    if (!timed) throw BadLine("no leftNs");
-    if (!classed) throw BadLine("no tierClass");
+    if (!timed)
+      throw BadLine("no leftNs");
+    if (!classed)
+      throw BadLine("no tierClass");
   } catch (const BadLine&) {
     g.reply += "RESPOND_ERROR i=" + g.name + " ref=" + std::string(id) + "\n";
     throw;
@@ -474,26 +578,34 @@
   Pair p;
   bool numbered = false, coded = false;
   while (nextPair(rest, p)) {
-    if (p.name == "ref") id = p.value;
+    if (p.name == "ref")
+      id = p.value;
     else if (p.name == "go") {
       a.attempt = number<std::uint32_t>(p);
       numbered = true;
     } else if (p.name == "disposition") {
       a.outcome = outcomeOf(number<int>(p));
       coded = true;
-    } else if (p.name == "timeTakenNs") a.taken = span(p);
-    else if (p.name == "terminal") a.terminal = boolean(p);
+    } else if (p.name == "timeTakenNs")
+      a.taken = span(p);
+    else if (p.name == "terminal")
+      a.terminal = boolean(p);
   }
-  if (id.empty() || !numbered || !coded) throw BadLine("ref, go or disposition missing");
+  if (id.empty() || !numbered || !coded)
+    throw BadLine("ref, go or disposition missing");
   std::uint32_t slot = 0;
   Gateway::Ref* ref = g.find(id, slot);
-  if (!ref) return;
+  if (!ref)
+    return;
   a.request = g.idOf(slot);
-  if (ref->out > 0) --ref->out;
-  if (a.terminal) ref->ended = true;
+  if (ref->out > 0)
+    --ref->out;
+  if (a.terminal)
+    ref->ended = true;
   g.balancer.onResult(Time(clock_), a);
   print(g);
-  if (g.find(id, slot)) g.dropIfOver(slot);
+  if (g.find(id, slot))
+    g.dropIfOver(slot);
 }
 
 void Adapter::print(Gateway& g) {
@@ -529,8 +641,12 @@
         append(out, a.span.count());
         out.append(" ref=w");
         break;
-      case ActionKind::subscribe: out.append("SUBSCRIBE i=").append(g.name).append(" active=1"); break;
-      case ActionKind::log: out.append("DEBUG i=").append(g.name).append(" words=").append(a.text); break;
+      case ActionKind::subscribe:
+        out.append("SUBSCRIBE i=").append(g.name).append(" active=1");
+        break;
+      case ActionKind::log:
+        out.append("DEBUG i=").append(g.name).append(" words=").append(a.text);
+        break;
     }
     out += '\n';
   }
@@ -538,7 +654,8 @@
   for (const Action& a : g.balancer.actions())
     if (a.kind == ActionKind::refuse || a.kind == ActionKind::fail) {
       const auto slot = static_cast<std::uint32_t>(a.request);
-      if (!g.refs[slot].id.empty()) g.dropIfOver(slot);
+      if (!g.refs[slot].id.empty())
+        g.dropIfOver(slot);
     }
   g.balancer.actions().clear();
 }
--- a/tests/bank.hpp
+++ b/tests/bank.hpp
@@ -37,22 +37,27 @@
     const double chance = perSecond * 0.02;
     for (int i = 0; i < static_cast<int>(forSeconds / 0.02); ++i)
       for (auto& d : drivers) {
-        if (std::uniform_real_distribution<>()(engine) < chance) d->request(0);
+        if (std::uniform_real_distribution<>()(engine) < chance)
+          d->request(0);
         d->advance(milliseconds(20), milliseconds(20));
-        while (!d->out.empty() && d->now - d->out.front().at >= answer) d->serve(Sent(d->out.front()));
+        while (!d->out.empty() && d->now - d->out.front().at >= answer)
+          d->serve(Sent(d->out.front()));
       }
   }
   void forget() {
-    for (auto& d : drivers) d->forget();
+    for (auto& d : drivers)
+      d->forget();
   }
   std::size_t sentTo(int host) const {
     std::size_t n = 0;
-    for (const auto& d : drivers) n += d->sentTo(d->host(host));
+    for (const auto& d : drivers)
+      n += d->sentTo(d->host(host));
     return n;
   }
   std::size_t gatewaysAt(int host) const {
     std::size_t n = 0;
-    for (const auto& d : drivers) n += d->sentTo(d->host(host)) > 0;
+    for (const auto& d : drivers)
+      n += d->sentTo(d->host(host)) > 0;
     return n;
   }
   Time now() const { return drivers.front()->now; }
--- a/tests/bank_test.cpp
+++ b/tests/bank_test.cpp
@@ -16,7 +16,8 @@
     bank.forget();
     bank.run(2, 6);
     double warm = 0;  // in the two seconds of the rule
-    for (int h = 0; h < 30; ++h) warm += static_cast<double>(bank.sentTo(h)) / 30;
+    for (int h = 0; h < 30; ++h)
+      warm += static_cast<double>(bank.sentTo(h)) / 30;
     bank.tell(ListKind::update, 30, 31, bank.now());
     std::size_t sum = 0;
     for (int window = 0; window < 3; ++window) {
@@ -41,7 +42,8 @@
   bank.forget();
   bank.run(3, 6);
   double warm = 0, cold = 0;
-  for (int h = 0; h < 50; ++h) (h < 20 ? warm : cold) += static_cast<double>(bank.sentTo(h));
+  for (int h = 0; h < 50; ++h)
+    (h < 20 ? warm : cold) += static_cast<double>(bank.sentTo(h));
   EXPECT_LT(cold / 30, 0.4 * warm / 20) << "so much they can do at the least in the mean";
   EXPECT_GT(cold / 30, 0.05 * warm / 20);
 }
@@ -54,7 +56,8 @@
   bank.tell(ListKind::update, 30, 31, bank.now());
   bank.run(2, 6);
   double warm = 0;
-  for (int h = 0; h < 30; ++h) warm += static_cast<double>(bank.sentTo(h)) / 30;
+  for (int h = 0; h < 30; ++h)
+    warm += static_cast<double>(bank.sentTo(h)) / 30;
   EXPECT_LT(static_cast<double>(bank.sentTo(30)), 3 * 0.2 * warm);
 }
 
@@ -81,9 +84,11 @@
   std::size_t fresh = 0, all = 0, closed = 0;
   for (int h = 0; h < 100; ++h) {
     all += bank.sentTo(h);
-    if (h >= 50) fresh += bank.sentTo(h);
+    if (h >= 50)
+      fresh += bank.sentTo(h);
   }
-  for (const auto& d : bank.drivers) closed += d->count(ActionKind::close);
+  for (const auto& d : bank.drivers)
+    closed += d->count(ActionKind::close);
   EXPECT_GT(fresh, all / 3);
   EXPECT_GT(closed, 320u) << "each gateway leaves some of its six for new ones";
 }
@@ -130,11 +135,15 @@
     for (std::size_t k = 0; k < d.out.size();) {
       const Sent o = d.out[k];
       const bool jammed = o.request % 8 == 0;
-      if (!jammed) d.settle(o, Outcome::served, true, milliseconds(40));
-      else if (d.now - o.at >= milliseconds(800)) d.settle(o, Outcome::timeout, false);
-      else ++k;
+      if (!jammed)
+        d.settle(o, Outcome::served, true, milliseconds(40));
+      else if (d.now - o.at >= milliseconds(800))
+        d.settle(o, Outcome::timeout, false);
+      else
+        ++k;
     }
-    if (i == 200) before = d.count(ActionKind::refuse);
+    if (i == 200)
+      before = d.count(ActionKind::refuse);
   }
   EXPECT_LT(d.count(ActionKind::refuse) - before, 60u) << "of 600";
 }
@@ -151,10 +160,13 @@
     for (std::size_t k = 0; k < d.out.size();) {
       const Sent o = d.out[k];
       const auto takes = milliseconds(i < 400 ? 40 : 300);
-      if (d.now - o.at >= takes) d.settle(o, Outcome::served, true, takes);
-      else ++k;
+      if (d.now - o.at >= takes)
+        d.settle(o, Outcome::served, true, takes);
+      else
+        ++k;
     }
-    if (i == 600) before = d.count(ActionKind::refuse);
+    if (i == 600)
+      before = d.count(ActionKind::refuse);
   }
   EXPECT_GT(d.count(ActionKind::refuse) - before, 390u) << "of 600";
 }
@@ -182,11 +194,15 @@
     slow.advance(milliseconds(150));
     for (std::size_t k = 0; k < slow.out.size();) {
       const Sent o = slow.out[k];
-      if (i < 300) slow.settle(o, Outcome::served, true, milliseconds(40));
-      else if (slow.now - o.at >= milliseconds(380)) slow.settle(o, Outcome::timeout, false);
-      else ++k;
+      if (i < 300)
+        slow.settle(o, Outcome::served, true, milliseconds(40));
+      else if (slow.now - o.at >= milliseconds(380))
+        slow.settle(o, Outcome::timeout, false);
+      else
+        ++k;
     }
-    if (i == 300) before = slow.count(ActionKind::refuse);
+    if (i == 300)
+      before = slow.count(ActionKind::refuse);
   }
   EXPECT_LT(before, 6u);
   EXPECT_GT(slow.count(ActionKind::refuse) - before, 100u) << "of 300, after nothing comes in time any more";
@@ -198,14 +214,17 @@
     Settings s = makeSettings();
     s.parallelTries = parallel;
     Driver d(s, 6);
-    for (std::uint32_t cls : {0u, 1u}) d.warmUp(cls, 60);
+    for (std::uint32_t cls : {0u, 1u})
+      d.warmUp(cls, 60);
     for (std::uint32_t cls : {0u, 1u}) {
       d.forget();
       d.request(cls);
       d.advance(milliseconds(300));
       EXPECT_EQ(d.sent.size(), parallel && cls == 0 ? 2u : 1u);
-      if (d.sent.size() == 2) EXPECT_NE(d.sent[0].host, d.sent[1].host);
-      while (!d.out.empty()) d.settle(Sent(d.out.back()), Outcome::served, d.out.size() == 1);
+      if (d.sent.size() == 2)
+        EXPECT_NE(d.sent[0].host, d.sent[1].host);
+      while (!d.out.empty())
+        d.settle(Sent(d.out.back()), Outcome::served, d.out.size() == 1);
     }
   }
 }
@@ -225,7 +244,8 @@
       }
       d.request(0);
       d.advance(milliseconds(40));
-      while (!d.out.empty()) d.serve(Sent(d.out.front()));
+      while (!d.out.empty())
+        d.serve(Sent(d.out.front()));
     }
     return d.sentTo(d.host(2));
   };
@@ -245,7 +265,8 @@
   d.forget();
   for (int i = 0; i < 20; ++i) {
     d.request(0);
-    while (!d.out.empty()) d.settle(Sent(d.out.front()), Outcome::full, false);
+    while (!d.out.empty())
+      d.settle(Sent(d.out.front()), Outcome::full, false);
     d.advance(milliseconds(20));
   }
   EXPECT_LE(d.sent.size(), 20u + 13u);
@@ -274,7 +295,8 @@
   d.forget();
   for (int i = 0; i < 60; ++i) {
     d.request(0);
-    while (!d.out.empty()) d.settle(Sent(d.out.front()), Outcome::cancelled, true);  // teaches nothing
+    while (!d.out.empty())
+      d.settle(Sent(d.out.front()), Outcome::cancelled, true);  // teaches nothing
   }
   EXPECT_GT(d.sentTo(d.host(8)) + d.sentTo(d.host(10)), 2 * (d.sentTo(d.host(9)) + d.sentTo(d.host(11))));
 }
@@ -297,7 +319,8 @@
       while (!d.out.empty()) {
         const Sent o = d.out.front();
         bool drowned = false;
-        for (int h = 1; h < 12; h += 2) drowned |= o.host == d.host(h);
+        for (int h = 1; h < 12; h += 2)
+          drowned |= o.host == d.host(h);
         d.settle(o, drowned ? loss : Outcome::served, !drowned, milliseconds(drowned ? 400 : 40));
       }
       d.advance(milliseconds(50), milliseconds(50));
@@ -306,10 +329,12 @@
     d.forget();
     for (int i = 0; i < 120; ++i) {
       d.request(0);
-      while (!d.out.empty()) d.settle(Sent(d.out.front()), Outcome::cancelled, true);  // teaches nothing
+      while (!d.out.empty())
+        d.settle(Sent(d.out.front()), Outcome::cancelled, true);  // teaches nothing
     }
     std::size_t good = 0, drowned = 0;
-    for (int h = 12; h < 20; ++h) (h % 2 ? drowned : good) += d.sentTo(d.host(h));
+    for (int h = 12; h < 20; ++h)
+      (h % 2 ? drowned : good) += d.sentTo(d.host(h));
     EXPECT_GT(good, 3 * drowned) << "after outcome " << static_cast<int>(loss);
   }
 }
@@ -339,10 +364,12 @@
   d.forget();
   for (int i = 0; i < 400; ++i) {
     d.request(0);
-    while (!d.out.empty()) d.settle(Sent(d.out.front()), Outcome::cancelled, true);  // teaches nothing
+    while (!d.out.empty())
+      d.settle(Sent(d.out.front()), Outcome::cancelled, true);  // teaches nothing
   }
   std::size_t good = 0, partly = 0;
-  for (int h = 20; h < 40; ++h) (h % 2 ? partly : good) += d.sentTo(d.host(h));
+  for (int h = 20; h < 40; ++h)
+    (h % 2 ? partly : good) += d.sentTo(d.host(h));
   EXPECT_GT(3 * partly, 2 * good);
 }
 
@@ -358,11 +385,14 @@
     d.advance(milliseconds(20), milliseconds(20));
     for (std::size_t k = 0; k < d.out.size();) {
       const Sent o = d.out[k];
-      if (d.now - o.at >= milliseconds(o.request / 2 % 4 == 0 ? 900 : 40)) d.serve(o);
-      else ++k;
+      if (d.now - o.at >= milliseconds(o.request / 2 % 4 == 0 ? 900 : 40))
+        d.serve(o);
+      else
+        ++k;
     }
   }
-  while (!d.out.empty()) d.serve(Sent(d.out.front()));
+  while (!d.out.empty())
+    d.serve(Sent(d.out.front()));
   d.warmUp(0, 10, milliseconds(40));  // earns the resend that a copy takes
   d.forget();
   d.request(0);
@@ -390,7 +420,8 @@
       d.request(0, milliseconds(1000), static_cast<std::uint64_t>(1 + i % 300));
       const Sent o = d.out.front();
       bool small = false;
-      for (int h = 1; h < kHosts; h += 2) small |= o.host == d.host(h);
+      for (int h = 1; h < kHosts; h += 2)
+        small |= o.host == d.host(h);
       d.settle(o, Outcome::served, true, milliseconds(small ? 90 : 30));
       d.advance(milliseconds(50), milliseconds(50));
     }
@@ -398,7 +429,8 @@
   run(200);  // ten seconds: ten answers a host at the most
   run(600);
   std::size_t small = 0, all = d.sent.size();
-  for (int h = 1; h < kHosts; h += 2) small += d.sentTo(d.host(h));
+  for (int h = 1; h < kHosts; h += 2)
+    small += d.sentTo(d.host(h));
   EXPECT_EQ(all, 600u);
   EXPECT_LT(small * 4, all);
   EXPECT_GT(small, 0u);
@@ -415,7 +447,8 @@
     for (int i = 0; i < 600; ++i) {
       const bool mine = i % every == 0;
       d.request(0, milliseconds(1000), mine ? key : static_cast<std::uint64_t>(10000 + i));
-      if (mine && i > 100) met.insert(d.out.front().host);
+      if (mine && i > 100)
+        met.insert(d.out.front().host);
       d.settle(d.out.front(), Outcome::served, true, milliseconds(40));
       d.advance(milliseconds(50), milliseconds(50));
     }
@@ -437,8 +470,10 @@
     d.advance(milliseconds(10));
     for (std::size_t k = 0; k < d.out.size();) {
       const Sent o = d.out[k];
-      if (o.host == d.host(1)) d.settle(o, Outcome::connectFailed, false);
-      else d.serve(o);
+      if (o.host == d.host(1))
+        d.settle(o, Outcome::connectFailed, false);
+      else
+        d.serve(o);
     }
   }
   EXPECT_EQ(d.sentTo(d.host(1)), 1u);
--- a/tests/bodies_test.cpp
+++ b/tests/bodies_test.cpp
@@ -8,12 +8,14 @@
  protected:
   static std::string large(std::size_t bytes = 3 << 20) {  // no two pieces alike
     std::string body;
-    while (body.size() < bytes) body += std::to_string(body.size()) + ",";
+    while (body.size() < bytes)
+      body += std::to_string(body.size()) + ",";
     return body;
   }
   static std::string chunked(const std::string& body) {
     std::string text;
-    for (std::size_t at = 0; at < body.size(); at += 50'000) text += chunkOf(body.substr(at, 50'000));
+    for (std::size_t at = 0; at < body.size(); at += 50'000)
+      text += chunkOf(body.substr(at, 50'000));
     return text;
   }
   std::string chunkedWrite(const std::string& chunks) {
@@ -25,7 +27,8 @@
 TEST_F(BodiesTest, ALargeAnswerComesThroughWhole) {
   const std::string body = large();
   addHost("a", [&](PeerConnection& c, std::size_t n) {
-    if (n == 0) c.reply(answerText(200, "", body));
+    if (n == 0)
+      c.reply(answerText(200, "", body));
     else
       c.reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(body) +
               "0\r\nX-T: 1\r\n\r\n");
@@ -80,7 +83,8 @@
   addHost("a", always(answerText(200, "", "ok")));
   hosts[0]->stopListening();
   start();
-  for (int i = 0; i < 8; ++i) EXPECT_EQ(ask(text("write", "", large(200'000))).result_int(), 200u);
+  for (int i = 0; i < 8; ++i)
+    EXPECT_EQ(ask(text("write", "", large(200'000))).result_int(), 200u);
 }
 
 TEST_F(BodiesTest, AnAnswerThatBreaksOffDoesNotLookWhole) {
--- a/tests/bounds_test.cpp
+++ b/tests/bounds_test.cpp
@@ -16,7 +16,8 @@
 
 bool wasSent(const Driver& d, RequestId id) {
   for (const Sent& s : d.sent)
-    if (s.request == id) return true;
+    if (s.request == id)
+      return true;
   return false;
 }
 
@@ -121,7 +122,8 @@
 TEST(Order, AQueueTooLongForTheAimIsRefusedAtOnce) {
   Driver d(inTurnSettings());
   d.warmUp(0, 20, milliseconds(100));
-  for (int i = 0; i < 3; ++i) EXPECT_FALSE(d.refused(d.request(0, seconds(1), 5)));
+  for (int i = 0; i < 3; ++i)
+    EXPECT_FALSE(d.refused(d.request(0, seconds(1), 5)));
   EXPECT_TRUE(d.refused(d.request(0, seconds(1), 5)));
 }
 
@@ -132,7 +134,8 @@
   const Sent first = d.out.front();
   for (int i = 0; i < 2; ++i) {
     HostEntry e = makeHost(i, "east", i % 2);
-    if (d.balancer.findHost(e.address) == first.host) continue;
+    if (d.balancer.findHost(e.address) == first.host)
+      continue;
     e.phase = Phase::draining;
     d.balancer.onHosts(d.now, ListKind::update, {e});
   }
@@ -175,16 +178,19 @@
 TEST(Placement, KindsBindToo) {
   Driver d(boundSettings());
   addPlaces(d);
-  for (int i = 0; i < 20; ++i) d.request(1);
+  for (int i = 0; i < 20; ++i)
+    d.request(1);
   ASSERT_FALSE(d.sent.empty());
-  for (const Sent& s : d.sent) EXPECT_EQ(s.host, d.host(22));
+  for (const Sent& s : d.sent)
+    EXPECT_EQ(s.host, d.host(22));
 }
 
 TEST(Placement, WithAllItsHostsGoneARequestEndsAndOthersGoOn) {
   Driver d(boundSettings());
   addPlaces(d);
   std::vector<HostEntry> gone = {makeHost(20, "west"), makeHost(21, "north")};
-  for (HostEntry& e : gone) e.phase = Phase::out;
+  for (HostEntry& e : gone)
+    e.phase = Phase::out;
   d.balancer.onHosts(d.now, ListKind::update, gone);
   const RequestId bound = d.request(0), free = d.request(2);
   EXPECT_TRUE(d.refused(bound));
--- a/tests/candidates_test.cpp
+++ b/tests/candidates_test.cpp
@@ -24,7 +24,8 @@
 
 std::vector<HostEntry> hostsOf(int count) {
   std::vector<HostEntry> list;
-  for (int i = 0; i < count; ++i) list.push_back(makeHost(i, kZones[i / 4 % 3], i / 4));
+  for (int i = 0; i < count; ++i)
+    list.push_back(makeHost(i, kZones[i / 4 % 3], i / 4));
   return list;
 }
 
@@ -45,7 +46,8 @@
 std::string served(Driver& d, std::uint32_t cls = kRead, std::uint64_t key = 0) {
   const std::size_t before = d.sent.size();
   d.request(cls, milliseconds(1000), key);
-  if (d.sent.size() == before) return "none";
+  if (d.sent.size() == before)
+    return "none";
   const Sent sent = d.lastSent();
   d.advance(milliseconds(5));
   d.serve(sent);
@@ -54,20 +56,23 @@
 
 std::set<std::string> servedBy(Driver& d, int requests, std::uint32_t cls = kRead) {
   std::set<std::string> all;
-  for (int i = 0; i < requests; ++i) all.insert(served(d, cls));
+  for (int i = 0; i < requests; ++i)
+    all.insert(served(d, cls));
   return all;
 }
 
 std::map<std::uint64_t, std::string> placesOf(Driver& d, std::uint64_t keys) {
   std::map<std::uint64_t, std::string> places;
-  for (std::uint64_t key = 1; key <= keys; ++key) places[key] = served(d, kRead, key * 7919);
+  for (std::uint64_t key = 1; key <= keys; ++key)
+    places[key] = served(d, kRead, key * 7919);
   return places;
 }
 
 std::size_t moved(const std::map<std::uint64_t, std::string>& before,
                   const std::map<std::uint64_t, std::string>& after) {
   std::size_t count = 0;
-  for (const auto& [key, place] : before) count += after.at(key) != place;
+  for (const auto& [key, place] : before)
+    count += after.at(key) != place;
   return count;
 }
 
@@ -80,7 +85,8 @@
     s.warmKeys = true;
     const auto d = driverOf(s, hostsOf(300));
     const auto places = placesOf(*d, 200);
-    if (first.empty()) first = places;
+    if (first.empty())
+      first = places;
     EXPECT_EQ(places, first) << "gateway " << number;
   }
 }
@@ -111,10 +117,12 @@
   constexpr int hosts = 500, each = 100;
   const auto d = driverOf(s, hostsOf(hosts));
   std::map<std::string, int> count;
-  for (const auto& [key, place] : placesOf(*d, hosts * each)) ++count[place];
+  for (const auto& [key, place] : placesOf(*d, hosts * each))
+    ++count[place];
   EXPECT_EQ(count.size(), static_cast<std::size_t>(hosts));
   double squares = 0;
-  for (const auto& [place, n] : count) squares += std::pow(n - each, 2);
+  for (const auto& [place, n] : count)
+    squares += std::pow(n - each, 2);
   const double deviation = std::sqrt(squares / hosts) / each;
   EXPECT_LT(deviation, 0.16) << "0.10 come of the keys' own chance";
 }
@@ -129,7 +137,8 @@
   }
   d->forget();
   std::set<std::string> places;
-  for (int i = 0; i < 200; ++i) places.insert(served(*d, kRead, 5));
+  for (int i = 0; i < 200; ++i)
+    places.insert(served(*d, kRead, 5));
   EXPECT_GT(places.size(), 16u);
 }
 
@@ -142,19 +151,23 @@
     s.warmKeys = keyed;
     std::vector<HostEntry> hosts = hostsOf(60);
     const auto d = driverOf(s, hosts);
-    for (std::size_t i = 0; i < hosts.size(); i += 2) hosts[i].phase = i % 4 ? Phase::draining : Phase::out;
+    for (std::size_t i = 0; i < hosts.size(); i += 2)
+      hosts[i].phase = i % 4 ? Phase::draining : Phase::out;
     tell(*d, ListKind::update, hosts);
     std::set<std::string> allowed;
     for (const HostEntry& e : hosts)
-      if (e.phase == Phase::in) allowed.insert(e.address);
+      if (e.phase == Phase::in)
+        allowed.insert(e.address);
     for (std::uint64_t i = 1; i <= 300; ++i)
       EXPECT_EQ(allowed.count(served(*d, kRead, keyed ? i : 0)), 1u) << "request " << i;
-    for (HostEntry& e : hosts) e.phase = Phase::in;
+    for (HostEntry& e : hosts)
+      e.phase = Phase::in;
     tell(*d, ListKind::update, hosts);
     std::set<std::string> back;
     for (std::uint64_t i = 1; i <= 600; ++i) {
       const std::string place = served(*d, kRead, keyed ? i : 0);
-      if (!allowed.count(place)) back.insert(place);
+      if (!allowed.count(place))
+        back.insert(place);
     }
     EXPECT_GE(back.size(), 5u);
   }
@@ -167,7 +180,8 @@
     std::map<std::string, std::size_t> kept;
     for (std::uint32_t number = 0; number < gateways; ++number) {
       const auto d = driverOf(settingsOf(8, gateways, number), hosts);
-      for (const std::string& host : servedBy(*d, gateways < 10 ? 400 : 150)) ++kept[host];
+      for (const std::string& host : servedBy(*d, gateways < 10 ? 400 : 150))
+        ++kept[host];
     }
     for (const HostEntry& e : hosts)
       EXPECT_GE(kept[e.address], kGatewaysLeast) << e.address << " of " << count;
@@ -182,9 +196,11 @@
     servedBy(*d, 20);
     d->balancer.onSettings(d->now, settingsOf(8, 40, number));
     d->collect();
-    for (const std::string& host : servedBy(*d, 300)) ++kept[host];
+    for (const std::string& host : servedBy(*d, 300))
+      ++kept[host];
   }
-  for (const HostEntry& e : hosts) EXPECT_GE(kept[e.address], kGatewaysLeast) << e.address;
+  for (const HostEntry& e : hosts)
+    EXPECT_GE(kept[e.address], kGatewaysLeast) << e.address;
 }
 
 TEST(Candidates, AGatewayThatRestartsChoosesAmongTheSameServers) {
@@ -204,12 +220,14 @@
   const auto d = driverOf(settingsOf(8, 100, 5), hosts);
   const std::set<std::string> own = servedBy(*d, 600);
   std::vector<HostEntry> zoned = hosts;  // the same addresses, all of this gateway's own in one zone
-  for (HostEntry& e : zoned) e.zone = own.count(e.address) ? "lost" : "kept";
+  for (HostEntry& e : zoned)
+    e.zone = own.count(e.address) ? "lost" : "kept";
   tell(*d, ListKind::update, zoned);
   // The zone is lost, and discovery does not tell yet: nothing can be opened there.
   std::size_t atLost = 0, answered = 0;
   for (int i = 0; i < 300; ++i) {
-    if (i == 200) atLost = answered = 0;  // by then it is known
+    if (i == 200)
+      atLost = answered = 0;  // by then it is known
     const RequestId id = d->request(kRead);
     while (!d->out.empty()) {
       const Sent sent = d->out.front();
@@ -226,7 +244,8 @@
   // Discovery tells: not one more, and none refused.
   std::vector<HostEntry> gone;
   for (HostEntry e : zoned)
-    if (e.zone == "lost") e.phase = Phase::out, gone.push_back(e);
+    if (e.zone == "lost")
+      e.phase = Phase::out, gone.push_back(e);
   tell(*d, ListKind::update, gone);
   for (int i = 0; i < 100; ++i) {
     const std::string place = served(*d);
@@ -285,7 +304,8 @@
   constexpr std::uint32_t put = 2;  // the class that is repeated within a cell
   const auto d = driverOf(settingsOf(4, 50, 3), hostsOf(400));
   for (int i = 0; i < 100; ++i) {
-    for (int k = 0; k < 4; ++k) served(*d);  // each earns a part of a resend
+    for (int k = 0; k < 4; ++k)
+      served(*d);  // each earns a part of a resend
     d->request(put);
     const Sent first = d->lastSent();
     d->advance(milliseconds(5));
@@ -339,7 +359,8 @@
     bank.forget();
     bank.run(2, 20);
     double warm = 0;
-    for (int h = 0; h < hosts; ++h) warm += static_cast<double>(bank.sentTo(h)) / hosts;
+    for (int h = 0; h < hosts; ++h)
+      warm += static_cast<double>(bank.sentTo(h)) / hosts;
     bank.tell(ListKind::update, hosts, hosts + 1, bank.now());
     for (int window = 0; window < 3; ++window) {
       bank.forget();
@@ -367,7 +388,8 @@
     s.candidates = round % 2 ? 0 : 8;
     d->balancer.onSettings(d->now, s);
     d->collect();
-    for (std::uint64_t i = 1; i <= 50; ++i) EXPECT_NE(served(*d, kRead, i % 2 ? i : 0), "none");
+    for (std::uint64_t i = 1; i <= 50; ++i)
+      EXPECT_NE(served(*d, kRead, i % 2 ? i : 0), "none");
     d->serve(sent);
     EXPECT_FALSE(d->refused(open));
   }
