--- a/src/balancer/choice.cpp
+++ b/src/balancer/choice.cpp
@@ -151,7 +151,7 @@
   double asked = 0, askedRate = kSteadyRate, sweeps = 0;  // requests: since the sweep; a second
   double fullSeen = 0, outcomeSeen = kErrorPrior;         // decayed counts
   double calmHeld = 0;                                    // in-flight a host while nothing is refused
-  double meanAim = 0, meanWork = 0;                       // seconds over the recent arrivals: aim, usual time
+  double meanObjective = 0, meanWork = 0;                 // seconds over the recent arrivals: aim, usual time
   double medianPace = 1, medianCrowd = 1, peerFails = 0, norm = 0;
   double meanNorm = 0, leastNorm = 0;  // in the mean over two seconds, and the least of that lately
   double retryTokens = kRetrySaved;
@@ -162,7 +162,7 @@
 
   Impl(Settings s, Time t) : set(std::move(s)), engine(set.seed), now(t), started(t), nextSweep(t + kSweep) {
     for (const ClassSettings& c : set.classes)
-      meanAim += toSeconds(c.aim) / static_cast<double>(set.classes.size());
+      meanObjective += toSeconds(c.latencyObjective) / static_cast<double>(set.classes.size());
     renewClasses();
   }
 
@@ -175,8 +175,8 @@
     // What nobody described: never repeated, lowest worth.
     ClassSettings& unknown = wanted.emplace_back(wanted.front());
     unknown.name.clear();
-    unknown.effect = Effect::fragile;
-    unknown.worth = 0;
+    unknown.idempotency = Idempotency::none;
+    unknown.priorityWeight = 0;
     std::unordered_map<std::string, std::shared_ptr<ClassState>> known;
     for (const auto& c : classes) known.emplace(c->set.name, c);
     classes.clear();
@@ -203,12 +203,16 @@
   double drawUnit() { return static_cast<double>(engine() >> 11) * 0x1.0p-53; }
   std::size_t drawBelow(double n) { return static_cast<std::size_t>(drawUnit() * n); }
 
-  void emit(ActionKind kind, RequestId id = 0, std::uint32_t attempt = 0, HostId host = kNone,
-            Duration span = {}, Duration begin = Duration::max(), GiveUpReason reason = GiveUpReason::none) {
-    out.push_back({kind, id, attempt, host, span, {}, begin, reason});
+  void emit(ActionKind kind, RequestId id = 0, std::uint32_t attempt = 0, HostId host = kNone) {
+    Action& action = out.emplace_back();
+    action.kind = kind;
+    action.request = id;
+    action.attempt = attempt;
+    action.host = host;
   }
   void log(std::string text) {
-    out.push_back({ActionKind::log, 0, 0, kNone, {}, std::move(text), {}, GiveUpReason::none});
+    emit(ActionKind::log);
+    out.back().text = std::move(text);
     logged = now;
   }
   bool mayLog() const { return now - logged >= kLogEvery || logged == Time{}; }
@@ -218,7 +222,7 @@
   void judge(HostId id, const Open& r, const AttemptResult& a) {
     Host& h = hosts[id];
     ClassState& c = *r.cls;
-    const double taken = std::max(toSeconds(a.taken), 1e-6);  // zero would make every ratio meaningless
+    const double taken = std::max(toSeconds(a.elapsed), 1e-6);  // zero would make every ratio meaningless
     bool failed = false;
     switch (a.outcome) {
       case Outcome::served: {
@@ -233,10 +237,11 @@
         // Danger: counted one by one, heavy answers make a gateway cut down to a heavy class think the pool
         // slow and starve, while others take its share. By its usual time an answer weighs as its work.
         const double weight = meanWork > 0 ? std::clamp(c.norm * r.cost / meanWork, 0.1, 10.0) : 1;
-        inTime += weight * (now <= r.aimAt ? 1 : c.set.lateShare);
+        inTime += weight * (now <= r.objectiveAt ? 1 : c.set.lateValueFraction);
         break;
       }
-      case Outcome::full:  // Danger: a host that stays full, or drains untold, holds little and looks idle.
+      case Outcome::rejected:  // Danger: a host that stays full, or drains untold, holds little and looks
+                               // idle.
         h.heard = now;
         h.errors += 1;
         learnPace(h, std::max(kFullPace * h.pace, h.kind->pace));
@@ -261,21 +266,21 @@
         h.lines -= h.lines > 0 ? 1 : 0;
         break;
       case Outcome::cancelled:
-      case Outcome::moot:
-      case Outcome::notSent: return;
+      case Outcome::abandoned:
+      case Outcome::localFailure: return;
     }
     h.outcomes += 1;
     outcomeSeen += 1;
     if (failed) h.errors += 1;
-    if (a.outcome != Outcome::full) h.fails += kFailGain * ((failed ? 1.0 : 0.0) - h.fails);
+    if (a.outcome != Outcome::rejected) h.fails += kFailGain * ((failed ? 1.0 : 0.0) - h.fails);
     if (a.outcome != Outcome::connectFailed) {
-      const double lost = failed || a.outcome == Outcome::full ? 1 : 0;
+      const double lost = failed || a.outcome == Outcome::rejected ? 1 : 0;
       const auto before = c.hostFails.find(id);
       if (before != c.hostFails.end()) before->second += kClassGain * (lost - before->second);
       else if (lost > 0) c.hostFails.emplace(id, kClassGain);
       c.fails += kClassPeers * (lost - c.fails);
     }
-    if (h.health == Health::trial && a.outcome != Outcome::full) {
+    if (h.health == Health::trial && a.outcome != Outcome::rejected) {
       if (failed) eject(h, "trial failed");
       else {
         h.health = Health::good;
@@ -374,10 +379,11 @@
   // Worth of what the request can still earn, by request or by unit of work as the worth is counted.
   double worthOf(const Open& r, std::uint32_t tenant) {
     const ClassSettings& c = r.cls->set;
-    double worth = now >= r.aimAt ? c.worth * c.lateShare : c.worth;
+    double priorityWeight = now >= r.objectiveAt ? c.priorityWeight * c.lateValueFraction : c.priorityWeight;
     const double quota = tenant < set.tenants.size() ? set.tenants[tenant].quotaPerSecond : 0;
-    if (quota > 0 && !quotas.take(tenant, quota / set.groupSize, now)) worth *= set.overShareWorth;
-    return worth;
+    if (quota > 0 && !quotas.take(tenant, quota / set.replicaCount, now))
+      priorityWeight *= set.overQuotaWeight;
+    return priorityWeight;
   }
 
   // Gain per sweep: over half a second, and at least over some twenty requests, for a trickle teaches noise.
@@ -385,17 +391,18 @@
   double evidence() const { return std::clamp(askedRate / kSteadyRate, 0.05, 1.0); }
 
   double inflightMax() {
-    const double cold = (1 - set.coldShare) * coldStarts.lacking(toSeconds(now), toSeconds(set.coldTime));
+    const double cold = (1 - set.slowStartInitialFraction) *
+                        coldStarts.lacking(toSeconds(now), toSeconds(set.slowStartDuration));
     const double warm = hostCount() - cold;  // hosts, a cold one by its part
     const double ease = 1 - std::min(kFullEase * fullSeen / outcomeSeen, kFullEaseMost);
     // Before anything was measured (own start in an overload) and after a lull, per-host guesses stand in.
-    const double first = kFirstPerHost / set.groupSize, floor = kFloorPerHost / set.groupSize;
+    const double first = kFirstPerHost / set.replicaCount, floor = kFloorPerHost / set.replicaCount;
     const double least = now - started < 10 * kSweep ? first : std::max(floor, calmHeld);
     return ease * std::max(fastRate * maxTime(), least * std::max(warm, 1.0));
   }
 
   double maxTime() const {  // seconds in flight, in the mean, that the maximum allows
-    const double time = meanAim * kMaxOfAim;
+    const double time = meanObjective * kMaxOfAim;
     return leastNorm > 0 ? std::min(time, std::max(kMaxNorms * leastNorm, toSeconds(kMaxTimeLeast))) : time;
   }
 
@@ -463,12 +470,13 @@
   // --- Cold start -------------------------------------------------------------------------------------
 
   bool isCold(const Host& h) const {
-    return h.entry.upSince > Time{} && now - h.entry.upSince < set.coldTime;
+    return h.entry.upSince > Time{} && now - h.entry.upSince < set.slowStartDuration;
   }
   double warmth(const Host& h) const {
     if (!isCold(h)) return 1;
     const Duration age = std::max(now - h.entry.upSince, Duration{});  // never less than none
-    return set.coldShare + (1 - set.coldShare) * toSeconds(age) / toSeconds(set.coldTime);
+    return set.slowStartInitialFraction +
+           (1 - set.slowStartInitialFraction) * toSeconds(age) / toSeconds(set.slowStartDuration);
   }
 
   // Of one not heard of; the draw goes by the square of it, and a cold host's rate by about the root above.
@@ -479,11 +487,11 @@
   // of a request; a floor of one, times hundreds of gateways, would be a flood.
   bool coldMayTake(Host& h) {
     if (!isCold(h)) return true;
-    const double window = std::max(toSeconds(set.fallWindow), 0.1);
+    const double window = std::max(toSeconds(set.overloadWindow), 0.1);
     // No warm one of its kind seen, e.g. after our own restart: an even share of what we get.
     const double even = askedRate / static_cast<double>(std::max<std::size_t>(width, 1));
     const double proven = h.kind->proven > 0 ? h.kind->proven : even;
-    const double rate = proven * warmth(h) * kColdPart * set.fallMultiple;
+    const double rate = proven * warmth(h) * kColdPart * set.overloadMultiple;
     h.coldTokens =
         std::min(h.coldTokens + rate * toSeconds(now - h.coldAt), std::max(1.0, rate * window / 4));
     h.coldAt = now;
@@ -526,7 +534,7 @@
   }
 
   bool free(const Host& h) const {  // an open connection has room
-    const bool closed = set.idleClose > Duration{} && h.inflight == 0 && now - h.used >= set.idleClose;
+    const bool closed = set.idleTimeout > Duration{} && h.inflight == 0 && now - h.used >= set.idleTimeout;
     return !closed && h.inflight < h.lines * set.streamsPerConnection;
   }
   std::size_t idleStep(const Host& h) const {
@@ -536,20 +544,20 @@
     return now >= h.dialAfter || (free(h) && !idleLosses.stale(idleStep(h)));
   }
 
-  bool avoided(const Host& h) const {  // while others are ready
+  bool unavailable(const Host& h) const {  // while others are ready
     return now < h.restUntil || !mayDial(h) || h.silent || h.health == Health::ejected ||
            (h.health == Health::trial && h.inflight > 0);
   }
 
   bool allowed(const Open& r, const Host& h) const {  // the rules on placement and repeats
     const ClassSettings& c = r.cls->set;
-    if (!names(c.zones, h.entry.zone) || !names(c.kinds, h.entry.kind)) return false;
+    if (!names(c.zones, h.entry.zone) || !names(c.machineTypes, h.entry.machineType)) return false;
     for (const Try& t : r.made()) {
-      if (!t.mayHaveRun || c.effect == Effect::retryable) continue;
-      if (c.effect == Effect::fragile) return false;
-      const HostEntry& first = hosts[t.host].entry;
-      if (c.group != Group::all && first.zone != h.entry.zone) return false;
-      if (c.group == Group::cell && first.cell != h.entry.cell) return false;
+      if (!t.mayHaveExecuted || c.idempotency == Idempotency::idempotent) continue;
+      if (c.idempotency == Idempotency::none) return false;
+      const Endpoint& first = hosts[t.host].entry;
+      if (c.deduplicationScope != DeduplicationScope::all && first.zone != h.entry.zone) return false;
+      if (c.deduplicationScope == DeduplicationScope::cell && first.cell != h.entry.cell) return false;
     }
     return now <= repeatBy(r);
   }
@@ -557,15 +565,15 @@
   Time repeatBy(const Open& r) const {  // a keyed request that may have run begins no later than this
     Time by = Time::max();
     for (const Try& t : r.made())
-      if (t.mayHaveRun) by = std::min(by, t.at + r.cls->set.window - 2 * set.step);
-    return r.cls->set.effect == Effect::dedup ? by : Time::max();
+      if (t.mayHaveExecuted) by = std::min(by, t.at + r.cls->set.deduplicationWindow - 2 * set.step);
+    return r.cls->set.idempotency == Idempotency::keyed ? by : Time::max();
   }
 
   // All hosts; or, with candidates set, few of them: for a key those from its place on the ring on, which is
   // the same at all gateways, else some of this gateway's own. Where these are not ready the walk goes on.
   Walk walkOf(const Open& r) {
     if (candidates == 0 || candidates >= listed.size()) return {order, order.size(), 0, width};
-    if (!set.warmKeys || !r.hasKey)
+    if (!set.keyAffinity || !r.hasKey)
       return {order, part, drawBelow(part), std::min<std::size_t>(candidates, part)};
     // A favourite key has as many places as the hosts that share it want.
     const std::uint64_t place = mix(r.key + drawBelow(spreadOf(r.key) / candidates + 1));
@@ -582,7 +590,7 @@
       const HostId id = walk.at(i);
       Host& h = hosts[id];
       if (std::exchange(h.lookedAt, walks) == walks) continue;  // at another of its points
-      if (!relaxed && (avoided(h) || std::ranges::count(r.made(), id, &Try::host) > 0)) continue;
+      if (!relaxed && (unavailable(h) || std::ranges::count(r.made(), id, &Try::host) > 0)) continue;
       if (!allowed(r, h) || !coldMayTake(h)) continue;
       ready.push_back(id);
       found |= idle(h);
@@ -600,7 +608,7 @@
     gather(r, false);
     if (ready.empty()) gather(r, true);  // no healthy host: any that the rules allow beats none
     if (ready.empty()) return kNone;
-    if (set.warmKeys && r.hasKey) {
+    if (set.keyAffinity && r.hasKey) {
       // Warm keys: the first hosts in the key's weighted rendezvous order, nearly the same at all gateways.
       // Danger: unweighted, every host gets the same part of the keys. Gateways that share a large pool hold
       // too little anywhere to see that a small host is busy, and drown it together.
@@ -650,7 +658,7 @@
 
   void release(Open& r) {
     if (!r.ended || r.out > 0) return;
-    if (inTurn(r)) {
+    if (orderedPerKey(r)) {
       std::erase(turns[r.key].queue, r.slot);
       turnsDue.push_back(r.key);
     }
@@ -659,20 +667,25 @@
   }
 
   // A refusal claims that a retry is harmless, so it needs proof; else an error.
-  void finish(Open& r, GiveUpReason why) {
+  void finish(Open& r, RejectReason why) {
     const ClassSettings& c = r.cls->set;
-    const bool harmless = std::ranges::none_of(r.made(), &Try::mayHaveRun) || c.effect == Effect::retryable ||
-                          (c.effect == Effect::dedup && c.group == Group::all && r.out == 0);
+    const bool harmless = std::ranges::none_of(r.made(), &Try::mayHaveExecuted) ||
+                          c.idempotency == Idempotency::idempotent ||
+                          (c.idempotency == Idempotency::keyed &&
+                           c.deduplicationScope == DeduplicationScope::all && r.out == 0);
     if (harmless) return refuse(r, why);
-    emit(ActionKind::fail, r.id, 0, kNone, {}, Duration::max(), why);
+    emit(ActionKind::fail, r.id);
+    out.back().reason = why;
     end(r);
   }
 
   // Retry-after lengthens as the score falls; jittered, or they would all come due together.
-  void refuse(Open& r, GiveUpReason why) {
+  void refuse(Open& r, RejectReason why) {
     Duration after{};
     if (set.retryAfter) after = scaled(set.maxRetryAfter, (1 - r.score / 100) * (0.5 + 0.5 * drawUnit()));
-    emit(ActionKind::refuse, r.id, 0, kNone, after, Duration::max(), why);
+    emit(ActionKind::reject, r.id);
+    out.back().retryAfter = after;
+    out.back().reason = why;
     end(r);
   }
 
@@ -693,7 +706,7 @@
 
   // --- Turns ------------------------------------------------------------------------------------------
 
-  bool inTurn(const Open& r) const { return r.hasKey && r.cls->set.inTurn; }
+  bool orderedPerKey(const Open& r) const { return r.hasKey && r.cls->set.orderedPerKey; }
   Duration usualTime(const Open& r) const { return scaled(seconds(1), r.cls->norm * r.cost); }
 
   // Danger: two requests of one key at a host at once, or out of order. A request stays queued until it is
@@ -725,7 +738,7 @@
     Turn& turn = turns[r.key];
     const std::size_t ahead = turn.queue.size();
     turn.queue.push_back(r.slot);
-    if (ahead > 0 && hopeless(r, ahead)) return finish(r, GiveUpReason::queueTooLong);
+    if (ahead > 0 && hopeless(r, ahead)) return finish(r, RejectReason::queueTooLong);
     guard(r.deadline - set.step, r, Due::answer);
     guard(lastUse(r) - usualTime(r), r, Due::turn);
     turnsDue.push_back(r.key);
@@ -734,27 +747,27 @@
   // Latest time at which an answer still earns and still reaches the client.
   Time lastUse(const Open& r) const {
     const Time end = r.deadline - 2 * set.step;
-    return r.cls->set.lateShare > 0 ? end : std::min(end, r.aimAt - 2 * set.step);
+    return r.cls->set.lateValueFraction > 0 ? end : std::min(end, r.objectiveAt - 2 * set.step);
   }
 
   void guard(Time at, const Open& r, Due due) { guards.push({at, r.slot, r.id, due}); }
 
   void hold(const Open& r, HostId id) {  // the host works for it from now on
-    if (hosts[id].sent.empty() && hosts[id].entry.phase == Phase::in) holding.push_back(id);
+    if (hosts[id].sent.empty() && hosts[id].entry.state == EndpointState::serving) holding.push_back(id);
     hosts[id].sent.emplace_back(r.slot, r.id);
     ++hosts[id].inflight;
   }
 
   // Why it was not sent; `none` if it was.
-  GiveUpReason send(Open& r) {
+  RejectReason send(Open& r) {
     const Time last = lastUse(r);
-    if (last <= now) return GiveUpReason::outOfTime;
-    if (r.count >= std::min<std::size_t>(set.maxAttempts, kTries)) return GiveUpReason::attemptsUsed;
+    if (last <= now) return RejectReason::deadlineExceeded;
+    if (r.count >= std::min<std::size_t>(set.maxAttempts, kTries)) return RejectReason::attemptsExhausted;
     // Danger: what comes with less time than an answer takes now gains little, takes the place of others and
     // feeds an overload. In calm there is room to try.
-    if (cut > 1 && hopeless(r, 0)) return GiveUpReason::queueTooLong;
+    if (cut > 1 && hopeless(r, 0)) return RejectReason::queueTooLong;
     const HostId id = pick(r);
-    if (id == kNone) return GiveUpReason::noHost;
+    if (id == kNone) return RejectReason::noEndpoint;
     Host& h = hosts[id];
     if (isCold(h)) h.coldTokens -= 1;
     std::size_t age = idleStep(h);
@@ -768,9 +781,11 @@
     if (!free(h)) ++h.lines;
     if (!r.uploading) hold(r, id);
     ++r.out;
-    emit(ActionKind::send, r.id, r.count, id, last - now, repeatBy(r) - now);
+    emit(ActionKind::send, r.id, r.count, id);
+    out.back().timeLimit = last - now;
+    out.back().latestStart = repeatBy(r) - now;
     ++r.count;
-    return GiveUpReason::none;
+    return RejectReason::none;
   }
 
   void onRequest(const Request& q) {
@@ -784,7 +799,7 @@
     Open& r = slots[slot] = {.id = q.id,
                              .slot = slot,
                              .cls = classes[std::min<std::size_t>(q.classIndex, set.classes.size())],
-                             .deadline = now + q.left,
+                             .deadline = now + q.remaining,
                              .key = q.key,
                              .hasKey = q.hasKey,
                              .uploading = q.uploading};
@@ -795,30 +810,31 @@
     r.cost = cost > 0 ? std::clamp(cost / c.meanCost, 0.2, 5.0) : 1.0;
     // Clients give single tries the same time, and a later one what is left of their total wait. A try whose
     // time is not the usual one (a running median) tells how much was spent before; that no longer earns.
-    if (c.usualLeft == Duration{}) c.usualLeft = q.left;
-    const Duration apart = scaled(c.set.giveUp, kLeftApart);
-    const bool usual = q.left > c.usualLeft - apart && q.left < c.usualLeft + apart;
-    const Duration spent = usual ? Duration{} : std::max(c.set.giveUp - q.left, Duration{});
-    c.usualLeft += q.left < c.usualLeft ? -apart / 8 : apart / 8;
-    r.aimAt = now - spent + c.set.aim + scaled(q.cost, c.set.aimStretch);
+    if (c.usualLeft == Duration{}) c.usualLeft = q.remaining;
+    const Duration apart = scaled(c.set.clientTimeout, kLeftApart);
+    const bool usual = q.remaining > c.usualLeft - apart && q.remaining < c.usualLeft + apart;
+    const Duration spent = usual ? Duration{} : std::max(c.set.clientTimeout - q.remaining, Duration{});
+    c.usualLeft += q.remaining < c.usualLeft ? -apart / 8 : apart / 8;
+    r.objectiveAt = now - spent + c.set.latencyObjective + scaled(q.cost, c.set.objectiveStretch);
     // Where late answers still earn, the time that counts reaches past the aim by that share.
-    const Duration late = scaled(std::min(c.usualLeft - c.set.aim, c.set.aim), c.set.lateShare);
-    meanAim += kNormGain * (toSeconds(c.set.aim + late) - meanAim);
+    const Duration late = scaled(std::min(c.usualLeft - c.set.latencyObjective, c.set.latencyObjective),
+                                 c.set.lateValueFraction);
+    meanObjective += kNormGain * (toSeconds(c.set.latencyObjective + late) - meanObjective);
     if (c.norm > 0) meanWork += (meanWork > 0 ? kNormGain : 1.0) * (c.norm * r.cost - meanWork);
     if (q.uploading) {
       r.deadline += kUploadMost;
-      r.aimAt += kUploadMost;
+      r.objectiveAt += kUploadMost;
     }
     asked += 1;
-    if (set.warmKeys && r.hasKey) recentKeys.note(r.key);
+    if (set.keyAffinity && r.hasKey) recentKeys.note(r.key);
     retryTokens = std::min(retryTokens + kRetryShare, kRetrySaved + kRetryShare * askedRate);
     // Its rank within the recent traffic: a cutoff of c refuses about c per cent.
     r.score = 1 + 99 * levels.rank(worthOf(r, q.tenantIndex), drawUnit());
     smoothHeld += (heldNow() - smoothHeld) * kHeldGain * std::sqrt(evidence());
     renewCut();
     if (r.score < cut) {
-      refuse(r, GiveUpReason::cutoff);
-    } else if (inTurn(r)) {
+      refuse(r, RejectReason::belowThreshold);
+    } else if (orderedPerKey(r)) {
       enqueue(r);
     } else {
       guard(r.deadline - set.step, r, Due::answer);
@@ -827,15 +843,14 @@
   }
 
   void dispatch(Open& r) {  // its first attempt
-    if (const GiveUpReason why = send(r); why != GiveUpReason::none) finish(r, why);
-    else if (set.parallelTries && !r.uploading && r.cls->set.effect != Effect::fragile && r.cls->norm > 0)
+    if (const RejectReason why = send(r); why != RejectReason::none) finish(r, why);
+    else if (set.allowHedging && !r.uploading && r.cls->set.idempotency != Idempotency::none &&
+             r.cls->norm > 0)
       guard(now + scaled(usualTime(r), kCopyNorms), r, Due::copy);
   }
 
   // Asked as the copy is due: a reload may have forbidden copies since its timer was set.
-  bool mayCopy(const Open& r) const {
-    return set.parallelTries && r.out == 1 && cut <= 1 && retryTokens >= 1;
-  }
+  bool mayCopy(const Open& r) const { return set.allowHedging && r.out == 1 && cut <= 1 && retryTokens >= 1; }
 
   void onResult(const AttemptResult& a) {
     Open* found = find(a.request);
@@ -846,31 +861,31 @@
     t.out = false;
     --r.out;
     if (!r.uploading) --h.inflight;
-    if (provesNotRun(a.outcome)) t.mayHaveRun = false;
+    if (provesNotExecuted(a.outcome)) t.mayHaveExecuted = false;
     judge(t.host, r, a);
     h.used = now;
     if (t.dialled && a.outcome == Outcome::served) h.dialFails = 0;
     idleLosses.note(t.age, a.outcome);
     const bool unsure =
         a.outcome == Outcome::timeout || a.outcome == Outcome::reset || a.outcome == Outcome::cancelled;
-    if (unsure && inTurn(r)) turns[r.key].restUntil = now + set.keyRest;
+    if (unsure && orderedPerKey(r)) turns[r.key].restUntil = now + set.keyCooldown;
     if (a.terminal && !r.ended) {
       r.ended = true;
       cancelOut(r);
     }
     if (r.ended) return release(r);
     if (r.bound || r.out > 0) return;
-    const GiveUpReason why = repeat(r, a.outcome);
-    if (why != GiveUpReason::none) finish(r, why);
+    const RejectReason why = repeat(r, a.outcome);
+    if (why != RejectReason::none) finish(r, why);
   }
 
   // Why it was not sent again; `none` if it was.
-  GiveUpReason repeat(Open& r, Outcome outcome) {
-    if (outcome == Outcome::moot) return GiveUpReason::notWanted;
-    if (lastUse(r) <= now) return GiveUpReason::outOfTime;
-    if (retryTokens < 1) return GiveUpReason::retryBudget;
-    const GiveUpReason why = send(r);
-    if (why == GiveUpReason::none) retryTokens -= 1;
+  RejectReason repeat(Open& r, Outcome outcome) {
+    if (outcome == Outcome::abandoned) return RejectReason::abandoned;
+    if (lastUse(r) <= now) return RejectReason::deadlineExceeded;
+    if (retryTokens < 1) return RejectReason::retryBudgetExhausted;
+    const RejectReason why = send(r);
+    if (why == RejectReason::none) retryTokens -= 1;
     return why;
   }
 
@@ -878,7 +893,7 @@
     Open* r = find(id);
     if (!r || !r->uploading) return;
     r->uploading = false;
-    r->aimAt += now + left - r->deadline;
+    r->objectiveAt += now + left - r->deadline;
     r->deadline = now + left;
     guard(r->deadline - set.step, *r, Due::answer);
     for (std::uint32_t i = 0; i < r->count; ++i) {
@@ -888,47 +903,47 @@
     }
   }
 
-  void onAnswerStarted(RequestId id, std::uint32_t attempt) {
+  void onResponseStarted(RequestId id, std::uint32_t attempt) {
     Open* r = find(id);
     if (!r || r->ended || attempt >= r->count) return;
     r->bound = true;
     cancelOut(*r, attempt);
   }
 
-  void onClientGone(RequestId id) {
+  void onClientDisconnected(RequestId id) {
     Open* r = find(id);
     if (r && !r->ended) end(*r);
   }
 
   // --- Discovery --------------------------------------------------------------------------------------
 
-  void onHosts(ListKind kind, const std::vector<HostEntry>& entries) {
-    if (kind == ListKind::unavailable) {
+  void onEndpoints(EndpointListKind kind, const std::vector<Endpoint>& entries) {
+    if (kind == EndpointListKind::unavailable) {
       askFailures = std::min(askFailures + 1, 4);
       asking = false;
       Duration wait = milliseconds(500) * (1 << askFailures);
       // Danger: a limit set after the jitter makes all gateways come back in one moment.
-      if (set.askWithin > Duration{}) wait = std::min(wait, set.askWithin / 5);
+      if (set.maxDiscoverySilence > Duration{}) wait = std::min(wait, set.maxDiscoverySilence / 5);
       askAgain = now + scaled(wait, 0.5 + drawUnit());
       return;
     }
-    if (kind == ListKind::restored) {
-      if (set.askDiscovery) askAgain = now;  // it may be stale: ask at once
+    if (kind == EndpointListKind::cached) {
+      if (set.pollDiscovery) askAgain = now;  // it may be stale: ask at once
     } else {
       askFailures = 0;
       answered = true;
     }
-    if (kind != ListKind::update)
-      for (Host& h : hosts) h.entry.phase = Phase::out;  // what a whole list leaves out is gone
-    for (const HostEntry& e : entries) {
+    if (kind != EndpointListKind::delta)
+      for (Host& h : hosts) h.entry.state = EndpointState::removed;  // what a whole list leaves out is gone
+    for (const Endpoint& e : entries) {
       auto [it, fresh] = hostIds.emplace(e.address, static_cast<HostId>(hosts.size()));
       if (fresh) hosts.emplace_back().hash = hashText(e.address);
       Host& h = hosts[it->second];
       const bool restarted = fresh || e.upSince != h.entry.upSince;
       h.entry = e;
-      h.kind = &kinds[e.kind];
+      h.kind = &kinds[e.machineType];
       h.kind->weight = std::max(h.kind->weight, e.weight);
-      if (set.liveWeights && kind != ListKind::restored)
+      if (set.loadAdjustedWeights && kind != EndpointListKind::cached)
         crowded(h, h.kind->weight / std::max(e.weight, 0.001));
       if (restarted) {  // a new process: what was learned of the old one is void
         static_cast<Learned&>(h) = {};
@@ -947,7 +962,7 @@
   // differently, so all are put in order anew as one takes over.
   void chooseAmongFew() {
     const auto in = static_cast<std::size_t>(
-        std::ranges::count_if(hosts, [](const Host& h) { return h.entry.phase == Phase::in; }));
+        std::ranges::count_if(hosts, [](const Host& h) { return h.entry.state == EndpointState::serving; }));
     const std::size_t least = candidates > 0 ? kLargeFleet - kLargeFleet / 4 : kLargeFleet;
     const std::uint32_t wanted = set.candidates > 0 ? set.candidates : in >= least ? kLargeCandidates : 0;
     if (std::exchange(candidates, wanted) == wanted) return;
@@ -957,20 +972,22 @@
   // Takes hosts that have gone out of the lists kept in order, and merges in those that have come.
   void index() {
     chooseAmongFew();
-    const auto stays = [&](HostId id) { return hosts[id].indexed && hosts[id].entry.phase == Phase::in; };
+    const auto stays = [&](HostId id) {
+      return hosts[id].indexed && hosts[id].entry.state == EndpointState::serving;
+    };
     const auto gone = [&](const Point& p) { return !stays(p.host); };
     std::vector<HostId> come;
     for (HostId id = 0; id < hosts.size(); ++id)
-      if (hosts[id].entry.phase == Phase::in && !hosts[id].indexed) come.push_back(id);
+      if (hosts[id].entry.state == EndpointState::serving && !hosts[id].indexed) come.push_back(id);
     // Own hosts first. Hosts lie on a ring, in an order of its own for every round of gateways, and these
     // start evenly around it: hosts that come or go move only their neighbours. Keys are kept warm by all.
     // With candidates a part ends where the next gateway's begins: a full round keeps each host once.
     const bool few = candidates > 0;
-    const std::uint32_t round = few ? std::bit_floor(std::max(set.groupSize / kRoundsLeast, 1u)) : kRound;
-    const std::uint64_t salt = mix(set.number / round), arc = UINT64_MAX / round;
+    const std::uint32_t round = few ? std::bit_floor(std::max(set.replicaCount / kRoundsLeast, 1u)) : kRound;
+    const std::uint64_t salt = mix(set.replicaIndex / round), arc = UINT64_MAX / round;
     std::vector<Point> places, points;
     for (HostId id : come) {
-      places.push_back({mix(hosts[id].hash ^ salt) - set.number % round * arc, id});
+      places.push_back({mix(hosts[id].hash ^ salt) - set.replicaIndex % round * arc, id});
       for (std::uint64_t i = 0; few && i < kPoints; ++i) points.push_back({mix(hosts[id].hash + i), id});
     }
     renew(order, std::move(places), gone);
@@ -978,12 +995,12 @@
     renew(
         listed, std::move(come), [&](HostId id) { return !stays(id); },
         [&](HostId a, HostId b) { return hosts[a].entry.address < hosts[b].entry.address; });
-    for (Host& h : hosts) h.indexed = h.entry.phase == Phase::in;
+    for (Host& h : hosts) h.indexed = h.entry.state == EndpointState::serving;
     const auto inArc = std::upper_bound(order.begin(), order.end(), Point{arc, kNone}) - order.begin();
     const double own = few ? std::max(static_cast<double>(inArc), kWidthLeast)
-                           : kWidthLeast + kWidthParts * hostCount() / set.groupSize;
+                           : kWidthLeast + kWidthParts * hostCount() / set.replicaCount;
     part = static_cast<std::size_t>(std::min(hostCount(), own));
-    width = set.warmKeys ? listed.size() : part;
+    width = set.keyAffinity ? listed.size() : part;
     holding = listed;
     std::erase_if(holding, [&](HostId id) { return hosts[id].sent.empty(); });
     std::vector<double> starts;
@@ -994,9 +1011,10 @@
 
   void ask() {
     // Danger: a call whose answer is lost would leave the gateway silent towards discovery for good.
-    const bool lost = !answered && set.askWithin > Duration{} && now - askedAt > set.askWithin / 2;
-    if (!set.askDiscovery || (asking && !lost) || now < askAgain) return;
-    emit(ActionKind::subscribe);
+    const bool lost =
+        !answered && set.maxDiscoverySilence > Duration{} && now - askedAt > set.maxDiscoverySilence / 2;
+    if (!set.pollDiscovery || (asking && !lost) || now < askAgain) return;
+    emit(ActionKind::pollDiscovery);
     asking = true;  // until it fails
     answered = false;
     askedAt = now;
@@ -1012,11 +1030,11 @@
       if (!r || r->ended || r->bound) continue;
       // Danger: an outcome that never comes would leave the client without an answer. And a slow host not
       // known yet eats the whole aim: in calm what may be repeated runs once more elsewhere.
-      if (g.due == Due::turn && inTurn(*r) && r->count == 0) {
-        if (hopeless(*r, 0)) finish(*r, GiveUpReason::queueTooLong);
+      if (g.due == Due::turn && orderedPerKey(*r) && r->count == 0) {
+        if (hopeless(*r, 0)) finish(*r, RejectReason::queueTooLong);
         turnsDue.push_back(r->key);
-      } else if (g.due == Due::answer) finish(*r, GiveUpReason::outOfTime);
-      else if (g.due == Due::copy && mayCopy(*r) && send(*r) == GiveUpReason::none) retryTokens -= 1;
+      } else if (g.due == Due::answer) finish(*r, RejectReason::deadlineExceeded);
+      else if (g.due == Due::copy && mayCopy(*r) && send(*r) == RejectReason::none) retryTokens -= 1;
     }
     if (now >= nextSweep) {
       nextSweep = now + kSweep;
@@ -1035,7 +1053,8 @@
     want = std::max(want, now + Duration(1));
     if (armed > now && armed <= want) return;
     armed = want;
-    emit(ActionKind::wake, 0, 0, kNone, want);
+    emit(ActionKind::wake);
+    out.back().wakeAt = want;
   }
 
   template <class Handler, class... Arguments>
@@ -1060,18 +1079,20 @@
   validate(settings);
   impl_->event(now, &Impl::onSettings, std::move(settings));
 }
-void Balancer::onHosts(Time now, ListKind kind, const std::vector<HostEntry>& entries) {
-  impl_->event(now, &Impl::onHosts, kind, entries);
+void Balancer::onEndpoints(Time now, EndpointListKind kind, const std::vector<Endpoint>& entries) {
+  impl_->event(now, &Impl::onEndpoints, kind, entries);
 }
 void Balancer::onRequest(Time now, const Request& q) { impl_->event(now, &Impl::onRequest, q); }
 void Balancer::onUploaded(Time now, RequestId id, Duration left) {
   impl_->event(now, &Impl::onUploaded, id, left);
 }
-void Balancer::onAnswerStarted(Time now, RequestId id, std::uint32_t attempt) {
-  impl_->event(now, &Impl::onAnswerStarted, id, attempt);
+void Balancer::onResponseStarted(Time now, RequestId id, std::uint32_t attempt) {
+  impl_->event(now, &Impl::onResponseStarted, id, attempt);
 }
 void Balancer::onResult(Time now, const AttemptResult& a) { impl_->event(now, &Impl::onResult, a); }
-void Balancer::onClientGone(Time now, RequestId id) { impl_->event(now, &Impl::onClientGone, id); }
+void Balancer::onClientDisconnected(Time now, RequestId id) {
+  impl_->event(now, &Impl::onClientDisconnected, id);
+}
 void Balancer::onWake(Time now) { impl_->event(now, &Impl::onWake); }
 std::vector<Action>& Balancer::actions() { return impl_->out; }
 HostId Balancer::findHost(std::string_view address) const {
@@ -1079,16 +1100,16 @@
   return it == impl_->hostIds.end() ? kNone : it->second;
 }
 const std::string& Balancer::address(HostId host) const { return impl_->hosts.at(host).entry.address; }
-HostCounts Balancer::hostCounts() const {
-  HostCounts counts;
+EndpointCounts Balancer::endpointCounts() const {
+  EndpointCounts counts;
   for (const Host& h : impl_->hosts) {
-    if (h.entry.phase == Phase::out) continue;
+    if (h.entry.state == EndpointState::removed) continue;
     ++counts.listed;
-    if (h.entry.phase == Phase::draining || impl_->avoided(h)) ++counts.avoided;
+    if (h.entry.state == EndpointState::draining || impl_->unavailable(h)) ++counts.unavailable;
   }
   return counts;
 }
-double Balancer::cutoff() const { return impl_->cut; }
+double Balancer::sheddingThreshold() const { return impl_->cut; }
 std::size_t Balancer::openRequests() const { return impl_->slotOf.size(); }
 
 }  // namespace hollyrun::balancer
--- a/src/balancer/dispatch_guard.cpp
+++ b/src/balancer/dispatch_guard.cpp
@@ -7,9 +7,9 @@
 namespace hollyrun::balancer {
 namespace {
 
-constexpr std::array<std::string_view, kDenialReasons> kNames = {"client_gone", "out_of_time", "window_over",
-                                                                 "not_serving", "restarted",   "too_many",
-                                                                 "may_repeat",  "other_group", "parallel"};
+constexpr std::array<std::string_view, kDenialReasonCount> kNames = {
+    "client_gone", "out_of_time", "window_over", "not_serving", "restarted",
+    "too_many",    "may_repeat",  "other_group", "parallel"};
 
 // The rules grant one second from the moment in which a drain was told. Half of it is left for a process that
 // is held up between its look at the clock and its write.
@@ -23,20 +23,20 @@
 
 bool isViolation(DenialReason reason) {
   switch (reason) {
-    case DenialReason::tooMany:
-    case DenialReason::mayRepeat:
-    case DenialReason::otherGroup:
-    case DenialReason::parallel: return true;
-    case DenialReason::clientGone:
-    case DenialReason::outOfTime:
-    case DenialReason::windowOver:
+    case DenialReason::attemptsExhausted:
+    case DenialReason::notIdempotent:
+    case DenialReason::outsideDeduplicationScope:
+    case DenialReason::hedgingForbidden: return true;
+    case DenialReason::clientDisconnected:
+    case DenialReason::deadlineExceeded:
+    case DenialReason::deduplicationWindowPassed:
     case DenialReason::notServing:
     case DenialReason::restarted: return false;
   }
   return true;
 }
 
-void AttemptHistory::wrote(std::uint32_t attempt, const ServerState& server, Time now) {
+void AttemptHistory::wrote(std::uint32_t attempt, const EndpointStatus& server, Time now) {
   attempts_.push_back(
       {.number = attempt, .server = server.id, .zone = server.zone, .cell = server.cell, .at = now});
 }
@@ -45,7 +45,7 @@
   const auto it = std::ranges::find(attempts_, attempt, &Attempt::number);
   if (it == attempts_.end()) return;
   it->out = false;
-  it->mayHaveRun = !provesNotRun(outcome);
+  it->mayHaveExecuted = !provesNotExecuted(outcome);
 }
 
 Admission DispatchGuard::admit(const DispatchFacts& facts) {
@@ -55,25 +55,28 @@
 }
 
 std::optional<DenialReason> DispatchGuard::judge(const DispatchFacts& facts) {
-  if (facts.attempt >= facts.terms.maxAttempts) return DenialReason::tooMany;
-  if (!facts.clientPresent) return DenialReason::clientGone;
-  if (facts.left < kLeastTold) return DenialReason::outOfTime;
-  if (facts.server.phase != Phase::in && facts.now - facts.server.phaseSince > kDrainGrace)
+  if (facts.attempt >= facts.terms.maxAttempts) return DenialReason::attemptsExhausted;
+  if (!facts.clientPresent) return DenialReason::clientDisconnected;
+  if (facts.left < kLeastTold) return DenialReason::deadlineExceeded;
+  if (facts.server.state != EndpointState::serving && facts.now - facts.server.stateSince > kDrainGrace)
     return DenialReason::notServing;
   if (facts.server.upSince != facts.terms.serverUpSince) return DenialReason::restarted;
-  return judgeRepeat(facts);
+  return checkResend(facts);
 }
 
 // Nothing binds before an attempt may have run.
-std::optional<DenialReason> DispatchGuard::judgeRepeat(const DispatchFacts& facts) {
+std::optional<DenialReason> DispatchGuard::checkResend(const DispatchFacts& facts) {
   for (const AttemptHistory::Attempt& earlier : facts.history.attempts_) {
-    if (earlier.out && !facts.terms.parallelTries) return DenialReason::parallel;
-    if (!earlier.mayHaveRun || facts.terms.effect == Effect::retryable) continue;
-    if (facts.terms.effect == Effect::fragile) return DenialReason::mayRepeat;
-    const bool sameZone = facts.terms.group != Group::zone || earlier.zone == facts.server.zone;
-    const bool sameCell = facts.terms.group != Group::cell || earlier.cell == facts.server.cell;
-    if (!sameZone || !sameCell) return DenialReason::otherGroup;
-    if (facts.now - earlier.at > facts.terms.window) return DenialReason::windowOver;
+    if (earlier.out && !facts.terms.allowHedging) return DenialReason::hedgingForbidden;
+    if (!earlier.mayHaveExecuted || facts.terms.idempotency == Idempotency::idempotent) continue;
+    if (facts.terms.idempotency == Idempotency::none) return DenialReason::notIdempotent;
+    const bool sameZone =
+        facts.terms.deduplicationScope != DeduplicationScope::zone || earlier.zone == facts.server.zone;
+    const bool sameCell =
+        facts.terms.deduplicationScope != DeduplicationScope::cell || earlier.cell == facts.server.cell;
+    if (!sameZone || !sameCell) return DenialReason::outsideDeduplicationScope;
+    if (facts.now - earlier.at > facts.terms.deduplicationWindow)
+      return DenialReason::deduplicationWindowPassed;
   }
   return std::nullopt;
 }
--- a/src/balancer/dispatch_guard.hpp
+++ b/src/balancer/dispatch_guard.hpp
@@ -23,35 +23,36 @@
 
 /// Why an attempt may not take place.
 enum class DenialReason : std::uint8_t {
-  clientGone,  ///< the client has closed its side, or has its answer
-  outOfTime,   ///< nothing is left of the time that the attempt may take
-  windowOver,  ///< a dedup request's repeats are not dropped any more
-  notServing,  ///< the server was told as draining or gone too long ago
-  restarted,   ///< another process runs there than the one that was chosen: its slow start was not asked for
-  tooMany,     ///< violation: more attempts than the settings allow
-  mayRepeat,   ///< violation: an earlier attempt may have run, and the class forbids a second
-  otherGroup,  ///< violation: an earlier attempt may have run where this server does not know of it
-  parallel,    ///< violation: an earlier attempt is out, and the settings allow only one at a time
+  clientDisconnected,         ///< the client has closed its side, or has its answer
+  deadlineExceeded,           ///< nothing is left of the time that the attempt may take
+  deduplicationWindowPassed,  ///< a keyed request's repeats are not dropped any more
+  notServing,                 ///< the server was told as draining or gone too long ago
+  restarted,  ///< another process runs there than the one that was chosen: its slow start was not asked for
+  attemptsExhausted,          ///< violation: more attempts than the settings allow
+  notIdempotent,              ///< violation: an earlier attempt may have run, and the class forbids a second
+  outsideDeduplicationScope,  ///< violation: an earlier attempt may have run where this server does not know
+                              ///< of it
+  hedgingForbidden,  ///< violation: an earlier attempt is out, and the settings allow only one at a time
 };
-inline constexpr std::size_t kDenialReasons = 9;
+inline constexpr std::size_t kDenialReasonCount = 9;
 
 std::string_view nameOf(DenialReason reason);
 bool isViolation(DenialReason reason);
 
 /// A record server as the last lists told it.
-struct ServerState {
+struct EndpointStatus {
   HostId id = kNone;
   std::string zone;
   std::int64_t cell = 0;
-  Phase phase = Phase::in;
-  Time phaseSince{};  ///< when this process was first told that it is not serving
+  EndpointState state = EndpointState::serving;
+  Time stateSince{};  ///< when this process was first told that it is not serving
   Time upSince{};     ///< its last start; zero = long past
 };
 
 /// What became of a request's attempts, as the sockets showed it.
 class AttemptHistory {
  public:
-  void wrote(std::uint32_t attempt, const ServerState& server, Time now);
+  void wrote(std::uint32_t attempt, const EndpointStatus& server, Time now);
   void ended(std::uint32_t attempt, Outcome outcome);
   std::uint32_t written() const { return static_cast<std::uint32_t>(attempts_.size()); }
 
@@ -63,18 +64,18 @@
     std::string zone;
     std::int64_t cell = 0;
     Time at{};  // of its first byte
-    bool out = true, mayHaveRun = true;
+    bool out = true, mayHaveExecuted = true;
   };
   std::vector<Attempt> attempts_;
 };
 
 /// What an attempt was decided under. A reload may have changed the settings since.
 struct AttemptTerms {
-  Effect effect = Effect::fragile;
-  Group group = Group::all;
-  Duration window{};
+  Idempotency idempotency = Idempotency::none;
+  DeduplicationScope deduplicationScope = DeduplicationScope::all;
+  Duration deduplicationWindow{};
   std::uint32_t maxAttempts = 1;
-  bool parallelTries = false;
+  bool allowHedging = false;
   Time serverUpSince{};  ///< of the process that was chosen
 };
 
@@ -85,7 +86,7 @@
   std::uint32_t attempt = 0;  ///< its number, from 0
   Duration left{};            ///< of the attempt's own time, which is no longer than the client's
   const AttemptTerms& terms;
-  const ServerState& server;
+  const EndpointStatus& server;
   const AttemptHistory& history;
 };
 
@@ -104,9 +105,9 @@
 
  private:
   static std::optional<DenialReason> judge(const DispatchFacts& facts);
-  static std::optional<DenialReason> judgeRepeat(const DispatchFacts& facts);
+  static std::optional<DenialReason> checkResend(const DispatchFacts& facts);
 
-  std::array<std::uint64_t, kDenialReasons> denied_{};
+  std::array<std::uint64_t, kDenialReasonCount> denied_{};
 };
 
 }  // namespace hollyrun::balancer
--- a/src/balancer/state.hpp
+++ b/src/balancer/state.hpp
@@ -34,9 +34,9 @@
   return !list || std::find(list->begin(), list->end(), name) != list->end();
 }
 
-inline bool provesNotRun(Outcome outcome) {
-  return outcome == Outcome::full || outcome == Outcome::connectFailed || outcome == Outcome::moot ||
-         outcome == Outcome::notSent;
+inline bool provesNotExecuted(Outcome outcome) {
+  return outcome == Outcome::rejected || outcome == Outcome::connectFailed || outcome == Outcome::abandoned ||
+         outcome == Outcome::localFailure;
 }
 
 constexpr std::size_t kTries = 8;  // attempts kept for one request
@@ -63,7 +63,7 @@
 };
 
 struct Host : Learned {
-  HostEntry entry;
+  Endpoint entry;
   std::uint64_t hash = 0, lookedAt = 0;  // of its address; by so many walks before
   double rank = 0;                       // among the ready ones, for a key
   Kind* kind = nullptr;
@@ -101,7 +101,7 @@
 struct Try {
   HostId host = kNone;
   Time at{};
-  bool out = false, mayHaveRun = false, cancelled = false, dialled = false;
+  bool out = false, mayHaveExecuted = false, cancelled = false, dialled = false;
   std::size_t age = 0;  // a step of IdleLosses: how long the connection used lay idle; 0 = fresh or new
 };
 
@@ -111,7 +111,7 @@
   RequestId id = 0;
   std::uint32_t slot = 0;
   std::shared_ptr<ClassState> cls;  // as the settings had it when the request came
-  Time deadline{}, aimAt{};
+  Time deadline{}, objectiveAt{};
   double cost = 0;   // against the class's mean
   double score = 0;  // 1 to 100
   std::uint64_t key = 0;
@@ -126,11 +126,11 @@
  public:
   // Notes a request of this worth; the share of the traffic, 0 to 1, that ranks below it. The draw spreads
   // each level over its own band, so equal worth shares the loss and higher worth is never cut first.
-  double rank(double worth, double draw) {
+  double rank(double priorityWeight, double draw) {
     std::size_t at = 0;
-    while (at < levels_.size() && levels_[at].worth < worth * 0.999) ++at;
-    if (at == levels_.size() || levels_[at].worth > worth * 1.001 + 1e-12)
-      levels_.insert(levels_.begin() + static_cast<std::ptrdiff_t>(at), Level{worth, 0});
+    while (at < levels_.size() && levels_[at].priorityWeight < priorityWeight * 0.999) ++at;
+    if (at == levels_.size() || levels_[at].priorityWeight > priorityWeight * 1.001 + 1e-12)
+      levels_.insert(levels_.begin() + static_cast<std::ptrdiff_t>(at), Level{priorityWeight, 0});
     levels_[at].seen += 1;
     double below = 0, all = 0;
     for (std::size_t i = 0; i < levels_.size(); ++i) {
@@ -146,7 +146,7 @@
 
  private:
   struct Level {
-    double worth = 0, seen = 0;
+    double priorityWeight = 0, seen = 0;
   };
   std::vector<Level> levels_;
 };
@@ -187,10 +187,11 @@
     std::sort(starts_.begin(), starts_.end(), std::greater<>());
     sum_ = std::accumulate(starts_.begin(), starts_.end(), 0.0);
   }
-  double lacking(double now, double coldTime) {  // parts of the time until warm, in the sum
-    for (; !starts_.empty() && now - starts_.back() >= coldTime; starts_.pop_back()) sum_ -= starts_.back();
+  double lacking(double now, double slowStartDuration) {  // parts of the time until warm, in the sum
+    for (; !starts_.empty() && now - starts_.back() >= slowStartDuration; starts_.pop_back())
+      sum_ -= starts_.back();
     const double cold = static_cast<double>(starts_.size());
-    return starts_.empty() ? 0 : cold - (cold * now - sum_) / coldTime;
+    return starts_.empty() ? 0 : cold - (cold * now - sum_) / slowStartDuration;
   }
 
  private:
@@ -216,7 +217,7 @@
   bool stale(std::size_t step) const { return step > 0 && lost_[step] > kStale + lost_[0]; }
   void note(std::size_t step, Outcome o) {  // a longer wait is no safer, a shorter one no worse
     const bool gone = o == Outcome::timeout || o == Outcome::reset;
-    if (!gone && o != Outcome::served && o != Outcome::error && o != Outcome::full) return;
+    if (!gone && o != Outcome::served && o != Outcome::error && o != Outcome::rejected) return;
     for (std::size_t i = gone ? step : 0; i < (gone && step > 0 ? kSteps : step + 1); ++i)
       lost_[i] += kGain * ((gone ? 1 : 0) - lost_[i]);
   }
--- a/src/gateway/body_stream.hpp
+++ b/src/gateway/body_stream.hpp
@@ -17,9 +17,9 @@
 inline constexpr std::uint64_t kMostBody = 32 << 20;  // of a request
 
 // Bytes that all bodies of the process hold together.
-class BodyBudget {
+class MemoryBudget {
  public:
-  explicit BodyBudget(std::size_t limit) : limit_(limit) {}
+  explicit MemoryBudget(std::size_t limit) : limit_(limit) {}
   void limit(std::size_t bytes) { limit_ = bytes; }
   void add(std::size_t bytes) { used_ += bytes; }
   void give(std::size_t bytes) { used_ -= bytes; }
@@ -32,21 +32,21 @@
 };
 
 // Bytes taken from the budget, given back at the end.
-class BodyShare {
+class MemoryReservation {
  public:
-  BodyShare() = default;
-  BodyShare(std::shared_ptr<BodyBudget> budget, std::size_t bytes)
+  MemoryReservation() = default;
+  MemoryReservation(std::shared_ptr<MemoryBudget> budget, std::size_t bytes)
       : budget_(std::move(budget)), bytes_(bytes) {
     budget_->add(bytes_);
   }
-  BodyShare(BodyShare&& other) noexcept
+  MemoryReservation(MemoryReservation&& other) noexcept
       : budget_(std::move(other.budget_)), bytes_(std::exchange(other.bytes_, 0)) {}
-  BodyShare& operator=(BodyShare&& other) noexcept {
+  MemoryReservation& operator=(MemoryReservation&& other) noexcept {
     std::swap(budget_, other.budget_);
     std::swap(bytes_, other.bytes_);
     return *this;
   }
-  ~BodyShare() { resize(0); }
+  ~MemoryReservation() { resize(0); }
   void resize(std::size_t bytes) {
     if (!budget_)
       return;
@@ -55,13 +55,13 @@
   }
 
  private:
-  std::shared_ptr<BodyBudget> budget_;
+  std::shared_ptr<MemoryBudget> budget_;
   std::size_t bytes_ = 0;
 };
 
 class BodyStream {
  public:
-  explicit BodyStream(std::shared_ptr<BodyBudget> budget) : budget_(budget), share_(std::move(budget), 0) {}
+  explicit BodyStream(std::shared_ptr<MemoryBudget> budget) : budget_(budget), share_(std::move(budget), 0) {}
 
   // --- The side that fills ---
   std::function<void()> onRoom;  // there is room again, or nobody wants the rest
@@ -113,8 +113,8 @@
       copy();
   }
 
-  std::shared_ptr<BodyBudget> budget_;
-  BodyShare share_;
+  std::shared_ptr<MemoryBudget> budget_;
+  MemoryReservation share_;
   std::string data_;
   std::size_t taken_ = 0;
   bool finished_ = false, failed_ = false, abandoned_ = false, touched_ = false;
--- a/src/gateway/config.cpp
+++ b/src/gateway/config.cpp
@@ -68,72 +68,72 @@
   if (!grade.is_object())
     throw BadConfig("grades: an entry is no object");
   balancer::ClassSettings c;
-  std::string effect = "fragile", group = "all";
+  std::string idempotency = "fragile", deduplicationScope = "all";
   read(grade, "name", c.name);
-  read(grade, "aimNs", c.aim);
-  read(grade, "giveUpNs", c.giveUp);
-  read(grade, "windowNs", c.window);
-  read(grade, "points", c.worth);
-  read(grade, "lateShare", c.lateShare);
-  read(grade, "aimStretch", c.aimStretch);
-  read(grade, "inTurn", c.inTurn);
-  read(grade, "effect", effect);
-  read(grade, "group", group);
-  if (effect == "retryable")
-    c.effect = balancer::Effect::retryable;
-  else if (effect == "dedup")
-    c.effect = balancer::Effect::dedup;
-  else if (effect != "fragile")
-    throw BadConfig("effect: unknown '" + effect + "'");
-  if (group == "zone")
-    c.group = balancer::Group::zone;
-  else if (group == "cell")
-    c.group = balancer::Group::cell;
-  else if (group != "all")
-    throw BadConfig("group: unknown '" + group + "'");
+  read(grade, "aimNs", c.latencyObjective);
+  read(grade, "giveUpNs", c.clientTimeout);
+  read(grade, "windowNs", c.deduplicationWindow);
+  read(grade, "points", c.priorityWeight);
+  read(grade, "lateShare", c.lateValueFraction);
+  read(grade, "aimStretch", c.objectiveStretch);
+  read(grade, "inTurn", c.orderedPerKey);
+  read(grade, "effect", idempotency);
+  read(grade, "group", deduplicationScope);
+  if (idempotency == "retryable")
+    c.idempotency = balancer::Idempotency::idempotent;
+  else if (idempotency == "dedup")
+    c.idempotency = balancer::Idempotency::keyed;
+  else if (idempotency != "fragile")
+    throw BadConfig("effect: unknown '" + idempotency + "'");
+  if (deduplicationScope == "zone")
+    c.deduplicationScope = balancer::DeduplicationScope::zone;
+  else if (deduplicationScope == "cell")
+    c.deduplicationScope = balancer::DeduplicationScope::cell;
+  else if (deduplicationScope != "all")
+    throw BadConfig("group: unknown '" + deduplicationScope + "'");
   std::vector<std::string> names;
   if (grade.contains("staysIn"))
     read(grade, "staysIn", names), c.zones = names;
   names.clear();
   if (grade.contains("boundTo"))
-    read(grade, "boundTo", names), c.kinds = names;
-  if (grade.contains("giveUpNs") && c.giveUp <= Duration{})
+    read(grade, "boundTo", names), c.machineTypes = names;
+  if (grade.contains("giveUpNs") && c.clientTimeout <= Duration{})
     throw BadConfig("giveUpNs: must be above 0");
-  c.giveUp = std::max(c.giveUp, c.aim);
+  c.clientTimeout = std::max(c.clientTimeout, c.latencyObjective);
   return c;
 }
 
 balancer::Settings readSettings(const json& settings) {
   balancer::Settings s;
   std::string weights;
-  read(settings, "groupSize", s.groupSize);
-  read(settings, "myNumber", s.number);
+  read(settings, "groupSize", s.replicaCount);
+  read(settings, "myNumber", s.replicaIndex);
   read(settings, "zone", s.zone);
   read(settings, "candidates", s.candidates);
-  read(settings, "overShareWorth", s.overShareWorth);
+  read(settings, "overShareWorth", s.overQuotaWeight);
   read(settings, "weights", weights);
   read(settings, "stepNs", s.step);
   // On sockets the list comes by a watch only, also where the simulator pushes it to the instances.
-  s.askDiscovery = true;
-  s.liveWeights = weights == "live";
-  read(part(settings, "domain"), "warmKeys", s.warmKeys);
+  s.pollDiscovery = true;
+  s.loadAdjustedWeights = weights == "live";
+  read(part(settings, "domain"), "warmKeys", s.keyAffinity);
   const json& ceilings = part(settings, "ceilings");
-  read(ceilings, "parallelTries", s.parallelTries);
+  read(ceilings, "parallelTries", s.allowHedging);
   read(ceilings, "retryAfter", s.retryAfter);
   read(ceilings, "cancel", s.cancel);
   read(ceilings, "maxAttempts", s.maxAttempts);
-  read(ceilings, "idleCloseNs", s.idleClose);
+  read(ceilings, "idleCloseNs", s.idleTimeout);
   read(ceilings, "maxRetryAfterNs", s.maxRetryAfter);
   // A connection carries one request at a time on sockets, whatever the simulator's setting says: with more
   // the module would take a busy connection for a free one.
   s.streamsPerConnection = 1;
   const json& rules = part(settings, "rules");
-  read(rules, "askWithinNs", s.askWithin);
-  read(rules, "coldNs", s.coldTime);
-  read(rules, "coldShare", s.coldShare);
-  read(rules, "fallMultiple", s.fallMultiple);
-  read(rules, "fallNs", s.fallWindow);
-  read(rules, "keyRestNs", s.keyRest);
+  read(rules, "askWithinNs", s.maxDiscoverySilence);
+  read(rules, "coldNs", s.slowStartDuration);
+  read(rules, "coldShare", s.slowStartInitialFraction);
+  read(rules, "fallMultiple", s.overloadMultiple);
+  read(rules, "fallNs", s.overloadWindow);
+  read(rules, "keyRestNs", s.keyCooldown);
   const json* grades = list(settings, "grades");
   if (!grades)
     throw BadConfig("grades: missing");
--- a/src/gateway/config.hpp
+++ b/src/gateway/config.hpp
@@ -15,7 +15,7 @@
 #include <string_view>
 #include <vector>
 
-#include "gateway/host_list.hpp"
+#include "gateway/endpoint_list.hpp"
 #include "gateway/log.hpp"
 #include "hollyrun/balancer.hpp"
 
@@ -47,7 +47,7 @@
   balancer::Settings module;                // for the decisions
   LogSettings log;
   std::optional<MembershipConfig> membership;  // none: that part is off
-  std::optional<HostList> known;               // hosts as last had; may be old
+  std::optional<EndpointList> known;           // hosts as last had; may be old
   std::shared_ptr<const nlohmann::json> source;
   std::vector<std::string> warnings;  // of the file: keys that nobody knows
 };
--- a/src/gateway/discovery.cpp
+++ b/src/gateway/discovery.cpp
@@ -81,7 +81,7 @@
   void answered(error_code ec) {
     if (!owner)
       return;
-    std::optional<HostList> list;
+    std::optional<EndpointList> list;
     if (!ec && parser->get().result() == http::status::ok) {
       const auto json = nlohmann::json::parse(parser->get().body(), nullptr, false);
       try {
@@ -93,7 +93,7 @@
     finish(list);
   }
 
-  void finish(const std::optional<HostList>& list) {
+  void finish(const std::optional<EndpointList>& list) {
     ++turn;
     timer.cancel();
     error_code ignored;
@@ -143,7 +143,7 @@
   call_->start(kind, wait + waits_.answer);
 }
 
-void Discovery::ended(Kind kind, const std::optional<HostList>& list) {
+void Discovery::ended(Kind kind, const std::optional<EndpointList>& list) {
   if (!list)
     return fail();
   // Danger: discovery that was set up anew counts from the start; changes to a list that we don't hold would
--- a/src/gateway/discovery.hpp
+++ b/src/gateway/discovery.hpp
@@ -14,14 +14,14 @@
 #include <memory>
 #include <optional>
 
-#include "gateway/host_list.hpp"
+#include "gateway/endpoint_list.hpp"
 
 namespace hollyrun::gateway {
 
 class Discovery {
  public:
   struct Callbacks {
-    std::function<void(const HostList&)> told;
+    std::function<void(const EndpointList&)> told;
     std::function<void()> failed;  // the watch is over
   };
   struct Waits {
@@ -48,7 +48,7 @@
   enum class Kind { list, first, next };
 
   void call(Kind kind);
-  void ended(Kind kind, const std::optional<HostList>& list);
+  void ended(Kind kind, const std::optional<EndpointList>& list);
   void fail();
 
   boost::asio::io_context& io_;
--- a/src/gateway/client_server.cpp
+++ b/src/gateway/downstream_server.cpp
@@ -1,4 +1,4 @@
-#include "gateway/client_server.hpp"
+#include "gateway/downstream_server.hpp"
 
 #include <linux/filter.h>
 #include <netinet/tcp.h>
@@ -54,9 +54,9 @@
 
 }  // namespace
 
-class ClientServer::Session : public std::enable_shared_from_this<Session> {
+class DownstreamServer::Session : public std::enable_shared_from_this<Session> {
  public:
-  Session(ClientServer& server, tcp::socket socket) : server_(&server), socket_(std::move(socket)) {
+  Session(DownstreamServer& server, tcp::socket socket) : server_(&server), socket_(std::move(socket)) {
     renew();
   }
 
@@ -148,7 +148,7 @@
 
   // Its client left while its request was waiting.
   void gone() {
-    const ExchangeId exchange = exchange_;
+    const DownstreamRequestId exchange = exchange_;
     server_->waiting_.erase(exchange);
     close(CloseReason::clientLeft);
     server_->callbacks_.gone(exchange);
@@ -452,7 +452,7 @@
     const std::size_t held = length && *length <= kHeldBody ? *length : kHeldBody;
     if (!server_->budget_->room(held))
       return refuse(http::status::service_unavailable);
-    held_ = BodyShare(server_->budget_, held);
+    held_ = MemoryReservation(server_->budget_, held);
     if (length && *length > kHeldBody)
       beginUpload();
     return state_ == State::body || state_ == State::uploading;
@@ -522,7 +522,7 @@
     first_ = false;
     enter(State::waiting);
     watchAhead();
-    const ExchangeId exchange = exchange_;
+    const DownstreamRequestId exchange = exchange_;
     server_->callbacks_.uploaded(exchange);
     upload->finish();
   }
@@ -545,7 +545,7 @@
     HttpResponse response;
     response.result(status);
     const bool known = server_->waiting_.erase(exchange_) > 0;
-    const ExchangeId exchange = exchange_;
+    const DownstreamRequestId exchange = exchange_;
     const bool headWhole = state_ == State::body;
     const std::string target = headWhole ? parser_->get().target().to_string() : "";
     buffer_.consume(buffer_.size());
@@ -564,19 +564,19 @@
                                            : http::status::bad_request);
   }
 
-  ClientServer* server_;
+  DownstreamServer* server_;
   tcp::socket socket_;
   boost::beast::flat_buffer buffer_{kHeaderLimit + 2 * kBodyChunk};
   std::optional<http::request_parser<PieceBody>> parser_;
   Answered answered_;
-  BodyShare held_;
+  MemoryReservation held_;
   std::shared_ptr<BodyStream> upload_, download_;
   std::string piece_;  // of the answer or all of it, being written
   State state_ = State::idle;
   std::optional<CloseReason> endedFor_;
   SessionList* list_ = nullptr;   // that holds this session,
   SessionList::iterator inList_;  // here
-  ExchangeId exchange_ = 0;
+  DownstreamRequestId exchange_ = 0;
   const Clock::time_point connected_ = Clock::now();
   Clock::time_point since_;  // of the state; of a request's first byte, once it is there
   Clock::time_point lastCame_ = connected_, bodyBegan_, paused_;
@@ -588,8 +588,8 @@
   bool feeding_ = false, lastChunk_ = false;
 };
 
-ClientServer::ClientServer(asio::io_context& io, Limits limits, Callbacks callbacks,
-                           std::shared_ptr<BodyBudget> budget)
+DownstreamServer::DownstreamServer(asio::io_context& io, Limits limits, Callbacks callbacks,
+                                   std::shared_ptr<MemoryBudget> budget)
     : io_(io),
       acceptor_(io),
       limits_(limits),
@@ -600,7 +600,7 @@
   sweep();
 }
 
-void ClientServer::listen(const tcp::endpoint& at, bool shared) {
+void DownstreamServer::listen(const tcp::endpoint& at, bool shared) {
   acceptor_.open(at.protocol());
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
   using ReusePort = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
@@ -614,22 +614,22 @@
   accept();
 }
 
-void ClientServer::allow(std::size_t connections) {
+void DownstreamServer::allow(std::size_t connections) {
   limits_.connections = connections;
   while (admitted() > limits_.connections && makeRoom()) {
   }
 }
 
-ClientServer::~ClientServer() {
+DownstreamServer::~DownstreamServer() {
   onEmpty = nullptr;
-  callbacks_.gone = callbacks_.uploaded = [](ExchangeId) {};
+  callbacks_.gone = callbacks_.uploaded = [](DownstreamRequestId) {};
   waiting_.clear();
   const std::vector<std::shared_ptr<Session>> all(sessions_.begin(), sessions_.end());
   for (const auto& session : all)
     session->close(CloseReason::processEnd);
 }
 
-std::shared_ptr<ClientServer::Session> ClientServer::takeWaiter(ExchangeId exchange) {
+std::shared_ptr<DownstreamServer::Session> DownstreamServer::takeWaiter(DownstreamRequestId exchange) {
   const auto it = waiting_.find(exchange);
   if (it == waiting_.end())
     return nullptr;
@@ -638,29 +638,30 @@
   return session;
 }
 
-void ClientServer::answer(ExchangeId exchange, HttpResponse response, Answered answered) {
+void DownstreamServer::answer(DownstreamRequestId exchange, HttpResponse response, Answered answered) {
   if (const auto session = takeWaiter(exchange))
     session->answer(std::move(response), std::move(answered));
 }
 
-void ClientServer::answer(ExchangeId exchange, HttpResponse head, std::shared_ptr<BodyStream> body,
-                          std::optional<std::uint64_t> length, Answered answered) {
+void DownstreamServer::answer(DownstreamRequestId exchange, HttpResponse head,
+                              std::shared_ptr<BodyStream> body, std::optional<std::uint64_t> length,
+                              Answered answered) {
   if (const auto session = takeWaiter(exchange))
     session->answer(std::move(head), std::move(body), length, std::move(answered));
 }
 
-bool ClientServer::present(ExchangeId exchange) const {
+bool DownstreamServer::present(DownstreamRequestId exchange) const {
   const auto it = waiting_.find(exchange);
   return it != waiting_.end() && !it->second->hungUp();
 }
 
-void ClientServer::leave(ExchangeId exchange) {
+void DownstreamServer::leave(DownstreamRequestId exchange) {
   const auto it = waiting_.find(exchange);
   if (it != waiting_.end())
     std::shared_ptr<Session>(it->second)->gone();
 }
 
-void ClientServer::accept() {
+void DownstreamServer::accept() {
   acceptor_.async_wait(tcp::acceptor::wait_read, [this](error_code ec) {
     if (ec || !acceptor_.is_open())
       return;
@@ -677,7 +678,7 @@
 
 // Takes a batch of those that wait. Danger: at the limit, room may be made only for a connection that is
 // there: an idle client is not sent away for nobody. So there may be one over it.
-ClientServer::Accepted ClientServer::takeWaiting() {
+DownstreamServer::Accepted DownstreamServer::takeWaiting() {
   for (std::size_t tries = 0; tries < kAcceptBatch; ++tries) {
     if (admitted() > limits_.connections && !makeRoom())
       return Accepted::noRoom;
@@ -703,7 +704,7 @@
   return Accepted::some;
 }
 
-void ClientServer::admit(tcp::socket socket) {
+void DownstreamServer::admit(tcp::socket socket) {
   error_code ignored;
   socket.set_option(tcp::no_delay(true), ignored);
   socket.non_blocking(true, ignored);
@@ -716,7 +717,7 @@
 // one whose time to linger may be cut short. Who writes slowly, but writes, stays, and so does every request
 // that was taken. Danger: its next request may be on its way to the one that leaves, so that lingers, too,
 // and only the first of several has to go at once.
-bool ClientServer::makeRoom(Fresh fresh) {
+bool DownstreamServer::makeRoom(Fresh fresh) {
   std::shared_ptr<Session> leaving = oldestIdle(fresh);
   if (!leaving)
     leaving = oldestUnfinished();
@@ -733,7 +734,7 @@
   return lingering != nullptr;
 }
 
-std::shared_ptr<ClientServer::Session> ClientServer::oldestIdle(Fresh fresh) const {
+std::shared_ptr<DownstreamServer::Session> DownstreamServer::oldestIdle(Fresh fresh) const {
   const auto now = Clock::now();
   std::size_t looked = 0;
   for (Session* session : idle_) {
@@ -747,7 +748,7 @@
   return nullptr;
 }
 
-std::shared_ptr<ClientServer::Session> ClientServer::oldestUnfinished() const {
+std::shared_ptr<DownstreamServer::Session> DownstreamServer::oldestUnfinished() const {
   const auto quiet = Clock::now() - kSilent;
   std::size_t looked = 0;
   for (Session* session : unfinished_) {
@@ -761,7 +762,7 @@
   return nullptr;
 }
 
-std::shared_ptr<ClientServer::Session> ClientServer::oldestLingering() const {
+std::shared_ptr<DownstreamServer::Session> DownstreamServer::oldestLingering() const {
   for (Session* session : lingering_) {
     std::shared_ptr<Session> candidate = session->shared_from_this();
     if (!leaves(candidate))
@@ -770,11 +771,11 @@
   return nullptr;
 }
 
-bool ClientServer::leaves(const std::shared_ptr<Session>& session) const {
+bool DownstreamServer::leaves(const std::shared_ptr<Session>& session) const {
   return std::find(leaving_.begin(), leaving_.end(), session) != leaving_.end();
 }
 
-void ClientServer::ended(const std::shared_ptr<Session>& session) {
+void DownstreamServer::ended(const std::shared_ptr<Session>& session) {
   sessions_.erase(session);
   std::erase(leaving_, session);
   if (sessions_.empty() && !acceptor_.is_open() && onEmpty)
@@ -784,11 +785,11 @@
     });
 }
 
-void ClientServer::lastAnswers() {
+void DownstreamServer::lastAnswers() {
   last_ = true;
 }
 
-void ClientServer::stopAccepting() {
+void DownstreamServer::stopAccepting() {
   if (acceptor_.is_open()) {
     // Danger: what waits to be accepted may hold requests already, and a closed listener resets it. So from
     // here on no connection completes, then all that did are taken.
@@ -812,7 +813,7 @@
     onEmpty();
 }
 
-void ClientServer::sweep() {
+void DownstreamServer::sweep() {
   const auto now = Clock::now();
   const std::vector<std::shared_ptr<Session>> all(sessions_.begin(), sessions_.end());
   for (const auto& session : all)
--- a/src/gateway/client_server.hpp
+++ b/src/gateway/downstream_server.hpp
@@ -17,22 +17,22 @@
 
 #include "gateway/body_stream.hpp"
 #include "gateway/close_reason.hpp"
-#include "gateway/host_pool.hpp"
+#include "gateway/upstream_pool.hpp"
 
 namespace hollyrun::gateway {
 
-using ExchangeId = std::uint64_t;  // one request of a client with its answer; never used again
+using DownstreamRequestId = std::uint64_t;  // one request of a client with its answer; never used again
 
 struct ClientRequest {
-  ExchangeId exchange = 0;
+  DownstreamRequestId exchange = 0;
   HttpRequest message;                         // with its body, if that is held whole
   std::chrono::steady_clock::time_point came;  // its last byte; of an upload, its head
-  BodyShare held;
+  MemoryReservation held;
   std::shared_ptr<BodyStream> upload;   // its body, if that comes in pieces
   std::optional<std::uint64_t> length;  // of the upload, if it is known
 };
 
-class ClientServer {
+class DownstreamServer {
  public:
   struct Limits {
     std::size_t connections = 640;
@@ -41,22 +41,23 @@
     std::chrono::milliseconds idle{75000};  // between requests
   };
   struct Callbacks {
-    std::function<void(ClientRequest)> request;  // to be answered by answer(), now or later
-    std::function<void(ExchangeId)> gone;        // its client left; no answer is wanted
-    std::function<void(ExchangeId)> uploaded;    // the last byte of its upload has come
+    std::function<void(ClientRequest)> request;         // to be answered by answer(), now or later
+    std::function<void(DownstreamRequestId)> gone;      // its client left; no answer is wanted
+    std::function<void(DownstreamRequestId)> uploaded;  // the last byte of its upload has come
     // Answered here, for its form or, if `busy`, for lack of room; no target if it had no whole head.
     std::function<void(const std::string& target, bool busy)> refused;
     // A connection whose client waits for its answer was closed by this side: a lost request.
-    std::function<void(ExchangeId, CloseReason)> closedUnanswered = [](ExchangeId, CloseReason) {};
+    std::function<void(DownstreamRequestId, CloseReason)> closedUnanswered = [](DownstreamRequestId,
+                                                                                CloseReason) {};
   };
 
   using Answered = std::function<void(bool whole)>;  // the answer left whole, or its client before that
 
-  ClientServer(boost::asio::io_context& io, Limits limits, Callbacks callbacks,
-               std::shared_ptr<BodyBudget> budget);
-  ~ClientServer();
-  ClientServer(const ClientServer&) = delete;
-  ClientServer& operator=(const ClientServer&) = delete;
+  DownstreamServer(boost::asio::io_context& io, Limits limits, Callbacks callbacks,
+                   std::shared_ptr<MemoryBudget> budget);
+  ~DownstreamServer();
+  DownstreamServer(const DownstreamServer&) = delete;
+  DownstreamServer& operator=(const DownstreamServer&) = delete;
 
   // Throws boost::system::system_error. `shared`: another process may listen there too.
   void listen(const boost::asio::ip::tcp::endpoint& at, bool shared);
@@ -64,15 +65,15 @@
   bool takesClients() const { return acceptor_.is_open(); }
   int listener() { return acceptor_.native_handle(); }
   void allow(std::size_t connections);  // fewer than are open: idle ones go
-  void answer(ExchangeId exchange, HttpResponse response, Answered answered);
+  void answer(DownstreamRequestId exchange, HttpResponse response, Answered answered);
   // The body comes in pieces; in chunks if its length is not known.
-  void answer(ExchangeId exchange, HttpResponse head, std::shared_ptr<BodyStream> body,
+  void answer(DownstreamRequestId exchange, HttpResponse head, std::shared_ptr<BodyStream> body,
               std::optional<std::uint64_t> length, Answered answered);
   // Whether the client that waits for this answer is still there, asked of its socket: what the event loop
   // has not come to yet counts, too. For one that left, `gone` is due: see leave().
-  bool present(ExchangeId exchange) const;
-  void leave(ExchangeId exchange);  // its client left: closes the connection and tells `gone`
-  void lastAnswers();               // from now on every answer closes its connection
+  bool present(DownstreamRequestId exchange) const;
+  void leave(DownstreamRequestId exchange);  // its client left: closes the connection and tells `gone`
+  void lastAnswers();                        // from now on every answer closes its connection
   void stopAccepting();  // takes what waits to be accepted, then closes the listener and idle connections
   std::size_t connections() const { return sessions_.size(); }
   const CloseCounts& closed() const { return closed_; }  // connections so far, by reason
@@ -86,7 +87,7 @@
   enum class Accepted { all, some, noRoom };
 
   void accept();
-  std::shared_ptr<Session> takeWaiter(ExchangeId exchange);
+  std::shared_ptr<Session> takeWaiter(DownstreamRequestId exchange);
   Accepted takeWaiting();
   void admit(boost::asio::ip::tcp::socket socket);
   enum class Fresh { mayGo, stay };  // connections whose first request may be on its way
@@ -103,15 +104,15 @@
   boost::asio::ip::tcp::acceptor acceptor_;
   Limits limits_;
   Callbacks callbacks_;
-  std::shared_ptr<BodyBudget> budget_;
+  std::shared_ptr<MemoryBudget> budget_;
   boost::asio::steady_timer sweeper_, again_;
   // What may be closed to make room, by state, the oldest first. Danger: the accept queue of a flood is long,
   // and a search among all sessions for each connection in it holds up the event loop for a second.
   SessionList idle_, unfinished_, lingering_;
   std::unordered_set<std::shared_ptr<Session>> sessions_;
   std::deque<std::shared_ptr<Session>> leaving_;  // they made room and linger, the first for longest
-  std::unordered_map<ExchangeId, std::shared_ptr<Session>> waiting_;
-  ExchangeId lastExchange_ = 0;
+  std::unordered_map<DownstreamRequestId, std::shared_ptr<Session>> waiting_;
+  DownstreamRequestId lastExchange_ = 0;
   CloseCounts closed_{};
   bool last_ = false;
 };
--- a/src/gateway/host_list.cpp
+++ b/src/gateway/endpoint_list.cpp
@@ -1,4 +1,4 @@
-#include "gateway/host_list.hpp"
+#include "gateway/endpoint_list.hpp"
 
 #include <boost/asio/ip/address.hpp>
 #include <charconv>
@@ -65,9 +65,9 @@
 
 }  // namespace
 
-HostList parseHostList(const nlohmann::json& json) {
+EndpointList parseHostList(const nlohmann::json& json) {
   try {
-    HostList list;
+    EndpointList list;
     list.version = wholeNumber(json.at("rev"), INT64_MAX);
     list.full = json.value("all", false);
     // Danger: what is no list would pass for an empty one, and an empty whole list drops all hosts.
--- a/src/gateway/host_list.hpp
+++ b/src/gateway/endpoint_list.hpp
@@ -22,14 +22,14 @@
   std::int64_t bootMs = 0;  // Unix time; 0 = long ago
 };
 
-struct HostList {
+struct EndpointList {
   std::int64_t version = 0;
   bool full = false;  // what is missing is gone; else changes only
   std::vector<ListedHost> hosts;
 };
 
 // Both throw std::invalid_argument on nonsense.
-HostList parseHostList(const nlohmann::json& json);
+EndpointList parseHostList(const nlohmann::json& json);
 boost::asio::ip::tcp::endpoint parseEndpoint(std::string_view text);  // "127.0.0.1:8080"
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -23,13 +23,13 @@
 using balancer::Action;
 using balancer::ActionKind;
 using balancer::Duration;
-using balancer::Effect;
+using balancer::EndpointListKind;
+using balancer::EndpointState;
+using balancer::EndpointStatus;
 using balancer::HostId;
-using balancer::ListKind;
+using balancer::Idempotency;
 using balancer::Outcome;
-using balancer::Phase;
 using balancer::RequestId;
-using balancer::ServerState;
 using balancer::Time;
 using boost::system::error_code;
 using Clock = std::chrono::steady_clock;
@@ -73,26 +73,27 @@
       clientsMost_(waits.clients.connections),
       bodyBytes_(config.memoryBytes / 4),
       abortOnViolation_(waits.abortOnViolation),
-      budget_(std::make_shared<BodyBudget>(bodyBytes_)),
+      budget_(std::make_shared<MemoryBudget>(bodyBytes_)),
       balancer_(config.module, now()),
       hosts_(
-          io, {shareOf(config.sockets, 2, 5), config.connectTimeout, config.module.idleClose},
-          [this](AttemptEnd end) {
+          io, {shareOf(config.sockets, 2, 5), config.connectTimeout, config.module.idleTimeout},
+          [this](AttemptCompletion end) {
             ends_.push_back(std::move(end));
             drainActions();
           },
           budget_,
-          [this](const AttemptKey& attempt, HostId host, HostPool::Step step, Duration left) {
+          [this](const AttemptKey& attempt, HostId host, UpstreamPool::Step step, Duration left) {
             return permit(attempt, host, step, left);
           }),
-      discovery_(
-          io, config.discovery,
-          {[this](const HostList& list) { told(list, list.full ? ListKind::replace : ListKind::update); },
-           [this] {
-             balancer_.onHosts(now(), ListKind::unavailable, {});
-             drainActions();
-           }},
-          waits.discovery),
+      discovery_(io, config.discovery,
+                 {[this](const EndpointList& list) {
+                    told(list, list.full ? EndpointListKind::snapshot : EndpointListKind::delta);
+                  },
+                  [this] {
+                    balancer_.onEndpoints(now(), EndpointListKind::unavailable, {});
+                    drainActions();
+                  }},
+                 waits.discovery),
       waker_(io),
       shutDownTimer_(io),
       openTimer_(io),
@@ -102,24 +103,24 @@
                 .slow = waits.clients.slow,
                 .idle = waits.clients.idle},
                {[this](ClientRequest request) { received(std::move(request)); },
-                [this](ExchangeId exchange) { clientGone(exchange); },
-                [this](ExchangeId exchange) { uploaded(exchange); },
+                [this](DownstreamRequestId exchange) { clientGone(exchange); },
+                [this](DownstreamRequestId exchange) { uploaded(exchange); },
                 [this](const std::string& target, bool busy) {
                   statistics_.answered(statistics_.classOf(firstPart(target)),
                                        busy ? Statistics::End::busy : Statistics::End::failure, std::nullopt);
                 },
-                [this](ExchangeId exchange, CloseReason reason) {
+                [this](DownstreamRequestId exchange, CloseReason reason) {
                   ++counters_.closedUnanswered;
                   const auto it = byClient_.find(exchange);
                   violated("closed_unanswered, " + std::string(nameOf(reason)),
-                           it == byClient_.end() ? "-" : idOf(exchanges_.at(it->second)));
+                           it == byClient_.end() ? "-" : idOf(contexts_.at(it->second)));
                 }},
                budget_) {
   take(config.module);
   if (config.known)
     discovery_.knows(config.known->version);
   // The module asks discovery once it was given a list, an empty one too.
-  told(config.known ? *config.known : HostList{0, true, {}}, ListKind::restored);
+  told(config.known ? *config.known : EndpointList{0, true, {}}, EndpointListKind::cached);
   if (config.management) {
     management_.emplace(io, *config.management,
                         Management::Callbacks{[this] { return takesClients(); },
@@ -176,7 +177,7 @@
 
 void Gateway::reload(const Config& config) {
   take(config.module);
-  hosts_.setTimes(config.connectTimeout, config.module.idleClose);
+  hosts_.setTimes(config.connectTimeout, config.module.idleTimeout);
   balancer_.onSettings(now(), config.module);
   statistics_.reconfigured(true);
   join(config);
@@ -187,7 +188,7 @@
 
 // In the fleet as the configuration wants it. A place that is another now is left and taken anew.
 void Gateway::join(const Config& config) {
-  groupSize_ = config.module.groupSize;
+  replicaCount_ = config.module.replicaCount;
   if (shuttingDown_)
     return;
   if (fleet_ && fleet_->serves(config))
@@ -205,10 +206,10 @@
 // Limits of the whole fleet are divided by all that may hold a part. Danger: never by fewer than were
 // configured, or the two sides of a cut would hold more than the whole.
 void Gateway::divide() {
-  const std::uint32_t size = std::max(groupSize_, fleet_ ? fleet_->holders() : 1);
-  if (size == settings_.groupSize)
+  const std::uint32_t size = std::max(replicaCount_, fleet_ ? fleet_->holders() : 1);
+  if (size == settings_.replicaCount)
     return;
-  settings_.groupSize = size;
+  settings_.replicaCount = size;
   balancer_.onSettings(now(), settings_);
   log_.write(LogLevel::info, "fleet", "limits of the fleet are divided anew", {{"by", std::to_string(size)}});
   drainActions();
@@ -235,29 +236,29 @@
 
 // --- Events ---------------------------------------------------------------------------------------------
 
-void Gateway::told(const HostList& list, ListKind kind) {
-  const auto source =
-      kind == ListKind::restored ? ServerStartTimes::Source::remembered : ServerStartTimes::Source::discovery;
+void Gateway::told(const EndpointList& list, EndpointListKind kind) {
+  const auto source = kind == EndpointListKind::cached ? ServerStartTimes::Source::remembered
+                                                       : ServerStartTimes::Source::discovery;
   const std::vector<Time> starts = startTimes_.of(list, source, clocks());
-  std::vector<balancer::HostEntry> entries;
+  std::vector<balancer::Endpoint> entries;
   for (const ListedHost& host : list.hosts) {
-    balancer::HostEntry e;
+    balancer::Endpoint e;
     // The uid names a host to the module: it is the same at all gateways, and outlives a new address.
     e.address = host.uid;
     e.zone = host.zone;
-    e.kind = host.kind;
+    e.machineType = host.kind;
     e.cell = host.cell;
     e.weight = host.weight;
     e.upSince = starts[entries.size()];
-    e.phase = host.state == HostState::serving    ? Phase::in
-              : host.state == HostState::draining ? Phase::draining
-                                                  : Phase::out;
+    e.state = host.state == HostState::serving    ? EndpointState::serving
+              : host.state == HostState::draining ? EndpointState::draining
+                                                  : EndpointState::removed;
     entries.push_back(std::move(e));
   }
-  balancer_.onHosts(now(), kind, entries);
-  if (kind != ListKind::update)
-    for (ServerState& server : servers_)
-      leaves(server, Phase::out);  // what a whole list leaves out is gone
+  balancer_.onEndpoints(now(), kind, entries);
+  if (kind != EndpointListKind::delta)
+    for (EndpointStatus& server : servers_)
+      leaves(server, EndpointState::removed);  // what a whole list leaves out is gone
   for (std::size_t i = 0; i < list.hosts.size(); ++i) {
     const ListedHost& host = list.hosts[i];
     const HostId id = balancer_.findHost(host.uid);
@@ -267,8 +268,8 @@
     if (host.state != HostState::serving)
       hosts_.drain(id);
   }
-  ready_ = ready_ || !list.hosts.empty() || kind != ListKind::restored;
-  if (kind != ListKind::restored && !clients_.takesClients()) {
+  ready_ = ready_ || !list.hosts.empty() || kind != EndpointListKind::cached;
+  if (kind != EndpointListKind::cached && !clients_.takesClients()) {
     openTimer_.expires_at(std::min(openTimer_.expiry(), start_ + kOpenFirst));
     openTimer_.async_wait([this](error_code ec) {
       if (!ec)
@@ -279,24 +280,24 @@
 }
 
 // The time of a drain is that of the first word of it.
-void Gateway::leaves(ServerState& server, Phase phase) {
-  if (server.phase == Phase::in)
-    server.phaseSince = now();
-  server.phase = phase;
+void Gateway::leaves(EndpointStatus& server, EndpointState state) {
+  if (server.state == EndpointState::serving)
+    server.stateSince = now();
+  server.state = state;
 }
 
-void Gateway::note(HostId id, const balancer::HostEntry& entry) {
+void Gateway::note(HostId id, const balancer::Endpoint& entry) {
   if (servers_.size() <= id)
     servers_.resize(id + std::size_t{1});
-  ServerState& server = servers_[id];
+  EndpointStatus& server = servers_[id];
   server.id = id;
   server.zone = entry.zone;
   server.cell = entry.cell;
   server.upSince = entry.upSince;
-  if (entry.phase == Phase::in)
-    server.phase = Phase::in;
+  if (entry.state == EndpointState::serving)
+    server.state = EndpointState::serving;
   else
-    leaves(server, entry.phase);
+    leaves(server, entry.state);
 }
 
 void Gateway::received(ClientRequest request) {
@@ -328,17 +329,17 @@
     return clients_.leave(request.exchange);
   }
   asked.id = ++lastRequest_;
-  const Duration left = asked.left - kAnswerMargin;
-  asked.left = left - (Clock::now() - request.came);
+  const Duration left = asked.remaining - kAnswerMargin;
+  asked.remaining = left - (Clock::now() - request.came);
   asked.uploading = request.upload != nullptr;
   stripHop(request.message);
-  Exchange& exchange = exchanges_[asked.id];
+  RequestContext& exchange = contexts_[asked.id];
   exchange.client = request.exchange;
   const balancer::ClassSettings& cls = settings_.classes[asked.classIndex];
   exchange.counted = statistics_.classOf(cls.name);
-  exchange.terms.effect = cls.effect;
-  exchange.terms.group = cls.group;
-  exchange.terms.window = cls.window;
+  exchange.terms.idempotency = cls.idempotency;
+  exchange.terms.deduplicationScope = cls.deduplicationScope;
+  exchange.terms.deduplicationWindow = cls.deduplicationWindow;
   exchange.left = left;
   exchange.held = std::move(request.held);
   exchange.upload = std::move(request.upload);
@@ -377,18 +378,18 @@
   const bool get = message.method() == http::verb::get;
   if (!get && message.method() != http::verb::post)
     return http::status::method_not_allowed;
-  if (get != (c.effect == Effect::retryable))
+  if (get != (c.idempotency == Idempotency::idempotent))
     return http::status::method_not_allowed;
   if (message.count(http::field::host) != 1)
     return http::status::bad_request;
-  if (c.effect == Effect::dedup && message["Idempotency-Key"].empty())
+  if (c.idempotency == Idempotency::keyed && message["Idempotency-Key"].empty())
     return http::status::bad_request;
-  request.left = c.giveUp;
+  request.remaining = c.clientTimeout;
   if (message.count("X-Deadline-Ms")) {
     std::uint32_t ms = 0;
     if (!parse(message["X-Deadline-Ms"], ms))
       return http::status::bad_request;
-    request.left = std::chrono::milliseconds(ms);
+    request.remaining = std::chrono::milliseconds(ms);
   }
   std::uint32_t costUs = 0;
   if (parse(message["X-Cost-Hint"], costUs))
@@ -403,20 +404,20 @@
   return http::status::ok;
 }
 
-void Gateway::clientGone(ExchangeId client) {
+void Gateway::clientGone(DownstreamRequestId client) {
   const auto known = byClient_.find(client);
   if (known == byClient_.end())
     return;
   const RequestId id = known->second;
   byClient_.erase(known);
-  Exchange& exchange = exchanges_.at(id);
+  RequestContext& exchange = contexts_.at(id);
   exchange.ended = true;
   counting(exchange, Statistics::End::failure)(false);
   if (log_.tracing())
     log_.trace("client_left", {{"request", idOf(exchange)}});
   over_.push_back(id);
   const std::uint32_t begun = exchange.begun;  // the exchange may go with the last of them
-  balancer_.onClientGone(now(), id);
+  balancer_.onClientDisconnected(now(), id);
   drainActions();
   // Danger: where attempts may not be cancelled, one that waits for its connection would still be sent.
   for (std::uint32_t attempt = 0; attempt < begun; ++attempt)
@@ -425,7 +426,7 @@
 
 // Danger: a client may leave in the turn of the event loop in which an attempt of its request begins, and its
 // socket tells so before the loop does.
-bool Gateway::clientPresent(const Exchange& exchange) {
+bool Gateway::clientPresent(const RequestContext& exchange) {
   if (exchange.ended)
     return false;
   if (clients_.present(exchange.client))
@@ -435,12 +436,12 @@
 }
 
 // Each step of an attempt is admitted by the facts of its own moment, and only here.
-HostPool::Permission Gateway::permit(const AttemptKey& attempt, HostId host, HostPool::Step step,
-                                     Duration left) {
-  const auto it = exchanges_.find(attempt.request);
-  if (it == exchanges_.end())
-    return {Outcome::moot, {}};
-  Exchange& exchange = it->second;
+UpstreamPool::Permission Gateway::permit(const AttemptKey& attempt, HostId host, UpstreamPool::Step step,
+                                         Duration left) {
+  const auto it = contexts_.find(attempt.request);
+  if (it == contexts_.end())
+    return {Outcome::abandoned, {}};
+  RequestContext& exchange = it->second;
   // The client's time does not run before the last byte of its upload.
   const Duration counted = exchange.taken ? left : exchange.left;
   const balancer::Admission admission = guard_.admit({.now = now(),
@@ -454,10 +455,10 @@
     traceAttempt("attempt_denied", exchange, attempt, host, balancer::nameOf(*admission.denied));
     if (balancer::isViolation(*admission.denied))
       violated(balancer::nameOf(*admission.denied), idOf(exchange));
-    const bool gone = *admission.denied == balancer::DenialReason::clientGone;
-    return {gone ? Outcome::moot : Outcome::notSent, {}};
+    const bool gone = *admission.denied == balancer::DenialReason::clientDisconnected;
+    return {gone ? Outcome::abandoned : Outcome::localFailure, {}};
   }
-  if (step == HostPool::Step::write) {
+  if (step == UpstreamPool::Step::write) {
     exchange.history.wrote(attempt.attempt, servers_.at(host), now());
     if (log_.tracing())
       traceAttempt("attempt_begun", exchange, attempt, host,
@@ -473,11 +474,11 @@
     std::abort();
 }
 
-std::string Gateway::idOf(const Exchange& exchange) {
+std::string Gateway::idOf(const RequestContext& exchange) {
   return exchange.message["X-Request-Id"].to_string();
 }
 
-void Gateway::traceAttempt(std::string_view step, const Exchange& exchange, const AttemptKey& attempt,
+void Gateway::traceAttempt(std::string_view step, const RequestContext& exchange, const AttemptKey& attempt,
                            HostId host, std::string_view detail) {
   if (!log_.tracing())
     return;
@@ -497,11 +498,11 @@
 }
 
 // The time of an upload runs from its last byte.
-void Gateway::uploaded(ExchangeId client) {
+void Gateway::uploaded(DownstreamRequestId client) {
   const auto known = byClient_.find(client);
   if (known == byClient_.end())
     return;
-  Exchange& exchange = exchanges_.at(known->second);
+  RequestContext& exchange = contexts_.at(known->second);
   exchange.taken = true;
   exchange.came = Clock::now();
   statistics_.taken();
@@ -511,15 +512,15 @@
   drainActions();
 }
 
-void Gateway::settle(AttemptEnd end) {
-  const auto it = exchanges_.find(end.key.request);
-  if (it == exchanges_.end() || it->second.ended) {
+void Gateway::settle(AttemptCompletion end) {
+  const auto it = contexts_.find(end.key.request);
+  if (it == contexts_.end() || it->second.ended) {
     if (end.body)
       end.body->abandon();
   }
-  if (it == exchanges_.end())
+  if (it == contexts_.end())
     return;
-  Exchange& exchange = it->second;
+  RequestContext& exchange = it->second;
   --exchange.out;
   exchange.history.ended(end.key.attempt, end.outcome);
   counters_.ended(end.outcome);
@@ -535,7 +536,7 @@
   result.attempt = end.key.attempt;
   result.host = end.host;
   result.outcome = end.outcome;
-  result.taken = end.taken;
+  result.elapsed = end.taken;
   result.terminal = exchange.ended;
   balancer_.onResult(now(), result);
 }
@@ -549,7 +550,7 @@
     return;
   carrying_ = true;
   for (;;) {
-    for (const ExchangeId client : std::exchange(departed_, {}))
+    for (const DownstreamRequestId client : std::exchange(departed_, {}))
       clients_.leave(client);
     const std::vector<Action> actions = std::exchange(balancer_.actions(), {});
     for (const Action& action : actions)
@@ -559,14 +560,14 @@
     // Entries are dropped only after all actions that name them are done.
     if (balancer_.actions().empty())
       for (const RequestId id : std::exchange(over_, {}))
-        if (const auto it = exchanges_.find(id);
-            it != exchanges_.end() && it->second.ended && it->second.out == 0)
-          exchanges_.erase(it);
+        if (const auto it = contexts_.find(id);
+            it != contexts_.end() && it->second.ended && it->second.out == 0)
+          contexts_.erase(it);
     if (!balancer_.actions().empty())
       continue;
     if (ends_.empty())
       break;
-    AttemptEnd end = std::move(ends_.front());
+    AttemptCompletion end = std::move(ends_.front());
     ends_.pop_front();
     settle(std::move(end));
   }
@@ -577,7 +578,7 @@
   switch (action.kind) {
     case ActionKind::send:
       return send(action);
-    case ActionKind::refuse:
+    case ActionKind::reject:
     case ActionKind::fail:
       return giveUp(action);
     case ActionKind::cancel:
@@ -585,8 +586,8 @@
     case ActionKind::close:
       return hosts_.closeIdle(action.host);
     case ActionKind::wake:
-      return wakeAt(action.span);
-    case ActionKind::subscribe:
+      return wakeAt(action.wakeAt);
+    case ActionKind::pollDiscovery:
       return discovery_.watch();
     case ActionKind::log:
       return log_.write(LogLevel::info, "decisions", action.text);
@@ -594,15 +595,15 @@
 }
 
 void Gateway::send(const Action& action) {
-  const auto it = exchanges_.find(action.request);
-  if (it == exchanges_.end() || it->second.ended)
+  const auto it = contexts_.find(action.request);
+  if (it == contexts_.end() || it->second.ended)
     return;
-  Exchange& exchange = it->second;
+  RequestContext& exchange = it->second;
   ++exchange.out;
   exchange.begun = action.attempt + 1;
   balancer::AttemptTerms& terms = exchange.decided.emplace_back(exchange.terms);
   terms.maxAttempts = settings_.maxAttempts;
-  terms.parallelTries = settings_.parallelTries;
+  terms.allowHedging = settings_.allowHedging;
   terms.serverUpSince = servers_.at(action.host).upSince;
   HttpRequest message = exchange.message;
   message.version(11);
@@ -610,38 +611,40 @@
   if (exchange.upload) {
     // Danger: a body of which bytes were sent is not whole any more, and two attempts can't share one.
     if (exchange.upload->touched() || exchange.out > 1) {
-      ends_.push_back({{action.request, action.attempt}, action.host, Outcome::moot, {}, {}});
+      ends_.push_back({{action.request, action.attempt}, action.host, Outcome::abandoned, {}, {}});
       return;
     }
     return hosts_.start({action.request, action.attempt}, action.host, std::move(message), exchange.upload,
-                        exchange.length, exchange.taken ? action.span : kUploadConnect, action.begin);
+                        exchange.length, exchange.taken ? action.timeLimit : kUploadConnect,
+                        action.latestStart);
   }
   if (message.method() != http::verb::get || !message.body().empty())
     message.prepare_payload();
-  hosts_.start({action.request, action.attempt}, action.host, std::move(message), action.span, action.begin);
+  hosts_.start({action.request, action.attempt}, action.host, std::move(message), action.timeLimit,
+               action.latestStart);
 }
 
 void Gateway::giveUp(const Action& action) {
-  const auto it = exchanges_.find(action.request);
-  if (it == exchanges_.end() || it->second.ended)
+  const auto it = contexts_.find(action.request);
+  if (it == contexts_.end() || it->second.ended)
     return;
   over_.push_back(action.request);
   counters_.gaveUp(action.reason);
   if (log_.tracing())
-    log_.trace(action.kind == ActionKind::refuse ? "refused" : "failed",
+    log_.trace(action.kind == ActionKind::reject ? "refused" : "failed",
                {{"request", idOf(it->second)}, {"reason", std::string(nameOf(action.reason))}});
-  HttpResponse response = plain(action.kind == ActionKind::refuse ? http::status::service_unavailable
+  HttpResponse response = plain(action.kind == ActionKind::reject ? http::status::service_unavailable
                                                                   : http::status::bad_gateway);
-  if (action.kind == ActionKind::refuse && action.span > Duration{}) {
+  if (action.kind == ActionKind::reject && action.retryAfter > Duration{}) {
     std::array<char, 32> text{};
-    std::snprintf(text.data(), text.size(), "%.3f", std::chrono::duration<double>(action.span).count());
+    std::snprintf(text.data(), text.size(), "%.3f", std::chrono::duration<double>(action.retryAfter).count());
     response.set(http::field::retry_after, text.data());
   }
   answer(it->second, std::move(response),
-         action.kind == ActionKind::refuse ? Statistics::End::busy : Statistics::End::failure);
+         action.kind == ActionKind::reject ? Statistics::End::busy : Statistics::End::failure);
 }
 
-ClientServer::Answered Gateway::counting(const Exchange& exchange, Statistics::End end) {
+DownstreamServer::Answered Gateway::counting(const RequestContext& exchange, Statistics::End end) {
   const std::string id = log_.access() ? exchange.message["X-Request-Id"].to_string() : std::string();
   return [this, cls = exchange.counted, end, taken = exchange.taken, came = exchange.came, id](bool whole) {
     std::optional<Clock::duration> took;
@@ -657,11 +660,11 @@
 }
 
 Statistics::Gauges Gateway::gauges() const {
-  const auto hosts = balancer_.hostCounts();
-  return {hosts_.written(), hosts.listed, hosts.avoided};
+  const auto hosts = balancer_.endpointCounts();
+  return {hosts_.written(), hosts.listed, hosts.unavailable};
 }
 
-void Gateway::answer(Exchange& exchange, HttpResponse response, Statistics::End end,
+void Gateway::answer(RequestContext& exchange, HttpResponse response, Statistics::End end,
                      std::shared_ptr<BodyStream> body, std::optional<std::uint64_t> length) {
   exchange.ended = true;
   byClient_.erase(exchange.client);
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -13,17 +13,17 @@
 #include <vector>
 
 #include "balancer/dispatch_guard.hpp"
-#include "gateway/client_server.hpp"
 #include "gateway/config.hpp"
 #include "gateway/discovery.hpp"
-#include "gateway/fleet_link.hpp"
-#include "gateway/host_pool.hpp"
+#include "gateway/downstream_server.hpp"
 #include "gateway/hot_restart.hpp"
 #include "gateway/log.hpp"
 #include "gateway/management.hpp"
+#include "gateway/membership_transport.hpp"
 #include "gateway/request_metrics.hpp"
 #include "gateway/server_start_times.hpp"
 #include "gateway/statistics.hpp"
+#include "gateway/upstream_pool.hpp"
 #include "hollyrun/balancer.hpp"
 
 namespace hollyrun::gateway {
@@ -36,7 +36,7 @@
 class Gateway {
  public:
   struct Waits {  // shorter in tests only
-    ClientServer::Limits clients;
+    DownstreamServer::Limits clients;
     Discovery::Waits discovery;
     // A broken rule ends the process, so that a test or a soak finds it; in service it is counted and logged.
     bool abortOnViolation = false;
@@ -51,7 +51,7 @@
 
   boost::asio::ip::tcp::endpoint listening() const { return clients_.listening(); }
   std::optional<boost::asio::ip::tcp::endpoint> management() const;
-  const FleetLink* fleet() const { return fleet_ ? &*fleet_ : nullptr; }
+  const MembershipTransport* fleet() const { return fleet_ ? &*fleet_ : nullptr; }
   // New settings bind requests from here on. If discovery has a new address, the list held stays until that
   // tells more.
   void reload(const Config& config);
@@ -60,13 +60,13 @@
   void shutDown(std::function<void()> done);
 
  private:
-  struct Exchange {  // a request under way
-    ExchangeId client = 0;
+  struct RequestContext {  // a request under way
+    DownstreamRequestId client = 0;
     HttpRequest message;
     std::shared_ptr<BodyStream> upload;   // its body, if that comes in pieces
     std::optional<std::uint64_t> length;  // of the upload
     balancer::Duration left{};            // from its last byte on
-    BodyShare held;
+    MemoryReservation held;
     bool taken = false;                            // its last byte has come,
     std::chrono::steady_clock::time_point came{};  // then
     std::size_t counted = 0;                       // its class in the statistics
@@ -82,28 +82,28 @@
 
   void received(ClientRequest request);
   boost::beast::http::status describe(const HttpRequest& message, balancer::Request& request) const;
-  void clientGone(ExchangeId exchange);
-  HostPool::Permission permit(const AttemptKey& attempt, balancer::HostId host, HostPool::Step step,
-                              balancer::Duration left);
-  bool clientPresent(const Exchange& exchange);
-  static std::string idOf(const Exchange& exchange);
+  void clientGone(DownstreamRequestId exchange);
+  UpstreamPool::Permission permit(const AttemptKey& attempt, balancer::HostId host, UpstreamPool::Step step,
+                                  balancer::Duration left);
+  bool clientPresent(const RequestContext& exchange);
+  static std::string idOf(const RequestContext& exchange);
   void violated(std::string_view rule, const std::string& requestId);
   std::vector<prometheus::MetricFamily> metrics() const;
-  void traceAttempt(std::string_view step, const Exchange& exchange, const AttemptKey& attempt,
+  void traceAttempt(std::string_view step, const RequestContext& exchange, const AttemptKey& attempt,
                     balancer::HostId host, std::string_view detail);
-  void uploaded(ExchangeId exchange);
-  void told(const HostList& list, balancer::ListKind kind);
-  void note(balancer::HostId id, const balancer::HostEntry& entry);
-  void leaves(balancer::ServerState& server, balancer::Phase phase);
+  void uploaded(DownstreamRequestId exchange);
+  void told(const EndpointList& list, balancer::EndpointListKind kind);
+  void note(balancer::HostId id, const balancer::Endpoint& entry);
+  void leaves(balancer::EndpointStatus& server, balancer::EndpointState state);
 
   void drainActions();
   void carryOut(const balancer::Action& action);
   void send(const balancer::Action& action);
   void giveUp(const balancer::Action& action);
-  void settle(AttemptEnd end);
-  void answer(Exchange& exchange, HttpResponse response, Statistics::End end,
+  void settle(AttemptCompletion end);
+  void answer(RequestContext& exchange, HttpResponse response, Statistics::End end,
               std::shared_ptr<BodyStream> body = nullptr, std::optional<std::uint64_t> length = {});
-  ClientServer::Answered counting(const Exchange& exchange, Statistics::End end);
+  DownstreamServer::Answered counting(const RequestContext& exchange, Statistics::End end);
   Statistics::Gauges gauges() const;
   bool takesClients() const { return ready_ && !shuttingDown_ && clients_.takesClients(); }
   void take(const balancer::Settings& settings);
@@ -123,29 +123,29 @@
   std::size_t sockets_, clientsMost_;
   std::size_t bodyBytes_;
   bool abortOnViolation_;
-  std::shared_ptr<BodyBudget> budget_;
+  std::shared_ptr<MemoryBudget> budget_;
   balancer::Balancer balancer_;
   balancer::DispatchGuard guard_;
-  std::vector<balancer::ServerState> servers_;  // by HostId, as the lists told them
-  HostPool hosts_;
+  std::vector<balancer::EndpointStatus> servers_;  // by HostId, as the lists told them
+  UpstreamPool hosts_;
   Discovery discovery_;
-  std::unordered_map<balancer::RequestId, Exchange> exchanges_;
-  std::unordered_map<ExchangeId, balancer::RequestId> byClient_;
-  std::vector<balancer::RequestId> over_;  // may be dropped once the actions are done
-  std::deque<AttemptEnd> ends_;            // raised while actions are carried out
-  std::vector<ExchangeId> departed_;       // clients found to have left as an attempt was to begin
+  std::unordered_map<balancer::RequestId, RequestContext> contexts_;
+  std::unordered_map<DownstreamRequestId, balancer::RequestId> byClient_;
+  std::vector<balancer::RequestId> over_;      // may be dropped once the actions are done
+  std::deque<AttemptCompletion> ends_;         // raised while actions are carried out
+  std::vector<DownstreamRequestId> departed_;  // clients found to have left as an attempt was to begin
   boost::asio::steady_timer waker_, shutDownTimer_, openTimer_;
   balancer::Time wakeAt_{};
   balancer::RequestId lastRequest_ = 0;
   std::function<void()> down_;
-  std::uint32_t groupSize_ = 1;  // as configured
+  std::uint32_t replicaCount_ = 1;  // as configured
   bool carrying_ = false, ready_ = false, shuttingDown_ = false;
   Statistics statistics_;
   RequestCounters counters_;
   std::optional<HotRestart> hotRestart_;
-  std::optional<FleetLink> fleet_;
+  std::optional<MembershipTransport> fleet_;
   std::optional<Management> management_;
-  ClientServer clients_;  // last: it may hand over requests from here on
+  DownstreamServer clients_;  // last: it may hand over requests from here on
 };
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/keys.cpp
+++ b/src/gateway/keys.cpp
@@ -12,8 +12,8 @@
 #include <set>
 #include <sstream>
 
+#include "gateway/endpoint_list.hpp"
 #include "gateway/endpoint_text.hpp"
-#include "gateway/host_list.hpp"
 
 namespace hollyrun::gateway {
 namespace {
@@ -198,10 +198,10 @@
     fault("class", "at least one [[class]] is needed");
   for (std::size_t i = 0; i < grades.size(); ++i) {
     const std::string prefix = "class[" + std::to_string(i) + "].";
-    const std::int64_t aim = grades[i].value("aimNs", std::int64_t{0});
-    if (aim == 0 && out.places.count(prefix + "aim_ms") == 0)
+    const std::int64_t latencyObjective = grades[i].value("aimNs", std::int64_t{0});
+    if (latencyObjective == 0 && out.places.count(prefix + "aim_ms") == 0)
       fault(prefix + "aim_ms", "is missing");
-    if (grades[i].contains("giveUpNs") && grades[i].value("giveUpNs", std::int64_t{0}) < aim)
+    if (grades[i].contains("giveUpNs") && grades[i].value("giveUpNs", std::int64_t{0}) < latencyObjective)
       fault(prefix + "give_up_ms", "must not be below aim_ms");
   }
 }
@@ -281,31 +281,33 @@
   if (name == "name")
     return quoted(c.name);
   if (name == "aim_ms")
-    return inMs(c.aim);
+    return inMs(c.latencyObjective);
   if (name == "give_up_ms")
-    return inMs(c.giveUp);
+    return inMs(c.clientTimeout);
   if (name == "window_ms")
-    return inMs(c.window);
+    return inMs(c.deduplicationWindow);
   if (name == "worth")
-    return plain(c.worth);
+    return plain(c.priorityWeight);
   if (name == "late_share")
-    return plain(c.lateShare);
+    return plain(c.lateValueFraction);
   if (name == "aim_stretch")
-    return plain(c.aimStretch);
+    return plain(c.objectiveStretch);
   if (name == "in_turn")
-    return yes(c.inTurn);
-  using balancer::Effect;
-  using balancer::Group;
+    return yes(c.orderedPerKey);
+  using balancer::DeduplicationScope;
+  using balancer::Idempotency;
   if (name == "effect")
-    return quoted(std::string(wordOf(key, c.effect == Effect::retryable ? "retryable"
-                                          : c.effect == Effect::dedup   ? "dedup"
-                                                                        : "fragile")));
+    return quoted(std::string(wordOf(key, c.idempotency == Idempotency::idempotent ? "retryable"
+                                          : c.idempotency == Idempotency::keyed    ? "dedup"
+                                                                                   : "fragile")));
   if (name == "group")
-    return quoted(c.group == Group::all ? "all" : c.group == Group::zone ? "zone" : "cell");
+    return quoted(c.deduplicationScope == DeduplicationScope::all    ? "all"
+                  : c.deduplicationScope == DeduplicationScope::zone ? "zone"
+                                                                     : "cell");
   if (name == "zones")
     return c.zones ? json(*c.zones).dump() : kAny;
   if (name == "kinds")
-    return c.kinds ? json(*c.kinds).dump() : kAny;
+    return c.machineTypes ? json(*c.machineTypes).dump() : kAny;
   return {};
 }
 
@@ -348,27 +350,27 @@
          return seeds.dump();
        }},
       {"membership.period_ms", [&] { return inMs(member.period); }},
-      {"fleet.gateways", [&] { return std::to_string(s.groupSize); }},
-      {"fleet.number", [&] { return std::to_string(s.number); }},
+      {"fleet.gateways", [&] { return std::to_string(s.replicaCount); }},
+      {"fleet.number", [&] { return std::to_string(s.replicaIndex); }},
       {"fleet.zone", [&] { return quoted(s.zone); }},
-      {"fleet.weights", [&] { return quoted(s.liveWeights ? "live" : "none"); }},
-      {"fleet.warm_keys", [&] { return yes(s.warmKeys); }},
+      {"fleet.weights", [&] { return quoted(s.loadAdjustedWeights ? "live" : "none"); }},
+      {"fleet.warm_keys", [&] { return yes(s.keyAffinity); }},
       {"fleet.candidates", [&] { return std::to_string(s.candidates); }},
       {"fleet.step_ms", [&] { return inMs(s.step); }},
-      {"fleet.over_share_worth", [&] { return plain(s.overShareWorth); }},
+      {"fleet.over_share_worth", [&] { return plain(s.overQuotaWeight); }},
       {"attempts.most", [&] { return std::to_string(s.maxAttempts); }},
-      {"attempts.second_copies", [&] { return yes(s.parallelTries); }},
+      {"attempts.second_copies", [&] { return yes(s.allowHedging); }},
       {"attempts.cancel", [&] { return yes(s.cancel); }},
       {"attempts.connect_timeout_ms", [&] { return inMs(c.connectTimeout); }},
-      {"attempts.idle_close_ms", [&] { return inMs(s.idleClose); }},
+      {"attempts.idle_close_ms", [&] { return inMs(s.idleTimeout); }},
       {"answers.retry_after", [&] { return yes(s.retryAfter); }},
       {"answers.max_retry_after_ms", [&] { return inMs(s.maxRetryAfter); }},
-      {"rules.ask_within_ms", [&] { return inMs(s.askWithin); }},
-      {"rules.cold_ms", [&] { return inMs(s.coldTime); }},
-      {"rules.cold_share", [&] { return plain(s.coldShare); }},
-      {"rules.fall_multiple", [&] { return plain(s.fallMultiple); }},
-      {"rules.fall_ms", [&] { return inMs(s.fallWindow); }},
-      {"rules.key_rest_ms", [&] { return inMs(s.keyRest); }}};
+      {"rules.ask_within_ms", [&] { return inMs(s.maxDiscoverySilence); }},
+      {"rules.cold_ms", [&] { return inMs(s.slowStartDuration); }},
+      {"rules.cold_share", [&] { return plain(s.slowStartInitialFraction); }},
+      {"rules.fall_multiple", [&] { return plain(s.overloadMultiple); }},
+      {"rules.fall_ms", [&] { return inMs(s.overloadWindow); }},
+      {"rules.key_rest_ms", [&] { return inMs(s.keyCooldown); }}};
   return values.at(name)();
 }
 
--- a/src/gateway/fleet_link.cpp
+++ b/src/gateway/membership_transport.cpp
@@ -1,4 +1,4 @@
-#include "gateway/fleet_link.hpp"
+#include "gateway/membership_transport.hpp"
 
 #include <boost/asio/ip/udp.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -63,7 +63,7 @@
   return XXH3_64bits(text.data(), text.size());
 }
 
-class FleetLink::Link : public std::enable_shared_from_this<Link> {
+class MembershipTransport::Link : public std::enable_shared_from_this<Link> {
  public:
   Link(asio::io_context& io, const Config& config, Log& log, std::function<void()> sized)
       : log_(log), sized_(std::move(sized)), socket_(io), timer_(io) {
@@ -233,7 +233,7 @@
   bool waiting_ = false, closed_ = false;
 };
 
-json FleetLink::Link::jsonOf(const Record& r, membership::Duration since) {
+json MembershipTransport::Link::jsonOf(const Record& r, membership::Duration since) {
   return {{"name", r.name},
           {"state", nameOf(r.state)},
           {"since_s", std::chrono::duration<double>(since).count()},
@@ -247,7 +247,7 @@
           {"epoch", hex(r.epoch)}};
 }
 
-std::string FleetLink::Link::text() const {
+std::string MembershipTransport::Link::text() const {
   json all{{"fleet", config_.fleet}, {"name", place_.name}, {"state", "waiting"}};
   if (!members_)
     return all.dump(2, ' ', false, json::error_handler_t::replace) + "\n";
@@ -286,7 +286,7 @@
   return all.dump(2, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
-std::vector<prometheus::MetricFamily> FleetLink::Link::metrics() const {
+std::vector<prometheus::MetricFamily> MembershipTransport::Link::metrics() const {
   std::vector<prometheus::MetricFamily> all;
   if (!members_)
     return all;
@@ -334,32 +334,33 @@
   return all;
 }
 
-FleetLink::FleetLink(asio::io_context& io, const Config& config, Log& log, std::function<void()> sized)
+MembershipTransport::MembershipTransport(asio::io_context& io, const Config& config, Log& log,
+                                         std::function<void()> sized)
     : link_(std::make_shared<Link>(io, config, log, std::move(sized))) {
   link_->open();
 }
-FleetLink::~FleetLink() {
+MembershipTransport::~MembershipTransport() {
   link_->leave(true);
 }
-bool FleetLink::serves(const Config& config) const {
+bool MembershipTransport::serves(const Config& config) const {
   return link_->serves(config);
 }
-void FleetLink::reload(const Config& config) {
+void MembershipTransport::reload(const Config& config) {
   link_->set(config);
 }
-void FleetLink::leave(bool successor) {
+void MembershipTransport::leave(bool successor) {
   link_->leave(successor);
 }
-std::uint32_t FleetLink::holders() const {
+std::uint32_t MembershipTransport::holders() const {
   return link_->holders();
 }
-udp::endpoint FleetLink::listening() const {
+udp::endpoint MembershipTransport::listening() const {
   return link_->listening();
 }
-std::string FleetLink::text() const {
+std::string MembershipTransport::text() const {
   return link_->text();
 }
-std::vector<prometheus::MetricFamily> FleetLink::metrics() const {
+std::vector<prometheus::MetricFamily> MembershipTransport::metrics() const {
   return link_->metrics();
 }
 
--- a/src/gateway/fleet_link.hpp
+++ b/src/gateway/membership_transport.hpp
@@ -16,14 +16,15 @@
 
 namespace hollyrun::gateway {
 
-class FleetLink {
+class MembershipTransport {
  public:
   /// Binds its address, or tries on where another process still holds it: the older one of an upgrade, whose
   /// place it then takes. `sized` hears of each change of the number to divide by. The log has to outlive it.
-  FleetLink(boost::asio::io_context& io, const Config& config, Log& log, std::function<void()> sized);
-  ~FleetLink();
-  FleetLink(const FleetLink&) = delete;
-  FleetLink& operator=(const FleetLink&) = delete;
+  MembershipTransport(boost::asio::io_context& io, const Config& config, Log& log,
+                      std::function<void()> sized);
+  ~MembershipTransport();
+  MembershipTransport(const MembershipTransport&) = delete;
+  MembershipTransport& operator=(const MembershipTransport&) = delete;
 
   /// Whether these settings are for the same place in the same fleet; else it has to be made anew.
   bool serves(const Config& config) const;
--- a/src/gateway/ops_client.cpp
+++ b/src/gateway/ops_client.cpp
@@ -14,8 +14,8 @@
 #include <set>
 #include <stdexcept>
 
+#include "gateway/endpoint_list.hpp"
 #include "gateway/endpoint_text.hpp"
-#include "gateway/host_list.hpp"
 
 namespace hollyrun::gateway {
 namespace {
--- a/src/gateway/request_form.hpp
+++ b/src/gateway/request_form.hpp
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-#include "gateway/host_pool.hpp"
+#include "gateway/upstream_pool.hpp"
 
 namespace hollyrun::gateway {
 
--- a/src/gateway/request_metrics.cpp
+++ b/src/gateway/request_metrics.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::array<std::string_view, kOutcomes> kOutcomeNames = {
     "served", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "not_sent"};
-constexpr std::array<std::string_view, balancer::kGiveUpReasons> kGiveUpNames = {
+constexpr std::array<std::string_view, balancer::kRejectReasonCount> kGiveUpNames = {
     "none",           "cutoff",  "out_of_time",  "attempts_used",
     "queue_too_long", "no_host", "retry_budget", "not_wanted"};
 constexpr std::string_view kClosedUnanswered = "closed_unanswered";
@@ -33,7 +33,7 @@
   return kOutcomeNames[static_cast<std::size_t>(outcome)];
 }
 
-std::string_view nameOf(balancer::GiveUpReason reason) {
+std::string_view nameOf(balancer::RejectReason reason) {
   return kGiveUpNames[static_cast<std::size_t>(reason)];
 }
 
@@ -44,12 +44,12 @@
   for (std::size_t i = 0; i < kOutcomes; ++i)
     add(attempts, "outcome", kOutcomeNames[i], counters.attemptsEnded[i]);
   auto givenUp = counterFamily("hollyrun_given_up_total", "Requests refused or failed here, by reason.");
-  for (std::size_t i = 1; i < balancer::kGiveUpReasons; ++i)
+  for (std::size_t i = 1; i < balancer::kRejectReasonCount; ++i)
     add(givenUp, "reason", kGiveUpNames[i], counters.givenUp[i]);
   auto denied = counterFamily("hollyrun_dispatch_denied_total", "Attempts denied as they began, by reason.");
   auto violations =
       counterFamily("hollyrun_violations_total", "Broken rules, by rule. Each is a fault of this program.");
-  for (std::size_t i = 0; i < balancer::kDenialReasons; ++i) {
+  for (std::size_t i = 0; i < balancer::kDenialReasonCount; ++i) {
     const auto reason = static_cast<balancer::DenialReason>(i);
     auto& family = balancer::isViolation(reason) ? violations : denied;
     add(family, balancer::isViolation(reason) ? "rule" : "reason", balancer::nameOf(reason),
--- a/src/gateway/request_metrics.hpp
+++ b/src/gateway/request_metrics.hpp
@@ -17,15 +17,15 @@
 inline constexpr std::size_t kOutcomes = 9;
 
 std::string_view nameOf(balancer::Outcome outcome);
-std::string_view nameOf(balancer::GiveUpReason reason);
+std::string_view nameOf(balancer::RejectReason reason);
 
 struct RequestCounters {
-  std::array<std::uint64_t, kOutcomes> attemptsEnded{};           ///< by Outcome
-  std::array<std::uint64_t, balancer::kGiveUpReasons> givenUp{};  ///< by GiveUpReason
-  std::uint64_t closedUnanswered = 0;                             ///< violations: lost requests
+  std::array<std::uint64_t, kOutcomes> attemptsEnded{};               ///< by Outcome
+  std::array<std::uint64_t, balancer::kRejectReasonCount> givenUp{};  ///< by RejectReason
+  std::uint64_t closedUnanswered = 0;                                 ///< violations: lost requests
 
   void ended(balancer::Outcome outcome) { ++attemptsEnded[static_cast<std::size_t>(outcome)]; }
-  void gaveUp(balancer::GiveUpReason reason) { ++givenUp[static_cast<std::size_t>(reason)]; }
+  void gaveUp(balancer::RejectReason reason) { ++givenUp[static_cast<std::size_t>(reason)]; }
 };
 
 std::vector<prometheus::MetricFamily> metricsOf(const RequestCounters& counters,
--- a/src/gateway/server_start_times.cpp
+++ b/src/gateway/server_start_times.cpp
@@ -20,7 +20,7 @@
 ServerStartTimes::ServerStartTimes(const Clocks& atStart)
     : offsetAtStart_(atStart.monotonic - atStart.unix) {}
 
-std::vector<Time> ServerStartTimes::of(const HostList& list, Source source, const Clocks& now) {
+std::vector<Time> ServerStartTimes::of(const EndpointList& list, Source source, const Clocks& now) {
   for (const ListedHost& host : list.hosts)
     bound(host, now);
   std::vector<Time> starts;
@@ -66,7 +66,7 @@
   return contradicted ? most_ : std::min(wall, most_);
 }
 
-void ServerStartTimes::forgetAllBut(const HostList& list) {
+void ServerStartTimes::forgetAllBut(const EndpointList& list) {
   std::unordered_set<std::string_view> listed;
   for (const ListedHost& host : list.hosts)
     listed.insert(host.uid);
--- a/src/gateway/server_start_times.hpp
+++ b/src/gateway/server_start_times.hpp
@@ -18,7 +18,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "gateway/host_list.hpp"
+#include "gateway/endpoint_list.hpp"
 #include "hollyrun/balancer.hpp"
 
 namespace hollyrun::gateway {
@@ -38,7 +38,7 @@
   /// The starts of the servers in this list, in its order; zero = long past. A start once given stays the
   /// same for as long as the server's boot_ms does. To be called for each answer of discovery, empty ones
   /// too.
-  std::vector<balancer::Time> of(const HostList& list, Source source, const Clocks& now);
+  std::vector<balancer::Time> of(const EndpointList& list, Source source, const Clocks& now);
 
  private:
   struct Known {
@@ -49,7 +49,7 @@
 
   void bound(const ListedHost& host, const Clocks& now);
   Offset offset(const Clocks& now) const;
-  void forgetAllBut(const HostList& list);
+  void forgetAllBut(const EndpointList& list);
 
   Offset offsetAtStart_;
   Offset most_ = Offset::max();
--- a/src/gateway/host_pool.cpp
+++ b/src/gateway/upstream_pool.cpp
@@ -1,4 +1,4 @@
-#include "gateway/host_pool.hpp"
+#include "gateway/upstream_pool.hpp"
 
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
@@ -51,10 +51,10 @@
 
 }  // namespace
 
-struct HostPool::Connection : std::enable_shared_from_this<Connection> {
+struct UpstreamPool::Connection : std::enable_shared_from_this<Connection> {
   enum class Phase { connecting, writing, reading, relaying, idle, closed };
 
-  HostPool* pool;
+  UpstreamPool* pool;
   HostId host;
   tcp::socket socket;
   asio::steady_timer timer;
@@ -62,7 +62,7 @@
   std::optional<http::response_parser<PieceBody>> parser;
   HttpRequest request;
   std::shared_ptr<BodyStream> upload, download;
-  BodyShare held;
+  MemoryReservation held;
   std::string piece;  // of the request or all of it, being written
   AttemptKey key;
   Phase phase = Phase::connecting;
@@ -71,7 +71,7 @@
   bool watching = false, pieceOut = false, lastChunk = false, receiving = false;
   bool waitsShort = false, feeding = false;
 
-  Connection(HostPool& p, HostId h) : pool(&p), host(h), socket(p.io_), timer(p.io_) { ++p.open_; }
+  Connection(UpstreamPool& p, HostId h) : pool(&p), host(h), socket(p.io_), timer(p.io_) { ++p.open_; }
 
   void close() {
     if (phase == Phase::closed)
@@ -150,14 +150,14 @@
     // that it never ran, as the end of the time for connecting does.
     limitDial();
     if (!pool->openSocket(socket, endpoint))
-      return end(Outcome::notSent);
+      return end(Outcome::localFailure);
     socket.async_connect(endpoint, [self = shared_from_this()](error_code connectError) {
       if (self->phase != Phase::connecting)
         return;
       // Danger: a shortage of this machine, told of the host, rests hosts that are well, in a burst all of
       // them.
       if (isLocalShortage(connectError))
-        return self->end(Outcome::notSent);
+        return self->end(Outcome::localFailure);
       // Danger: it may come up in the instant in which its time ends; from then on it may not begin.
       if (connectError || Clock::now() > self->beginBy)
         return self->end(Outcome::connectFailed);
@@ -347,7 +347,7 @@
     };
     pool->busy_.erase(key);
     pool->relaying_.insert(shared_from_this());
-    AttemptEnd done{key, host, Outcome::served, Clock::now() - sentAt, {}};
+    AttemptCompletion done{key, host, Outcome::served, Clock::now() - sentAt, {}};
     done.answer.base() = parser->get().base();
     done.body = download;
     if (const auto length = parser->content_length())
@@ -402,7 +402,7 @@
       return Outcome::served;
     const bool busy = status == http::status::service_unavailable || status == http::status::gateway_timeout;
     if (busy && answer["X-Not-Run"] == "1")
-      return Outcome::full;
+      return Outcome::rejected;
     return Outcome::error;  // it may have run, whatever the answer says
   }
 
@@ -417,7 +417,7 @@
   // given up would be taken for the answer to the next request.
   void end(Outcome outcome, bool keep = false) {
     const auto self = shared_from_this();
-    AttemptEnd done{key, host, outcome, Clock::now() - sentAt, {}};
+    AttemptCompletion done{key, host, outcome, Clock::now() - sentAt, {}};
     // Danger: a read that is given up may have its bytes already and still put them to the parser, so that
     // stays until the connection is used again or goes.
     if (outcome == Outcome::served) {
@@ -473,8 +473,8 @@
   }
 };
 
-HostPool::HostPool(asio::io_context& io, Limits limits, Ended ended, std::shared_ptr<BodyBudget> budget,
-                   Permit permit)
+UpstreamPool::UpstreamPool(asio::io_context& io, Limits limits, Ended ended,
+                           std::shared_ptr<MemoryBudget> budget, Permit permit)
     : io_(io),
       limits_(limits),
       ended_(std::move(ended)),
@@ -484,22 +484,22 @@
   sweep();
 }
 
-HostPool::~HostPool() {
+UpstreamPool::~UpstreamPool() {
   stop();
 }
 
-void HostPool::setTimes(Duration connectTimeout, Duration idleClose) {
+void UpstreamPool::setTimes(Duration connectTimeout, Duration idleTimeout) {
   limits_.connectTimeout = connectTimeout;
-  limits_.idleClose = idleClose;
+  limits_.idleTimeout = idleTimeout;
 }
 
-void HostPool::allow(std::size_t connections) {
+void UpstreamPool::allow(std::size_t connections) {
   limits_.connections = connections;
   while (open_ > limits_.connections && closeOldestIdle()) {
   }
 }
 
-void HostPool::stop() {
+void UpstreamPool::stop() {
   sweeper_.cancel();
   for (auto& [key, connection] : std::exchange(busy_, {}))
     connection->close();
@@ -510,13 +510,13 @@
       connection->close();
 }
 
-HostPool::Host& HostPool::hostOf(HostId host) {
+UpstreamPool::Host& UpstreamPool::hostOf(HostId host) {
   if (hosts_.size() <= host)
     hosts_.resize(host + std::size_t{1});
   return hosts_[host];
 }
 
-void HostPool::setEndpoint(HostId host, const tcp::endpoint& endpoint) {
+void UpstreamPool::setEndpoint(HostId host, const tcp::endpoint& endpoint) {
   Host& h = hostOf(host);
   if (h.endpoint == endpoint)
     return;
@@ -524,12 +524,13 @@
   h.endpoint = endpoint;
 }
 
-void HostPool::start(AttemptKey key, HostId host, HttpRequest request, Duration limit, Duration beginWithin) {
+void UpstreamPool::start(AttemptKey key, HostId host, HttpRequest request, Duration limit,
+                         Duration beginWithin) {
   begin(key, host, std::move(request), limit, beginWithin, nullptr);
 }
 
-void HostPool::start(AttemptKey key, HostId host, HttpRequest head, std::shared_ptr<BodyStream> upload,
-                     std::optional<std::uint64_t> length, Duration limit, Duration beginWithin) {
+void UpstreamPool::start(AttemptKey key, HostId host, HttpRequest head, std::shared_ptr<BodyStream> upload,
+                         std::optional<std::uint64_t> length, Duration limit, Duration beginWithin) {
   if (length)
     head.content_length(*length);
   else
@@ -537,7 +538,7 @@
   begin(key, host, std::move(head), limit, beginWithin, std::move(upload));
 }
 
-void HostPool::uploaded(AttemptKey key, Duration limit) {
+void UpstreamPool::uploaded(AttemptKey key, Duration limit) {
   const auto it = busy_.find(key);
   if (it == busy_.end())
     return;
@@ -546,7 +547,7 @@
 }
 
 // With no descriptor left, the connection that has been idle for longest gives up its own.
-bool HostPool::openSocket(tcp::socket& socket, const tcp::endpoint& endpoint) {
+bool UpstreamPool::openSocket(tcp::socket& socket, const tcp::endpoint& endpoint) {
   error_code ec;
   socket.open(endpoint.protocol(), ec);
   if (ec == boost::system::errc::too_many_files_open && closeOldestIdle())
@@ -554,21 +555,21 @@
   return !ec;
 }
 
-void HostPool::begin(AttemptKey key, HostId host, HttpRequest request, Duration limit, Duration beginWithin,
-                     std::shared_ptr<BodyStream> upload) {
+void UpstreamPool::begin(AttemptKey key, HostId host, HttpRequest request, Duration limit,
+                         Duration beginWithin, std::shared_ptr<BodyStream> upload) {
   const auto now = Clock::now();
   std::shared_ptr<Connection> connection = takeIdle(host);
   const bool fresh = !connection;
   if (fresh) {
     if (open_ >= limits_.connections && !closeOldestIdle())
-      return ended_({key, host, Outcome::notSent, {}, {}});
+      return ended_({key, host, Outcome::localFailure, {}, {}});
     connection = std::make_shared<Connection>(*this, host);
   }
   connection->key = key;
   connection->request = std::move(request);
   connection->upload = std::move(upload);
   connection->lastChunk = connection->waitsShort = false;
-  connection->held = BodyShare(budget_, 0);
+  connection->held = MemoryReservation(budget_, 0);
   connection->sentAt = now;
   connection->deadline = now + std::max(limit, Duration::zero());
   connection->beginBy = now + std::min(connection->deadline - now, beginWithin);
@@ -579,7 +580,7 @@
     connection->write();
 }
 
-void HostPool::cancel(AttemptKey key) {
+void UpstreamPool::cancel(AttemptKey key) {
   const auto it = busy_.find(key);
   if (it == busy_.end())
     return;
@@ -587,15 +588,15 @@
   connection->end(Outcome::cancelled);
 }
 
-void HostPool::drop(AttemptKey key) {
+void UpstreamPool::drop(AttemptKey key) {
   const auto it = busy_.find(key);
   if (it == busy_.end() || it->second->phase != Connection::Phase::connecting)
     return;
   const auto connection = it->second;
-  connection->end(Outcome::moot);
+  connection->end(Outcome::abandoned);
 }
 
-void HostPool::drain(HostId host) {
+void UpstreamPool::drain(HostId host) {
   closeIdle(host);
   for (const auto& [key, connection] : busy_)
     if (connection->host == host && connection->phase == Connection::Phase::connecting) {
@@ -604,12 +605,12 @@
     }
 }
 
-void HostPool::closeIdle(HostId host) {
+void UpstreamPool::closeIdle(HostId host) {
   for (auto& connection : std::exchange(hostOf(host).idle, {}))
     connection->close();
 }
 
-std::shared_ptr<HostPool::Connection> HostPool::takeIdle(HostId host) {
+std::shared_ptr<UpstreamPool::Connection> UpstreamPool::takeIdle(HostId host) {
   Host& h = hostOf(host);
   const auto now = Clock::now();
   const bool rests = now < h.restsUntil;
@@ -625,14 +626,14 @@
   return nullptr;
 }
 
-bool HostPool::outlived(const Connection& connection) const {
-  if (limits_.idleClose <= Duration::zero())
+bool UpstreamPool::outlived(const Connection& connection) const {
+  if (limits_.idleTimeout <= Duration::zero())
     return false;
-  const Duration margin = std::min(kIdleMargin, limits_.idleClose / 5);
-  return Clock::now() - connection.idleSince >= limits_.idleClose - margin;
+  const Duration margin = std::min(kIdleMargin, limits_.idleTimeout / 5);
+  return Clock::now() - connection.idleSince >= limits_.idleTimeout - margin;
 }
 
-bool HostPool::closeOldestIdle() {
+bool UpstreamPool::closeOldestIdle() {
   std::vector<std::shared_ptr<Connection>>* from = nullptr;
   for (Host& host : hosts_)
     if (!host.idle.empty() && (!from || host.idle.front()->idleSince < from->front()->idleSince))
@@ -644,12 +645,12 @@
   return true;
 }
 
-void HostPool::dropIdle(const std::shared_ptr<Connection>& connection) {
+void UpstreamPool::dropIdle(const std::shared_ptr<Connection>& connection) {
   std::erase(hostOf(connection->host).idle, connection);
   connection->close();
 }
 
-void HostPool::sweep() {
+void UpstreamPool::sweep() {
   for (Host& host : hosts_)
     std::erase_if(host.idle, [&](const auto& connection) {
       if (!outlived(*connection))
--- a/src/gateway/host_pool.hpp
+++ b/src/gateway/upstream_pool.hpp
@@ -39,7 +39,7 @@
   bool operator==(const AttemptKey&) const = default;
 };
 
-struct AttemptEnd {
+struct AttemptCompletion {
   AttemptKey key;
   balancer::HostId host = balancer::kNone;
   balancer::Outcome outcome = balancer::Outcome::reset;
@@ -49,14 +49,14 @@
   std::optional<std::uint64_t> length = {};    // so many bytes, if that is known
 };
 
-class HostPool {
+class UpstreamPool {
  public:
   struct Limits {
     std::size_t connections = 256;        // over all hosts
     balancer::Duration connectTimeout{};  // for a new one
-    balancer::Duration idleClose{};       // the host closes idle ones after this at the latest; 0 = never
+    balancer::Duration idleTimeout{};     // the host closes idle ones after this at the latest; 0 = never
   };
-  using Ended = std::function<void(AttemptEnd)>;  // may be called from within start() and cancel()
+  using Ended = std::function<void(AttemptCompletion)>;  // may be called from within start() and cancel()
   enum class Step { dial, write };
   struct Permission {
     std::optional<balancer::Outcome> denied;  // the attempt ends so, and nothing of it was written
@@ -67,11 +67,11 @@
   using Permit =
       std::function<Permission(const AttemptKey&, balancer::HostId, Step, balancer::Duration left)>;
 
-  HostPool(boost::asio::io_context& io, Limits limits, Ended ended, std::shared_ptr<BodyBudget> budget,
-           Permit permit = nullptr);
-  ~HostPool();
-  HostPool(const HostPool&) = delete;
-  HostPool& operator=(const HostPool&) = delete;
+  UpstreamPool(boost::asio::io_context& io, Limits limits, Ended ended, std::shared_ptr<MemoryBudget> budget,
+               Permit permit = nullptr);
+  ~UpstreamPool();
+  UpstreamPool(const UpstreamPool&) = delete;
+  UpstreamPool& operator=(const UpstreamPool&) = delete;
 
   void setEndpoint(balancer::HostId host, const boost::asio::ip::tcp::endpoint& endpoint);
   // Sends the request, on the latest used idle connection if there is one. Ends exactly once. `beginWithin`:
@@ -89,7 +89,7 @@
   void drain(balancer::HostId host);  // it takes nothing new: what is under way to it may end
   void closeIdle(balancer::HostId host);
   void stop();  // closes all without a word
-  void setTimes(balancer::Duration connectTimeout, balancer::Duration idleClose);
+  void setTimes(balancer::Duration connectTimeout, balancer::Duration idleTimeout);
   void allow(std::size_t connections);  // fewer than are open: idle ones go
   std::size_t connections() const { return open_; }
   std::uint64_t written() const { return written_; }  // attempts, up to their last byte
@@ -122,7 +122,7 @@
   Ended ended_;
   Permit permit_;
   std::vector<Host> hosts_;
-  std::shared_ptr<BodyBudget> budget_;
+  std::shared_ptr<MemoryBudget> budget_;
   std::unordered_map<AttemptKey, std::shared_ptr<Connection>, KeyHash> busy_;
   std::unordered_set<std::shared_ptr<Connection>> relaying_;  // answers whose attempt has ended
   std::size_t open_ = 0;
--- a/src/lab/report/report.cpp
+++ b/src/lab/report/report.cpp
@@ -53,9 +53,10 @@
   for (std::size_t i = 0; i < r.seconds.size(); ++i) {
     const Second& s = r.seconds[i];
     const double asked = std::max(s.asked, 1e-9);
-    data += fmt::format("{} {:.4f} {:.4f} {} {} {} {} {} {} {} {:.2f} {:.2f} {:.2f} {}\n", i,
-                        s.inTime / asked, (s.inTime + s.late) / asked, s.tries, s.refused, s.failed, s.full,
-                        s.timeouts, s.connectFailed + s.resets, s.errors, s.cutoff, s.p50, s.p99, s.attempts);
+    data +=
+        fmt::format("{} {:.4f} {:.4f} {} {} {} {} {} {} {} {:.2f} {:.2f} {:.2f} {}\n", i, s.inTime / asked,
+                    (s.inTime + s.late) / asked, s.tries, s.refused, s.failed, s.full, s.timeouts,
+                    s.connectFailed + s.resets, s.errors, s.sheddingThreshold, s.p50, s.p99, s.attempts);
   }
   return data + "EOD\n";
 }
@@ -220,7 +221,7 @@
       s.calls += o.calls, s.tries += o.tries, s.refused += o.refused, s.failed += o.failed;
       s.attempts += o.attempts, s.full += o.full, s.timeouts += o.timeouts;
       s.connectFailed += o.connectFailed, s.resets += o.resets, s.errors += o.errors;
-      s.cutoff = std::max(s.cutoff, o.cutoff);
+      s.sheddingThreshold = std::max(s.sheddingThreshold, o.sheddingThreshold);
       s.p99 = std::max(s.p99, o.p99);
       if (o.p50 > 0)
         s.p50 += o.p50, ++with;
@@ -230,7 +231,7 @@
         "{:>6.1f} {:>6.1f}\n",
         i, s.calls, s.asked > 0 ? 100 * s.inTime / s.asked : 100, s.asked > 0 ? 100 * s.late / s.asked : 0,
         s.refused, s.failed, s.tries, s.attempts, s.full, s.timeouts, s.connectFailed, s.resets, s.errors,
-        s.cutoff, with ? s.p50 / static_cast<double>(with) : 0, s.p99);
+        s.sheddingThreshold, with ? s.p50 / static_cast<double>(with) : 0, s.p99);
   }
   std::vector<std::pair<double, std::string>> chokes;
   for (const ServerRecord& s : r.servers)
--- a/src/lab/report/store.cpp
+++ b/src/lab/report/store.cpp
@@ -186,7 +186,7 @@
         const Second& s = r.seconds[i];
         second.insert(id, static_cast<std::int64_t>(i), s.asked, s.inTime, s.late, s.calls, s.tries,
                       s.refused, s.failed, s.attempts, s.full, s.timeouts, s.connectFailed, s.resets,
-                      s.errors, s.cutoff, s.p50, s.p99);
+                      s.errors, s.sheddingThreshold, s.p50, s.p99);
       }
       for (std::size_t i = 0; i < r.servers.size(); ++i) {
         const ServerRecord& s = r.servers[i];
@@ -247,7 +247,7 @@
   while (seconds.row()) {
     Second x;
     seconds.columns(x.asked, x.inTime, x.late, x.calls, x.tries, x.refused, x.failed, x.attempts, x.full,
-                    x.timeouts, x.connectFailed, x.resets, x.errors, x.cutoff, x.p50, x.p99);
+                    x.timeouts, x.connectFailed, x.resets, x.errors, x.sheddingThreshold, x.p50, x.p99);
     r.seconds.push_back(x);
   }
   Statement servers(
--- a/src/lab/rig/fleet.cpp
+++ b/src/lab/rig/fleet.cpp
@@ -650,26 +650,26 @@
       "idle_close_ms = {}\n\n[answers]\nretry_after = {}\nmax_retry_after_ms = {}\n\n"
       "[rules]\nask_within_ms = 10000\ncold_ms = {}\ncold_share = {}\nfall_multiple = {:.3f}\nfall_ms = {}\n",
       number, listen, discovery, management, 0x5eed0000 + number, membership, gateways, number,
-      s.zones[number % s.zones.size()], s.warmKeys, s.candidates, s.maxAttempts, s.secondCopies, s.cancel,
+      s.zones[number % s.zones.size()], s.keyAffinity, s.candidates, s.maxAttempts, s.secondCopies, s.cancel,
       static_cast<int>(s.connectTimeoutMs), static_cast<int>(s.idleS * 1000), s.retryAfter,
-      static_cast<int>(s.maxRetryAfterMs), static_cast<int>(s.coldRuleS * 1000), s.coldShare, s.fallMultiple,
-      static_cast<int>(s.fallMs));
+      static_cast<int>(s.maxRetryAfterMs), static_cast<int>(s.coldRuleS * 1000), s.slowStartInitialFraction,
+      s.overloadMultiple, static_cast<int>(s.fallMs));
   for (const DrawnClass& c : day.classes) {
     const auto& set = c.set;
     text += fmt::format(
         "\n[[class]]\nname = \"{}\"\neffect = \"{}\"\naim_ms = {}\ngive_up_ms = {}\nworth = {:.3f}\n"
         "late_share = {:.3f}\n",
         set.name,
-        set.effect == balancer::Effect::retryable ? "safe"
-        : set.effect == balancer::Effect::dedup   ? "keyed"
-                                                  : "unsafe",
-        ms(set.aim), ms(set.giveUp), set.worth, set.lateShare);
-    if (set.effect == balancer::Effect::dedup)
+        set.idempotency == balancer::Idempotency::idempotent ? "safe"
+        : set.idempotency == balancer::Idempotency::keyed    ? "keyed"
+                                                             : "unsafe",
+        ms(set.latencyObjective), ms(set.clientTimeout), set.priorityWeight, set.lateValueFraction);
+    if (set.idempotency == balancer::Idempotency::keyed)
       text += fmt::format("group = \"{}\"\nwindow_ms = {}\n",
-                          set.group == balancer::Group::all    ? "all"
-                          : set.group == balancer::Group::zone ? "zone"
-                                                               : "cell",
-                          ms(set.window));
+                          set.deduplicationScope == balancer::DeduplicationScope::all    ? "all"
+                          : set.deduplicationScope == balancer::DeduplicationScope::zone ? "zone"
+                                                                                         : "cell",
+                          ms(set.deduplicationWindow));
   }
   return text;
 }
--- a/src/lab/rig/hollow_gateway.cpp
+++ b/src/lab/rig/hollow_gateway.cpp
@@ -17,10 +17,10 @@
 
 namespace asio = boost::asio;
 using balancer::ActionKind;
-using balancer::ListKind;
+using balancer::EndpointListKind;
 using boost::system::error_code;
 using gateway::Config;
-using gateway::HostList;
+using gateway::EndpointList;
 using Clock = std::chrono::steady_clock;
 
 namespace {
@@ -37,12 +37,12 @@
       log_(config_.name, config_.log),
       balancer_(config_.module, now()),
       discovery_(io, config_.discovery,
-                 {[this](const HostList& list) { told(list); }, [this] { unavailable(); }}, {}),
+                 {[this](const EndpointList& list) { told(list); }, [this] { unavailable(); }}, {}),
       waker_(io),
       changed_(std::move(changed)) {
   if (config_.membership)
     fleet_.emplace(io, config_, log_, [this] { divide(); });
-  balancer_.onHosts(now(), ListKind::restored, {});
+  balancer_.onEndpoints(now(), EndpointListKind::cached, {});
   carryOut();
 }
 
@@ -72,7 +72,7 @@
   };
   Config config = gateway::readConfig(environment);
   config.module.seed += number;  // or all would ask discovery anew at the same moment
-  config.module.number = static_cast<std::uint32_t>(number);
+  config.module.replicaIndex = static_cast<std::uint32_t>(number);
   config.log.level = gateway::LogLevel::off;
   return config;
 }
@@ -81,36 +81,36 @@
   return clockNow();
 }
 
-void HollowGateway::told(const HostList& list) {
+void HollowGateway::told(const EndpointList& list) {
   revision_ = list.version;
   if (list.full)
     ++wholeLists_;
-  balancer_.onHosts(now(), list.full ? ListKind::replace : ListKind::update, {});
+  balancer_.onEndpoints(now(), list.full ? EndpointListKind::snapshot : EndpointListKind::delta, {});
   carryOut();
   changed_();
 }
 
 void HollowGateway::unavailable() {
-  balancer_.onHosts(now(), ListKind::unavailable, {});
+  balancer_.onEndpoints(now(), EndpointListKind::unavailable, {});
   carryOut();
 }
 
 // As in a gateway: what the whole fleet may do is divided by its members.
 void HollowGateway::divide() {
-  const std::uint32_t size = std::max(config_.module.groupSize, fleet_ ? fleet_->holders() : 1);
-  if (size == config_.module.groupSize)
+  const std::uint32_t size = std::max(config_.module.replicaCount, fleet_ ? fleet_->holders() : 1);
+  if (size == config_.module.replicaCount)
     return;
-  config_.module.groupSize = size;
+  config_.module.replicaCount = size;
   balancer_.onSettings(now(), config_.module);
   carryOut();
 }
 
 void HollowGateway::carryOut() {
   for (const balancer::Action& action : std::exchange(balancer_.actions(), {})) {
-    if (action.kind == ActionKind::subscribe)
+    if (action.kind == ActionKind::pollDiscovery)
       discovery_.watch();
     else if (action.kind == ActionKind::wake)
-      wakeAt(action.span);
+      wakeAt(action.wakeAt);
   }
 }
 
--- a/src/lab/rig/hollow_gateway.hpp
+++ b/src/lab/rig/hollow_gateway.hpp
@@ -12,8 +12,8 @@
 
 #include "gateway/config.hpp"
 #include "gateway/discovery.hpp"
-#include "gateway/fleet_link.hpp"
 #include "gateway/log.hpp"
+#include "gateway/membership_transport.hpp"
 #include "hollyrun/balancer.hpp"
 
 namespace hollyrun::lab {
@@ -43,7 +43,7 @@
   static gateway::Config configOf(const HollowGatewayPlan& plan, std::size_t number);
   static balancer::Time now();
 
-  void told(const gateway::HostList& list);
+  void told(const gateway::EndpointList& list);
   void unavailable();
   void divide();
   void carryOut();
@@ -58,7 +58,7 @@
   std::function<void()> changed_;
   std::int64_t revision_ = -1;
   std::uint64_t wholeLists_ = 0;
-  std::optional<gateway::FleetLink> fleet_;
+  std::optional<gateway::MembershipTransport> fleet_;
 };
 
 /// Runs them until the process is ended, and reports on its output. Returns an exit code.
--- a/src/lab/rig/load.cpp
+++ b/src/lab/rig/load.cpp
@@ -13,7 +13,7 @@
 
 namespace http = boost::beast::http;
 using balancer::ClassSettings;
-using balancer::Effect;
+using balancer::Idempotency;
 
 namespace {
 
@@ -193,11 +193,11 @@
     const Arrival& a = arrivals_[nextArrival_++];
     calls_.push_back({a, started_ + lab::seconds(a.at), day_.retries, 0});
     const Call& c = calls_.back();
-    const double worth = day_.classes[a.cls].set.worth * a.work;
+    const double value = day_.classes[a.cls].set.priorityWeight * a.work;
     secondOf(c).calls += 1;
-    secondOf(c).asked += worth;
+    secondOf(c).asked += value;
     result_.classes[a.cls].calls += 1;
-    result_.classes[a.cls].asked += worth;
+    result_.classes[a.cls].asked += value;
     ++result_.calls;
     ++open_;
     attempt(static_cast<std::uint32_t>(calls_.size() - 1));
@@ -222,8 +222,8 @@
   Call& c = calls_[call];
   const ClassSettings& set = day_.classes[c.arrival.cls].set;
   const Time now = clockNow();
-  Duration left = lab::seconds(inSeconds(set.giveUp) * day_.tryShare);
-  left = std::min(left, set.giveUp - (now - c.first));
+  Duration left = lab::seconds(inSeconds(set.clientTimeout) * day_.tryShare);
+  left = std::min(left, set.clientTimeout - (now - c.first));
   if (left < std::chrono::milliseconds(1))
     return leave(call, false);
   ++c.tries;
@@ -283,9 +283,9 @@
     head += parameter("\r\nCookie: obj=", c.arrival.key);
   if (tenants_ > 0)
     head += "\r\nX-Tenant: " + tenantName(Stream(seed_, "tenant", t.call).below(tenants_));
-  if (set.effect == Effect::retryable)
+  if (set.idempotency == Idempotency::idempotent)
     return "GET " + head + "\r\n\r\n";
-  if (set.effect == Effect::dedup)
+  if (set.idempotency == Idempotency::keyed)
     head += parameter("\r\nIdempotency-Key: ", seed_ ^ t.call);
   return "POST " + head + "\r\nContent-Length: " + std::to_string(kAmendment) + "\r\n\r\n" +
          std::string(kAmendment, 'a');
@@ -306,13 +306,13 @@
     if (body.find(hex(t->id)) == std::string::npos)
       checker_.breach(Rule::lost, now, t->id, "", "answered with what no server made for it");
     checker_.served(t->id, now);
-    const double worth = d.set.worth * c.arrival.work;
-    const bool inTime = now <= c.first + d.set.aim;
+    const double value = d.set.priorityWeight * c.arrival.work;
+    const bool inTime = now <= c.first + d.set.latencyObjective;
     Second& second = secondOf(c);
     ClassRecord& record = result_.classes[c.arrival.cls];
-    (inTime ? second.inTime : second.late) += inTime ? worth : worth * d.set.lateShare;
+    (inTime ? second.inTime : second.late) += inTime ? value : value * d.set.lateValueFraction;
     (inTime ? record.inTime : record.late) += 1;
-    record.served += inTime ? worth : worth * d.set.lateShare;
+    record.served += inTime ? value : value * d.set.lateValueFraction;
     latencies_.add(inSeconds(now - c.first) * 1000);
     bySecond_[std::min(static_cast<std::size_t>(c.arrival.at), bySecond_.size() - 1)].add(
         inSeconds(now - c.first) * 1000);
--- a/src/lab/rig/platform.cpp
+++ b/src/lab/rig/platform.cpp
@@ -17,9 +17,9 @@
 namespace hollyrun::lab {
 
 namespace http = boost::beast::http;
-using balancer::HostEntry;
+using balancer::Endpoint;
+using balancer::EndpointState;
 using balancer::Outcome;
-using balancer::Phase;
 using nlohmann::json;
 
 namespace {
@@ -182,7 +182,7 @@
     up = true;
     draining = false;
     server.restart(clockNow());
-    entry.phase = Phase::in;
+    entry.state = EndpointState::serving;
     bootMs = std::chrono::duration_cast<std::chrono::milliseconds>(
                  std::chrono::system_clock::now().time_since_epoch())
                  .count();
@@ -233,7 +233,7 @@
   std::uint32_t number_;
 
  public:
-  HostEntry entry;
+  Endpoint entry;
   Server server;
 
  private:
@@ -334,7 +334,7 @@
     job.attempt = ++attempts_;
     jobs_[job.attempt] = held;
     double informed = 0;
-    if (server.overdriven(now, job.work, true, platform_.scenario_.fallMultiple,
+    if (server.overdriven(now, job.work, true, platform_.scenario_.overloadMultiple,
                           platform_.scenario_.fallMs / 1000, informed)) {
       if (platform_.witness_)
         platform_.witness_->checker().fell(now, entry.address, informed);
@@ -354,7 +354,7 @@
   void turnAway(std::uint32_t attempt) {
     Response r = response(503, "{\"error\":\"turned away\"}");
     r.set("X-Not-Run", "1");
-    answer(attempt, Outcome::full, std::move(r));
+    answer(attempt, Outcome::rejected, std::move(r));
   }
   void finish(const Server::Ended& e) {
     if (e.dropped)
@@ -457,7 +457,7 @@
  private:
   struct Entry {
     json text;
-    Phase phase = Phase::in;
+    EndpointState state = EndpointState::serving;
     std::uint64_t rev = 0;
   };
   struct Watch {
@@ -468,18 +468,18 @@
 
   void note(std::size_t server) {  // as it stands now
     const RecordServer& r = *platform_.servers_[server];
-    const Phase phase = hidden_[server] ? Phase::out : r.entry.phase;
+    const EndpointState state = hidden_[server] ? EndpointState::removed : r.entry.state;
     Entry& e = list_[server];
-    e.phase = phase;
+    e.state = state;
     e.rev = ++rev_;
     e.text = {{"uid", r.entry.address},
               {"endpoint", textOf(r.endpoint())},
               {"az", r.entry.zone},
-              {"model", r.entry.kind},
+              {"model", r.entry.machineType},
               {"pod_group", r.entry.cell},
-              {"state", phase == Phase::in         ? "SERVING"
-                        : phase == Phase::draining ? "DRAINING"
-                                                   : "DELETED"},
+              {"state", state == EndpointState::serving    ? "SERVING"
+                        : state == EndpointState::draining ? "DRAINING"
+                                                           : "DELETED"},
               {"capacity_hint", 1.0},
               {"boot_ms", r.bootMs}};
   }
@@ -530,19 +530,19 @@
   }
   void tell(const std::shared_ptr<Session>& session, std::uint64_t since, bool all) {
     json targets = json::array();
-    std::vector<std::pair<std::uint32_t, Phase>> told;
+    std::vector<std::pair<std::uint32_t, EndpointState>> told;
     for (const auto& [server, e] : list_) {
-      if (all ? e.phase == Phase::out : e.rev <= since)
+      if (all ? e.state == EndpointState::removed : e.rev <= since)
         continue;
       targets.push_back(e.text);
-      told.emplace_back(static_cast<std::uint32_t>(server), e.phase);
+      told.emplace_back(static_cast<std::uint32_t>(server), e.state);
     }
     const json body{{"rev", rev_}, {"all", all}, {"targets", std::move(targets)}};
     session->reply(response(200, body.dump()), [this, told] {
       if (!platform_.witness_)
         return;
-      for (const auto& [server, phase] : told)
-        platform_.witness_->checker().told(clockNow(), number_, server, phase);
+      for (const auto& [server, state] : told)
+        platform_.witness_->checker().told(clockNow(), number_, server, state);
     });
   }
 
@@ -600,7 +600,7 @@
   if (!servers_[server]->up)
     return;
   servers_[server]->kill();
-  servers_[server]->entry.phase = Phase::out;
+  servers_[server]->entry.state = EndpointState::removed;
   publish(server);
 }
 
@@ -616,7 +616,7 @@
 }
 
 void Platform::drain(std::size_t server) {
-  servers_[server]->entry.phase = Phase::draining;
+  servers_[server]->entry.state = EndpointState::draining;
   servers_[server]->draining = true;
   publish(server);
 }
@@ -641,8 +641,9 @@
 }
 
 void Platform::publish(std::size_t server) {
-  const double lag = servers_[server]->entry.phase == Phase::in ? scenario_.addS.draw(notices_)
-                                                                : scenario_.noticeS.draw(notices_);
+  const double lag = servers_[server]->entry.state == EndpointState::serving
+                         ? scenario_.addS.draw(notices_)
+                         : scenario_.noticeS.draw(notices_);
   for (const auto& agent : agents_) {
     auto timer = std::make_shared<asio::steady_timer>(io_);
     timer->expires_after(seconds(lag + notices_.exponential(scenario_.spreadMs.draw(notices_) / 1000)));
--- a/src/lab/simulation/checker.cpp
+++ b/src/lab/simulation/checker.cpp
@@ -5,10 +5,10 @@
 
 namespace hollyrun::lab {
 
-using balancer::Effect;
-using balancer::Group;
+using balancer::DeduplicationScope;
+using balancer::EndpointState;
+using balancer::Idempotency;
 using balancer::Outcome;
-using balancer::Phase;
 
 const char* nameOf(Rule rule) {
   switch (rule) {
@@ -48,21 +48,21 @@
 
 // What is wrong with a further attempt there, given an earlier one; empty if nothing is.
 std::string Checker::repeatFault(const Taken& t, const Attempt& a, Time now,
-                                 const balancer::HostEntry& entry) const {
-  if (a.out && !figures_.parallelTries)
+                                 const balancer::Endpoint& entry) const {
+  if (a.out && !figures_.allowHedging)
     return "two attempts out at a time";
-  if (!a.mayHaveRun || t.set.effect == Effect::retryable)
+  if (!a.mayHaveExecuted || t.set.idempotency == Idempotency::idempotent)
     return {};
-  if (t.set.effect == Effect::fragile)
+  if (t.set.idempotency == Idempotency::none)
     return "sent again though it may have run";
-  if ((t.set.group == Group::zone && a.zone != entry.zone) ||
-      (t.set.group == Group::cell && a.cell != entry.cell))
+  if ((t.set.deduplicationScope == DeduplicationScope::zone && a.zone != entry.zone) ||
+      (t.set.deduplicationScope == DeduplicationScope::cell && a.cell != entry.cell))
     return "repeated outside the group of its first server";
-  return now > a.at + t.set.window ? "repeated past the window" : "";
+  return now > a.at + t.set.deduplicationWindow ? "repeated past the window" : "";
 }
 
 void Checker::sent(Time now, std::uint32_t gateway, std::uint64_t request, std::uint32_t server,
-                   const balancer::HostEntry& entry) {
+                   const balancer::Endpoint& entry) {
   const auto closed = closedSince_.find(pair(gateway, server));
   if (closed != closedSince_.end() && now - closed->second > figures_.drainGrace) {
     char text[96];
@@ -91,9 +91,9 @@
     return;
   Attempt& a = it->second.attempts[attempt];
   a.out = false;
-  if (outcome == Outcome::full || outcome == Outcome::connectFailed || outcome == Outcome::moot ||
-      outcome == Outcome::notSent)
-    a.mayHaveRun = false;
+  if (outcome == Outcome::rejected || outcome == Outcome::connectFailed || outcome == Outcome::abandoned ||
+      outcome == Outcome::localFailure)
+    a.mayHaveExecuted = false;
   forget(request);
 }
 
@@ -104,10 +104,10 @@
   Taken& t = it->second;
   if (now > t.deadline + figures_.answerSlack)
     breach(Rule::lost, now, request, "", "answered after its time");
-  if (refused && t.set.effect != Effect::retryable &&
-      !(t.set.effect == Effect::dedup && t.set.group == Group::all))
+  if (refused && t.set.idempotency != Idempotency::idempotent &&
+      !(t.set.idempotency == Idempotency::keyed && t.set.deduplicationScope == DeduplicationScope::all))
     for (const Attempt& a : t.attempts)
-      if (a.mayHaveRun) {
+      if (a.mayHaveExecuted) {
         breach(Rule::duplicate, now, request, "", "refused though it may have run");
         break;
       }
@@ -146,8 +146,8 @@
   return it == open_.end() ? 0 : it->second.attempts.size();
 }
 
-void Checker::told(Time now, std::uint32_t gateway, std::uint32_t server, Phase phase) {
-  if (phase == Phase::in)
+void Checker::told(Time now, std::uint32_t gateway, std::uint32_t server, EndpointState state) {
+  if (state == EndpointState::serving)
     closedSince_.erase(pair(gateway, server));
   else
     closedSince_.emplace(pair(gateway, server), now);
--- a/src/lab/simulation/checker.hpp
+++ b/src/lab/simulation/checker.hpp
@@ -24,7 +24,7 @@
 
 struct RuleFigures {
   Duration answerSlack{}, drainGrace{};
-  bool parallelTries = false;
+  bool allowHedging = false;
   Duration wireSlack{};  // on sockets: what was on its way as a request ended arrives so much later
 };
 
@@ -35,7 +35,7 @@
   /// A gateway has taken a request; it is owed an answer by `deadline`.
   void taken(std::uint64_t request, const balancer::ClassSettings& set, Time deadline);
   void sent(Time now, std::uint32_t gateway, std::uint64_t request, std::uint32_t server,
-            const balancer::HostEntry& entry);
+            const balancer::Endpoint& entry);
   void outcome(std::uint64_t request, std::uint32_t attempt, balancer::Outcome outcome);
   /// The gateway's own final answer: refused or failed.
   void answered(Time now, std::uint64_t request, bool refused);
@@ -48,7 +48,7 @@
   void excused(std::uint64_t request);
   /// To be called once the answer's time is over.
   void due(Time now, std::uint64_t request);
-  void told(Time now, std::uint32_t gateway, std::uint32_t server, balancer::Phase phase);
+  void told(Time now, std::uint32_t gateway, std::uint32_t server, balancer::EndpointState state);
   /// A gateway starts afresh, with what it is told from here on.
   void restarted(std::uint32_t gateway);
   /// Anything else that must not be: an end that nobody asked for, or a check of a scenario.
@@ -66,7 +66,7 @@
     std::string zone;
     std::int64_t cell;
     Time at;
-    bool out = true, mayHaveRun = true;
+    bool out = true, mayHaveExecuted = true;
   };
   struct Taken {
     balancer::ClassSettings set;
@@ -78,7 +78,7 @@
   static std::uint64_t pair(std::uint32_t gateway, std::uint32_t server) {
     return static_cast<std::uint64_t>(gateway) << 32 | server;
   }
-  std::string repeatFault(const Taken& t, const Attempt& a, Time now, const balancer::HostEntry& entry) const;
+  std::string repeatFault(const Taken& t, const Attempt& a, Time now, const balancer::Endpoint& entry) const;
   void forget(std::uint64_t request);
 
   RuleFigures figures_;
--- a/src/lab/simulation/cost.cpp
+++ b/src/lab/simulation/cost.cpp
@@ -54,49 +54,49 @@
 /// Classes of all effects; one in six is bound to a zone, one in ten goes in turn.
 ClassSettings classOf(std::size_t number) {
   static constexpr double kWorths[] = {5, 2, 3};
-  static constexpr Effect kEffects[] = {Effect::retryable, Effect::fragile, Effect::dedup};
+  static constexpr Idempotency kEffects[] = {Idempotency::idempotent, Idempotency::none, Idempotency::keyed};
   ClassSettings c;
   c.name = "class-" + std::to_string(number);
-  c.aim = milliseconds(400);
-  c.giveUp = milliseconds(1000);
-  c.window = milliseconds(5000);
-  c.effect = kEffects[number % 3];
-  c.group = Group::zone;
-  c.worth = kWorths[number % 3];
-  c.lateShare = 0.5;
+  c.latencyObjective = milliseconds(400);
+  c.clientTimeout = milliseconds(1000);
+  c.deduplicationWindow = milliseconds(5000);
+  c.idempotency = kEffects[number % 3];
+  c.deduplicationScope = DeduplicationScope::zone;
+  c.priorityWeight = kWorths[number % 3];
+  c.lateValueFraction = 0.5;
   if (number % 6 == 5)
     c.zones = {"zone-" + std::to_string(number % kZones)};
-  c.inTurn = number % 10 == 9;
+  c.orderedPerKey = number % 10 == 9;
   return c;
 }
 
 Settings settingsOf(const CostSettings& size) {
   Settings s;
   s.seed = size.seed;
-  s.groupSize = static_cast<std::uint32_t>(size.gateways);
-  s.number = static_cast<std::uint32_t>(size.seed % size.gateways);
+  s.replicaCount = static_cast<std::uint32_t>(size.gateways);
+  s.replicaIndex = static_cast<std::uint32_t>(size.seed % size.gateways);
   s.zone = "zone-0";
   for (std::size_t i = 0; i < size.classes; ++i)
     s.classes.push_back(classOf(i));
   for (std::size_t i = 0; i < size.tenants; ++i)
     s.tenants.push_back({"tenant-" + std::to_string(i), 1.0 + static_cast<double>(i % 100)});
-  s.parallelTries = s.warmKeys = s.retryAfter = s.cancel = true;
+  s.allowHedging = s.keyAffinity = s.retryAfter = s.cancel = true;
   s.maxAttempts = 3;
   s.candidates = size.candidates;
-  s.idleClose = seconds(60);
+  s.idleTimeout = seconds(60);
   s.maxRetryAfter = milliseconds(1500);
-  s.coldTime = seconds(23);
-  s.coldShare = 0.12;
-  s.fallMultiple = 4;
-  s.fallWindow = seconds(1);
+  s.slowStartDuration = seconds(23);
+  s.slowStartInitialFraction = 0.12;
+  s.overloadMultiple = 4;
+  s.overloadWindow = seconds(1);
   return s;
 }
 
-HostEntry entryOf(std::size_t number) {
-  HostEntry e;
+Endpoint entryOf(std::size_t number) {
+  Endpoint e;
   e.address = "10." + std::to_string(number / 250) + ".0." + std::to_string(number % 250) + ":8080";
   e.zone = "zone-" + std::to_string(number % kZones);
-  e.kind = "kind-" + std::to_string(number / kZones % kKinds);
+  e.machineType = "kind-" + std::to_string(number / kZones % kKinds);
   e.cell = static_cast<std::int64_t>(number / 6);
   return e;
 }
@@ -117,7 +117,7 @@
     row_.size = size_;
     const std::size_t before = allocatedBytes();
     row_.startMs = 1e3 * timed([&] { balancer_.emplace(settings_, now_); });
-    row_.listMs = 1e3 * timed([&] { balancer_->onHosts(now_, ListKind::replace, list_); });
+    row_.listMs = 1e3 * timed([&] { balancer_->onEndpoints(now_, EndpointListKind::snapshot, list_); });
     collect();
     put(now_, Event::arrival);
     put(now_, Event::restart);
@@ -194,7 +194,7 @@
     q.classIndex = static_cast<std::uint32_t>(arrivals_.below(size_.classes));
     if (size_.tenants > 0)
       q.tenantIndex = static_cast<std::uint32_t>(arrivals_.below(size_.tenants));
-    q.left = milliseconds(1000);
+    q.remaining = milliseconds(1000);
     q.key = arrivals_.below(kKeys) * 0x9e3779b97f4a7c15ULL;
     q.hasKey = arrivals_.chance(kKeyedShare);
     OpenRequest& r = open_[q.id];
@@ -223,8 +223,8 @@
   // A server drains and goes, and comes back cold.
   void restart() {
     const std::size_t host = changes_.below(list_.size());
-    if (list_[host].phase == Phase::in) {
-      list_[host].phase = Phase::out;
+    if (list_[host].state == EndpointState::serving) {
+      list_[host].state = EndpointState::removed;
       tell(host);
       put(now_ + kAwayTime, Event::back, {}, host);
     }
@@ -232,17 +232,18 @@
   }
 
   void back(std::size_t host) {
-    list_[host].phase = Phase::in;
+    list_[host].state = EndpointState::serving;
     list_[host].upSince = now_;
     tell(host);
   }
 
   void tell(std::size_t host) {
-    updateTimes_.push_back(timed([&] { balancer_->onHosts(now_, ListKind::update, {list_[host]}); }));
+    updateTimes_.push_back(
+        timed([&] { balancer_->onEndpoints(now_, EndpointListKind::delta, {list_[host]}); }));
   }
 
   void reload() {
-    settings_.classes.front().aim += milliseconds(10);
+    settings_.classes.front().latencyObjective += milliseconds(10);
     row_.reloadMs = 1e3 * timed([&] { balancer_->onSettings(now_, settings_); });
   }
 
@@ -262,18 +263,18 @@
       case ActionKind::send:
         answerLater(a);
         break;
-      case ActionKind::refuse:
+      case ActionKind::reject:
       case ActionKind::fail:
         row_.refused += 1;
         open_.at(a.request).ended = true;
         forget(a.request);
         break;
       case ActionKind::wake:
-        put(a.span, Event::wake);
+        put(a.wakeAt, Event::wake);
         break;
       case ActionKind::cancel:  // carried out without effect: the answer comes all the same
       case ActionKind::close:
-      case ActionKind::subscribe:
+      case ActionKind::pollDiscovery:
       case ActionKind::log:
         break;
     }
@@ -282,16 +283,16 @@
   void answerLater(const Action& a) {
     ++open_.at(a.request).out;
     AttemptResult result{a.request, a.attempt, a.host, Outcome::served, {}, true};
-    result.taken = inTime(answers_.lognormal(kAnswerMean, kAnswerSpread));
+    result.elapsed = inTime(answers_.lognormal(kAnswerMean, kAnswerSpread));
     const double luck = answers_.unit();
     if (luck < kErrorShare)
       result.outcome = Outcome::error;
     else if (luck < kErrorShare + kTimeoutShare)
       result.outcome = Outcome::timeout;
-    if (result.outcome == Outcome::timeout || result.taken > a.span)
-      result.taken = a.span;
+    if (result.outcome == Outcome::timeout || result.elapsed > a.timeLimit)
+      result.elapsed = a.timeLimit;
     result.terminal = result.outcome == Outcome::served;
-    put(now_ + result.taken, Event::answer, result);
+    put(now_ + result.elapsed, Event::answer, result);
   }
 
   void forget(RequestId id) {
@@ -308,7 +309,7 @@
   CostSettings size_;
   Stream arrivals_, answers_, changes_;
   Settings settings_;
-  std::vector<HostEntry> list_;
+  std::vector<Endpoint> list_;
   std::optional<Balancer> balancer_;
   Time now_ = kStart, swept_{};
   std::uint64_t orders_ = 0;
--- a/src/lab/simulation/digest.hpp
+++ b/src/lab/simulation/digest.hpp
@@ -9,8 +9,8 @@
 
 namespace hollyrun::lab {
 
-/// FNV-1a over what each action does, in the order in which they were given out. The text of log actions and the
-/// reasons for the operator are left out: they may be reworded without a change of decisions.
+/// FNV-1a over what each action does, in the order in which they were given out. The text of log actions and
+/// the reasons for the operator are left out: they may be reworded without a change of decisions.
 class ActionDigest {
  public:
   void add(std::uint32_t gateway, const balancer::Action& action) {
@@ -19,8 +19,11 @@
     addNumber(action.request);
     addNumber(action.attempt);
     addNumber(action.host);
-    addNumber(std::bit_cast<std::uint64_t>(action.span.count()));
-    addNumber(std::bit_cast<std::uint64_t>(action.begin.count()));
+    // At most one of the three is set.
+    addNumber(std::bit_cast<std::uint64_t>((action.timeLimit + action.retryAfter + action.wakeAt).count()));
+    // Zero in a log action: so it was in the digests of earlier versions.
+    const bool log = action.kind == balancer::ActionKind::log;
+    addNumber(log ? 0 : std::bit_cast<std::uint64_t>(action.latestStart.count()));
   }
   std::uint64_t value() const { return value_; }
 
--- a/src/lab/simulation/draw.cpp
+++ b/src/lab/simulation/draw.cpp
@@ -31,14 +31,15 @@
   for (const RequestClass& c : s.classes) {
     DrawnClass d;
     d.set = c.set;
-    d.set.aim = balancer::Duration(static_cast<std::int64_t>(static_cast<double>(c.set.aim.count()) * pace));
-    d.set.giveUp =
-        balancer::Duration(static_cast<std::int64_t>(static_cast<double>(c.set.giveUp.count()) * pace));
+    d.set.latencyObjective = balancer::Duration(
+        static_cast<std::int64_t>(static_cast<double>(c.set.latencyObjective.count()) * pace));
+    d.set.clientTimeout = balancer::Duration(
+        static_cast<std::int64_t>(static_cast<double>(c.set.clientTimeout.count()) * pace));
     d.share = c.share.draw(draw);
     d.work = c.workMs.draw(draw) / 1000 * pace;
     d.cv = c.cv.draw(draw);
     d.noise = c.attemptNoise.draw(draw);
-    longest = std::max(longest, inSeconds(d.set.giveUp));
+    longest = std::max(longest, inSeconds(d.set.clientTimeout));
     classSum += d.share;
     classes.push_back(d);
   }
@@ -109,15 +110,16 @@
 std::optional<double> retryWait(const DrawnDay& day, std::uint64_t seed, std::uint32_t call, unsigned tries,
                                 unsigned left, const balancer::ClassSettings& set, const Unserved& how,
                                 Duration passed) {
-  const bool may = set.effect == balancer::Effect::retryable || how.refused || how.unreachable ||
-                   (set.effect == balancer::Effect::dedup && set.group == balancer::Group::all);
+  const bool may = set.idempotency == balancer::Idempotency::idempotent || how.refused || how.unreachable ||
+                   (set.idempotency == balancer::Idempotency::keyed &&
+                    set.deduplicationScope == balancer::DeduplicationScope::all);
   Stream habit(seed, "habit", static_cast<std::uint64_t>(call) * 32 + tries);
   double wait = day.backoff + day.clientHop * 2;
   if (how.after > Duration(0) && habit.chance(day.honour))
     wait = std::max(wait, inSeconds(how.after));
   if (how.unreachable)
     wait = std::max(wait, 0.02);
-  if (!may || left == 0 || passed + seconds(wait) >= set.giveUp)
+  if (!may || left == 0 || passed + seconds(wait) >= set.clientTimeout)
     return std::nullopt;
   return wait;
 }
@@ -180,7 +182,7 @@
   f.chokeMostS = s.chokeMostS.draw(draw);
   f.warmGain = s.warmGain.draw(draw);
   f.warmKeepS = s.warmKeepS.draw(draw);
-  f.warmKeys = static_cast<std::size_t>(std::max(1.0, f.cores * s.warmKeysPerCore.draw(draw)));
+  f.keyAffinity = static_cast<std::size_t>(std::max(1.0, f.cores * s.warmKeysPerCore.draw(draw)));
   DrawnMachine m;
   m.figures = f;
   // Addresses in no order of number: they tell nothing of zone, kind or age.
@@ -191,7 +193,7 @@
                 10000 + number);
   m.entry.address = address;
   m.entry.zone = s.zones[zone];
-  m.entry.kind = k.name;
+  m.entry.machineType = k.name;
   m.entry.cell = static_cast<std::int64_t>(cell);
   return m;
 }
@@ -210,19 +212,19 @@
   balancer::Settings set;
   for (const DrawnClass& d : day.classes)
     set.classes.push_back(d.set);
-  set.parallelTries = s.secondCopies;
-  set.warmKeys = s.warmKeys;
+  set.allowHedging = s.secondCopies;
+  set.keyAffinity = s.keyAffinity;
   set.candidates = s.candidates;
   set.retryAfter = s.retryAfter;
   set.cancel = s.cancel;
   set.maxAttempts = s.maxAttempts;
-  set.idleClose = seconds(s.idleS);
+  set.idleTimeout = seconds(s.idleS);
   set.maxRetryAfter = seconds(1e-3 * s.maxRetryAfterMs);
   set.step = seconds(1e-3 * s.tickMs);
-  set.coldTime = seconds(s.coldRuleS);
-  set.coldShare = s.coldShare;
-  set.fallMultiple = s.fallMultiple;
-  set.fallWindow = seconds(1e-3 * s.fallMs);
+  set.slowStartDuration = seconds(s.coldRuleS);
+  set.slowStartInitialFraction = s.slowStartInitialFraction;
+  set.overloadMultiple = s.overloadMultiple;
+  set.overloadWindow = seconds(1e-3 * s.fallMs);
   return set;
 }
 
--- a/src/lab/simulation/draw.hpp
+++ b/src/lab/simulation/draw.hpp
@@ -73,7 +73,7 @@
 
 struct DrawnMachine {
   ServerFigures figures;
-  balancer::HostEntry entry;
+  balancer::Endpoint entry;
 };
 
 DrawnMachine drawMachine(const Scenario& scenario, std::uint64_t seed, const DrawnFleet& fleet, bool chokes,
--- a/src/lab/simulation/policy.cpp
+++ b/src/lab/simulation/policy.cpp
@@ -19,17 +19,19 @@
  public:
   ModulePolicy(const Settings& settings, Time now) : balancer_(settings, now) {}
   void onSettings(Time now, const Settings& settings) override { balancer_.onSettings(now, settings); }
-  void onHosts(Time now, ListKind kind, const std::vector<HostEntry>& entries) override {
-    balancer_.onHosts(now, kind, entries);
+  void onEndpoints(Time now, EndpointListKind kind, const std::vector<Endpoint>& entries) override {
+    balancer_.onEndpoints(now, kind, entries);
   }
   void onRequest(Time now, const Request& request) override { balancer_.onRequest(now, request); }
   void onResult(Time now, const AttemptResult& result) override { balancer_.onResult(now, result); }
-  void onClientGone(Time now, RequestId request) override { balancer_.onClientGone(now, request); }
+  void onClientDisconnected(Time now, RequestId request) override {
+    balancer_.onClientDisconnected(now, request);
+  }
   void onWake(Time now) override { balancer_.onWake(now); }
   std::vector<Action>& actions() override { return balancer_.actions(); }
   HostId findHost(std::string_view address) const override { return balancer_.findHost(address); }
   const std::string& address(HostId host) const override { return balancer_.address(host); }
-  double cutoff() const override { return balancer_.cutoff(); }
+  double sheddingThreshold() const override { return balancer_.sheddingThreshold(); }
 
  private:
   Balancer balancer_;
@@ -43,13 +45,13 @@
       : set_(settings), truth_(truth), random_(settings.seed, "plain") {}
 
   void onSettings(Time, const Settings& settings) override { set_ = settings; }
-  void onHosts(Time, ListKind kind, const std::vector<HostEntry>& entries) override {
-    if (kind == ListKind::unavailable)
+  void onEndpoints(Time, EndpointListKind kind, const std::vector<Endpoint>& entries) override {
+    if (kind == EndpointListKind::unavailable)
       return;
-    if (kind != ListKind::update)
+    if (kind != EndpointListKind::delta)
       for (Known& k : hosts_)
-        k.entry.phase = Phase::out;
-    for (const HostEntry& e : entries) {
+        k.entry.state = EndpointState::removed;
+    for (const Endpoint& e : entries) {
       const auto [it, fresh] = ids_.emplace(e.address, static_cast<HostId>(hosts_.size()));
       if (fresh)
         hosts_.emplace_back();
@@ -58,9 +60,11 @@
   }
   void onRequest(Time now, const Request& q) override {
     const ClassSettings& c = set_.classes[std::min<std::size_t>(q.classIndex, set_.classes.size() - 1)];
-    Held& h = held_[q.id] = Held{c, now + q.left, 0, false, {}};
+    Held& h = held_[q.id] = Held{c, now + q.remaining, 0, false, {}};
     due_.push({h.deadline, q.id});
-    actions_.push_back({ActionKind::wake, 0, 0, kNone, h.deadline, {}});
+    Action& wake = actions_.emplace_back();
+    wake.kind = ActionKind::wake;
+    wake.wakeAt = h.deadline;
     if (!send(now, q.id, h))
       give(q.id, h);
   }
@@ -71,17 +75,18 @@
       return;
     Held& h = it->second;
     --h.out;
-    if (r.outcome == Outcome::full || r.outcome == Outcome::connectFailed || r.outcome == Outcome::moot)
-      h.tries[r.attempt].mayHaveRun = false;
+    if (r.outcome == Outcome::rejected || r.outcome == Outcome::connectFailed ||
+        r.outcome == Outcome::abandoned)
+      h.tries[r.attempt].mayHaveExecuted = false;
     if (r.terminal)
       h.ended = true;
     if (!h.ended && h.out == 0 &&
-        (now >= h.deadline || r.outcome == Outcome::moot || !send(now, r.request, h)))
+        (now >= h.deadline || r.outcome == Outcome::abandoned || !send(now, r.request, h)))
       return give(r.request, h);
     if (h.ended && h.out == 0)
       held_.erase(it);
   }
-  void onClientGone(Time, RequestId id) override {
+  void onClientDisconnected(Time, RequestId id) override {
     const auto it = held_.find(id);
     if (it == held_.end())
       return;
@@ -105,7 +110,7 @@
 
  protected:
   struct Known {
-    HostEntry entry;
+    Endpoint entry;
     int held = 0;
   };
   /// One of `from`, not empty; kNone refuses the request.
@@ -121,7 +126,7 @@
   struct Sent {
     HostId host;
     Time at;
-    bool mayHaveRun = true;
+    bool mayHaveExecuted = true;
   };
   struct Held {
     ClassSettings set;
@@ -130,18 +135,18 @@
     bool ended = false;
     std::vector<Sent> tries;
   };
-  bool allowed(Time now, const Held& h, const HostEntry& e) const {
+  bool allowed(Time now, const Held& h, const Endpoint& e) const {
     for (const Sent& s : h.tries) {
-      if (!s.mayHaveRun || h.set.effect == Effect::retryable)
+      if (!s.mayHaveExecuted || h.set.idempotency == Idempotency::idempotent)
         continue;
-      if (h.set.effect == Effect::fragile)
+      if (h.set.idempotency == Idempotency::none)
         return false;
-      const HostEntry& first = hosts_[s.host].entry;
-      if (h.set.group != Group::all && first.zone != e.zone)
+      const Endpoint& first = hosts_[s.host].entry;
+      if (h.set.deduplicationScope != DeduplicationScope::all && first.zone != e.zone)
         return false;
-      if (h.set.group == Group::cell && first.cell != e.cell)
+      if (h.set.deduplicationScope == DeduplicationScope::cell && first.cell != e.cell)
         return false;
-      if (now > s.at + h.set.window)
+      if (now > s.at + h.set.deduplicationWindow)
         return false;
     }
     return true;
@@ -151,29 +156,36 @@
       return false;
     std::vector<HostId> from;
     for (HostId i = 0; i < hosts_.size(); ++i) {
-      const HostEntry& e = hosts_[i].entry;
-      if (e.phase != Phase::in || !allowed(now, h, e))
+      const Endpoint& e = hosts_[i].entry;
+      if (e.state != EndpointState::serving || !allowed(now, h, e))
         continue;
       const double age = e.upSince > Time{} ? std::chrono::duration<double>(now - e.upSince).count() : 1e9;
-      const double whole = std::max(std::chrono::duration<double>(set_.coldTime).count(), 1e-9);
-      if (age >= whole || random_.chance(set_.coldShare + (1 - set_.coldShare) * age / whole))
+      const double whole = std::max(std::chrono::duration<double>(set_.slowStartDuration).count(), 1e-9);
+      if (age >= whole ||
+          random_.chance(set_.slowStartInitialFraction + (1 - set_.slowStartInitialFraction) * age / whole))
         from.push_back(i);
     }
     const HostId host = from.empty() ? kNone : choose(now, from, h.set, h.deadline);
     if (host == kNone)
       return false;
-    actions_.push_back(
-        {ActionKind::send, id, static_cast<std::uint32_t>(h.tries.size()), host, h.deadline - now, {}});
+    Action& send = actions_.emplace_back();
+    send.kind = ActionKind::send;
+    send.request = id;
+    send.attempt = static_cast<std::uint32_t>(h.tries.size());
+    send.host = host;
+    send.timeLimit = h.deadline - now;
     h.tries.push_back({host, now});
     hosts_[host].held += 1;
     ++h.out;
     return true;
   }
   void give(RequestId id, Held& h) {
-    const bool mayHaveRun =
-        std::any_of(h.tries.begin(), h.tries.end(), [](const Sent& s) { return s.mayHaveRun; });
-    const bool harmless = !mayHaveRun || h.set.effect == Effect::retryable;
-    actions_.push_back({harmless ? ActionKind::refuse : ActionKind::fail, id, 0, kNone, {}, {}});
+    const bool mayHaveExecuted =
+        std::any_of(h.tries.begin(), h.tries.end(), [](const Sent& s) { return s.mayHaveExecuted; });
+    const bool harmless = !mayHaveExecuted || h.set.idempotency == Idempotency::idempotent;
+    Action& end = actions_.emplace_back();
+    end.kind = harmless ? ActionKind::reject : ActionKind::fail;
+    end.request = id;
     h.ended = true;
     if (h.out == 0)
       held_.erase(id);
@@ -228,10 +240,10 @@
   HostId choose(Time now, const std::vector<HostId>& from, const ClassSettings& set, Time deadline) override {
     double most = 0;
     for (const ClassSettings& c : set_.classes)
-      most = std::max(most, c.worth);
-    const double full = kFull * (0.5 + 0.5 * set.worth / std::max(most, 1e-9));
+      most = std::max(most, c.priorityWeight);
+    const double full = kFull * (0.5 + 0.5 * set.priorityWeight / std::max(most, 1e-9));
     double first = std::min(std::chrono::duration<double>(deadline - now).count(),
-                            std::chrono::duration<double>(set.aim).count());
+                            std::chrono::duration<double>(set.latencyObjective).count());
     HostId best = kNone;
     for (HostId id : from) {
       const Truth::State state = truth_.look(hosts_[id].entry.address, kWork);
--- a/src/lab/simulation/policy.hpp
+++ b/src/lab/simulation/policy.hpp
@@ -15,16 +15,16 @@
  public:
   virtual ~Policy() = default;
   virtual void onSettings(balancer::Time now, const balancer::Settings& settings) = 0;
-  virtual void onHosts(balancer::Time now, balancer::ListKind kind,
-                       const std::vector<balancer::HostEntry>& entries) = 0;
+  virtual void onEndpoints(balancer::Time now, balancer::EndpointListKind kind,
+                           const std::vector<balancer::Endpoint>& entries) = 0;
   virtual void onRequest(balancer::Time now, const balancer::Request& request) = 0;
   virtual void onResult(balancer::Time now, const balancer::AttemptResult& result) = 0;
-  virtual void onClientGone(balancer::Time now, balancer::RequestId request) = 0;
+  virtual void onClientDisconnected(balancer::Time now, balancer::RequestId request) = 0;
   virtual void onWake(balancer::Time now) = 0;
   virtual std::vector<balancer::Action>& actions() = 0;
   virtual balancer::HostId findHost(std::string_view address) const = 0;
   virtual const std::string& address(balancer::HostId host) const = 0;
-  virtual double cutoff() const { return 0; }  ///< 0 to 100
+  virtual double sheddingThreshold() const { return 0; }  ///< 0 to 100
 };
 
 /// The true state of the servers, for the policy that sees it.
--- a/src/lab/simulation/scenario.cpp
+++ b/src/lab/simulation/scenario.cpp
@@ -12,8 +12,8 @@
 namespace hollyrun::lab {
 namespace {
 
-using balancer::Effect;
-using balancer::Group;
+using balancer::DeduplicationScope;
+using balancer::Idempotency;
 constexpr double kMost = std::numeric_limits<double>::max();
 
 std::string placeOf(const toml::node* node) {
@@ -210,8 +210,8 @@
 void readClass(const toml::table* table, std::size_t at, Scenario& s, Faults& faults) {
   Section in(table, "class[" + std::to_string(at) + "].", faults);
   RequestClass c;
-  double aim = 400, giveUp = 1000, window = 0;
-  std::string effect = "unsafe", group = "all";
+  double latencyObjective = 400, giveUp = 1000, window = 0;
+  std::string idempotency = "unsafe", deduplicationScope = "all";
   in.text("name", c.set.name);
   if (c.set.name.empty())
     in.fault(table, "name", "is missing");
@@ -219,21 +219,23 @@
   in.range("work_ms", c.workMs, 0.001);
   in.range("cv", c.cv, 0, 10);
   in.range("attempt_noise", c.attemptNoise, 0, 10);
-  in.number("aim_ms", aim, 1);
+  in.number("aim_ms", latencyObjective, 1);
   in.number("give_up_ms", giveUp, 1);
   in.number("window_ms", window);
-  in.number("worth", c.set.worth);
-  in.number("late_share", c.set.lateShare, 0, 1);
-  in.text("effect", effect, {"safe", "keyed", "unsafe"});
-  in.text("group", group, {"all", "zone", "cell"});
-  if (giveUp < aim)
+  in.number("worth", c.set.priorityWeight);
+  in.number("late_share", c.set.lateValueFraction, 0, 1);
+  in.text("effect", idempotency, {"safe", "keyed", "unsafe"});
+  in.text("group", deduplicationScope, {"all", "zone", "cell"});
+  if (giveUp < latencyObjective)
     in.fault(table, "give_up_ms", "must not be below aim_ms");
   in.done();
-  c.set.aim = millis(aim);
-  c.set.giveUp = millis(giveUp);
-  c.set.window = millis(window);
-  c.set.effect = effectNamed(effect);
-  c.set.group = group == "all" ? Group::all : group == "zone" ? Group::zone : Group::cell;
+  c.set.latencyObjective = millis(latencyObjective);
+  c.set.clientTimeout = millis(giveUp);
+  c.set.deduplicationWindow = millis(window);
+  c.set.idempotency = effectNamed(idempotency);
+  c.set.deduplicationScope = deduplicationScope == "all"    ? DeduplicationScope::all
+                             : deduplicationScope == "zone" ? DeduplicationScope::zone
+                                                            : DeduplicationScope::cell;
   s.classes.push_back(c);
 }
 
@@ -253,7 +255,7 @@
   in.range("every_s", t.everyS, 0.01);
   t.place = placeOf(table);
   in.text("zone", t.zone);
-  in.text("effect", t.effect, {"safe", "keyed", "unsafe"});
+  in.text("effect", t.idempotency, {"safe", "keyed", "unsafe"});
   in.text("class", t.className);
   in.done();
   s.troubles.push_back(t);
@@ -358,16 +360,16 @@
     in.flag("second_copies", s.secondCopies);
     in.flag("cancel", s.cancel);
     in.flag("retry_after", s.retryAfter);
-    in.flag("warm_keys", s.warmKeys);
+    in.flag("warm_keys", s.keyAffinity);
     in.number("max_retry_after_ms", s.maxRetryAfterMs);
     in.number("idle_s", s.idleS);
     in.number("connect_timeout_ms", s.connectTimeoutMs, 1);
   });
   section("rules", [&](Section& in) {
     in.number("drain_grace_ms", s.drainGraceMs);
-    in.number("fall_multiple", s.fallMultiple, 0.1);
+    in.number("fall_multiple", s.overloadMultiple, 0.1);
     in.number("fall_ms", s.fallMs, 1);
-    in.number("cold_share", s.coldShare, 0.01, 1);
+    in.number("cold_share", s.slowStartInitialFraction, 0.01, 1);
     in.number("cold_s", s.coldRuleS);
     in.number("answer_slack_ms", s.answerSlackMs);
   });
@@ -482,8 +484,8 @@
 
 }  // namespace
 
-Effect effectNamed(const std::string& name) {
-  return name == "safe" ? Effect::retryable : name == "keyed" ? Effect::dedup : Effect::fragile;
+Idempotency effectNamed(const std::string& name) {
+  return name == "safe" ? Idempotency::idempotent : name == "keyed" ? Idempotency::keyed : Idempotency::none;
 }
 
 Scenario readScenario(const std::string& file, const std::vector<std::string>& set) {
--- a/src/lab/simulation/scenario.hpp
+++ b/src/lab/simulation/scenario.hpp
@@ -49,8 +49,8 @@
   std::string kind;
   Range chance = 1;  // that it happens
   Range atS = 0, lengthS = 0, part = 0, size = 0, everyS = 1;
-  std::string zone, effect, className;  // zone: empty draws one
-  std::string place;                    // file and line
+  std::string zone, idempotency, className;  // zone: empty draws one
+  std::string place;                         // file and line
 };
 
 /// What the rig does to real processes, to the platform's servers or to discovery at a time of its day.
@@ -82,11 +82,11 @@
   Range noticeS = 2, silentNoticeS = 9, addS = 2, spreadMs = 80, periodMs = 500;
 
   unsigned maxAttempts = 3, candidates = 0;
-  bool secondCopies = true, cancel = true, retryAfter = true, warmKeys = true;
+  bool secondCopies = true, cancel = true, retryAfter = true, keyAffinity = true;
   double maxRetryAfterMs = 1500, idleS = 60, connectTimeoutMs = 150;
 
-  double drainGraceMs = 1000, fallMultiple = 4, fallMs = 1000, coldShare = 0.12, coldRuleS = 23,
-         answerSlackMs = 20;
+  double drainGraceMs = 1000, overloadMultiple = 4, fallMs = 1000, slowStartInitialFraction = 0.12,
+         coldRuleS = 23, answerSlackMs = 20;
 
   double goalWhole = 0.55, goalWorstWindow = 0.15, goalWorstClass = 0.3;
   double priceCrossZone = 0.03, priceWaste = 0.059, priceLateFail = 0.039, priceHandshake = 0.035,
@@ -115,7 +115,7 @@
 };
 
 /// safe, keyed or unsafe, as the scenario words it.
-balancer::Effect effectNamed(const std::string& name);
+balancer::Idempotency effectNamed(const std::string& name);
 
 /// Reads a scenario and the one that it `extends`. `set` are settings of the command line, `load.level=0.9`,
 /// that go over the file's. Throws ScenarioError that names all faults.
--- a/src/lab/simulation/server.cpp
+++ b/src/lab/simulation/server.cpp
@@ -50,7 +50,7 @@
   }
   recent_.emplace_front(job.key, now);
   keys_[job.key] = recent_.begin();
-  if (recent_.size() > figures_.warmKeys) {
+  if (recent_.size() > figures_.keyAffinity) {
     keys_.erase(recent_.back().first);
     recent_.pop_back();
   }
--- a/src/lab/simulation/server.hpp
+++ b/src/lab/simulation/server.hpp
@@ -35,7 +35,7 @@
   bool chokes = false;
   double chokeAt = 5, chokeOverS = 2, chokeSlower = 3, chokeRestS = 3, chokeBelow = 0.3, chokeMostS = 25;
   double warmGain = 0, warmKeepS = 6;
-  std::size_t warmKeys = 24;
+  std::size_t keyAffinity = 24;
 };
 
 struct Job {
