--- a/src/lab/simulation/world.cpp
+++ b/src/lab/simulation/world.cpp
@@ -56,7 +56,7 @@
   Time first{};
   std::uint32_t cls = 0, zone = 0;
   std::uint64_t key = 0;
-  double work = 0, worth = 0;
+  double work = 0, value = 0;
   std::uint8_t left = 0, tries = 0;
   CallEnd end = CallEnd::open;
   Time endAt{};
@@ -92,17 +92,17 @@
   std::vector<std::uint32_t> serverOf;  // by HostId
   std::vector<Pool> pools;              // by server
   std::vector<std::uint32_t> open;      // tries not ended
-  std::vector<Phase> told;              // by server
+  std::vector<EndpointState> told;      // by server
   std::vector<Time> toldStart;          // by server: the start that it was told
   Time lastTold{};
   double weight = 1;
-  std::uint32_t groupSize = 0;  // as its module has it
+  std::uint32_t replicaCount = 0;  // as its module has it
   std::optional<membership::Membership> member;
   Time memberWake = Time::max();
 };
 
 struct Machine {
-  HostEntry entry;
+  Endpoint entry;
   Server server;
   std::uint32_t zone = 0, epoch = 0, turn = 0;
   bool reachable = true, up = true, draining = false, leftSilently = false;
@@ -112,7 +112,7 @@
 
 struct Change {
   std::uint32_t server;
-  HostEntry entry;
+  Endpoint entry;
 };
 
 class World final : public Truth {
@@ -220,7 +220,7 @@
     ServerRecord record;
     record.address = machines_.back().entry.address;
     record.zone = s_.zones[zone];
-    record.kind = machines_.back().entry.kind;
+    record.kind = machines_.back().entry.machineType;
     record.cores = f.cores;
     record.speed = f.speed;
     // Its record begins with the day, so that all lie on one clock.
@@ -237,7 +237,7 @@
     const auto count = static_cast<std::uint32_t>(std::lround(s_.gateways.draw(fleet)));
     const double spread = s_.startSpreadMs.draw(fleet);
     settings_ = moduleSettings(s_, d_);
-    settings_.groupSize =
+    settings_.replicaCount =
         s_.configuredGateways > 0 ? static_cast<std::uint32_t>(s_.configuredGateways) : count;
     gateways_.resize(count);
     for (std::uint32_t g = 0; g < count; ++g) {
@@ -256,7 +256,7 @@
       c.zone = a.zone;
       c.work = a.work;
       c.key = a.key;
-      c.worth = d_.classes[c.cls].set.worth * c.work;
+      c.value = d_.classes[c.cls].set.priorityWeight * c.work;
       c.left = static_cast<std::uint8_t>(d_.retries);
       clientCalls_.push_back(c);
       at(c.first, Happens::clientTry, static_cast<std::uint32_t>(clientCalls_.size() - 1));
@@ -275,8 +275,8 @@
     Call& c = clientCalls_[id];
     const DrawnClass& d = d_.classes[c.cls];
     Duration left = balancer::Duration(
-        static_cast<std::int64_t>(static_cast<double>(d.set.giveUp.count()) * d_.tryShare));
-    left = std::min(left, d.set.giveUp - (now_ - c.first));
+        static_cast<std::int64_t>(static_cast<double>(d.set.clientTimeout.count()) * d_.tryShare));
+    left = std::min(left, d.set.clientTimeout - (now_ - c.first));
     if (left <= Duration(0))
       return leave(c, false);
     Stream front(seed_, "front", static_cast<std::uint64_t>(id) * 32 + c.tries);
@@ -327,13 +327,13 @@
 
   std::uint32_t sizeFor(std::uint32_t g) const {
     const auto& member = gateways_[g].member;
-    return std::max(settings_.groupSize, member ? static_cast<std::uint32_t>(member->holders()) : 1);
+    return std::max(settings_.replicaCount, member ? static_cast<std::uint32_t>(member->holders()) : 1);
   }
 
   Settings settingsOf(std::uint32_t g) {
     Settings set = settings_;
-    set.groupSize = sizeFor(g);
-    set.number = std::min(g, set.groupSize - 1);
+    set.replicaCount = sizeFor(g);
+    set.replicaIndex = std::min(g, set.replicaCount - 1);
     set.seed = Stream(seed_, "seed", static_cast<std::uint64_t>(g) * 64 + gateways_[g].life).engine()();
     set.zone = s_.zones[gateways_[g].zone];
     return set;
@@ -380,8 +380,8 @@
       });
     }
     w.member->events().clear();
-    if (const std::uint32_t size = sizeFor(g); w.policy && size != w.groupSize) {
-      w.groupSize = size;
+    if (const std::uint32_t size = sizeFor(g); w.policy && size != w.replicaCount) {
+      w.replicaCount = size;
       w.policy->onSettings(now_, settingsOf(g));
       carryOut(g);
     }
@@ -402,28 +402,28 @@
     Gateway& w = gateways_[g];
     ++w.life;
     w.up = w.known = true;
-    w.groupSize = sizeFor(g);
+    w.replicaCount = sizeFor(g);
     w.policy = maker_(settingsOf(g), now_, *this);
     w.serverOf.clear();
     w.pools.assign(machines_.size(), Pool{});
     checker_.restarted(g);
-    std::vector<HostEntry> entries;
+    std::vector<Endpoint> entries;
     if (first) {
-      w.told.assign(machines_.size(), Phase::out);
+      w.told.assign(machines_.size(), EndpointState::removed);
       w.toldStart.assign(machines_.size(), Time{});
     }
     for (std::uint32_t m = 0; m < machines_.size(); ++m) {
-      const bool in =
-          first ? static_cast<bool>(publishedIn_[m]) : m < w.told.size() && w.told[m] != Phase::out;
+      const bool in = first ? static_cast<bool>(publishedIn_[m])
+                            : m < w.told.size() && w.told[m] != EndpointState::removed;
       if (!in)
         continue;
-      HostEntry e = published_[m];
+      Endpoint e = published_[m];
       if (!first)
-        e.phase = w.told[m], e.upSince = w.toldStart[m];
+        e.state = w.told[m], e.upSince = w.toldStart[m];
       entries.push_back(e);
       learn(g, m, e);
     }
-    w.policy->onHosts(now_, ListKind::restored, entries);
+    w.policy->onEndpoints(now_, EndpointListKind::cached, entries);
     carryOut(g);
     startMember(g);
     at(now_ + std::chrono::milliseconds(20), [this, g, life = w.life] {
@@ -474,7 +474,7 @@
     Request q;
     q.id = id + 1;
     q.classIndex = c.cls;
-    q.left = t.deadline - now_;
+    q.remaining = t.deadline - now_;
     q.key = c.key;
     q.hasKey = c.key != 0;
     w.policy->onRequest(now_, q);
@@ -497,7 +497,7 @@
     if (c.end != CallEnd::open)
       return;
     const Duration taken = now_ - c.first - secs(d_.clientHop);
-    c.end = taken <= d_.classes[c.cls].set.aim ? CallEnd::inTime : CallEnd::late;
+    c.end = taken <= d_.classes[c.cls].set.latencyObjective ? CallEnd::inTime : CallEnd::late;
     c.endAt = now_;
     if (c.first >= kStart + secs(s_.warmS))
       latency_.add(inSeconds(taken) * 1000);
@@ -521,14 +521,15 @@
       case ActionKind::send:
         send(g, a);
         break;
-      case ActionKind::refuse:
+      case ActionKind::reject:
       case ActionKind::fail: {
         const std::uint32_t id = tryOf(a.request, "answered");
         if (tries_[id].ended)
           break;
-        const bool refused = a.kind == ActionKind::refuse;
+        const bool refused = a.kind == ActionKind::reject;
         checker_.answered(now_, a.request, refused);
-        end(id, false, refused, s_.retryAfter ? std::min(a.span, millis(s_.maxRetryAfterMs)) : Duration(0));
+        end(id, false, refused,
+            s_.retryAfter ? std::min(a.retryAfter, millis(s_.maxRetryAfterMs)) : Duration(0));
         break;
       }
       case ActionKind::cancel: {
@@ -548,13 +549,13 @@
         break;
       }
       case ActionKind::wake:
-        at(door(std::max(a.span, now_ + Duration(1))), Happens::wake, g, w.life);
+        at(door(std::max(a.wakeAt, now_ + Duration(1))), Happens::wake, g, w.life);
         break;
       case ActionKind::log:
         if (result_.said.size() < kSaidMost)
           result_.said.push_back(stamp() + "[" + std::to_string(g) + "] " + a.text);
         break;
-      case ActionKind::subscribe:
+      case ActionKind::pollDiscovery:
         break;
     }
   }
@@ -604,8 +605,8 @@
     t.ids[t.attempts++] = number;
     attempts_.push_back(a);
     Attempt& made = attempts_.back();
-    if (t.ended || t.attempts > settings_.maxAttempts || action.span < Duration(0)) {
-      made.outcome = Outcome::moot;
+    if (t.ended || t.attempts > settings_.maxAttempts || action.timeLimit < Duration(0)) {
+      made.outcome = Outcome::abandoned;
       return at(door(now_ + Duration(1)), Happens::atGateway, number);
     }
     secondOf(now_).attempts += 1;
@@ -613,14 +614,14 @@
     if (clientCalls_[t.call].first >= kStart)
       crossed_ += gateways_[g].zone != m.zone;
     const Duration limit =
-        std::min(action.span > Duration(0) ? action.span : t.deadline - now_, t.deadline - now_);
+        std::min(action.timeLimit > Duration(0) ? action.timeLimit : t.deadline - now_, t.deadline - now_);
     at(door(now_ + std::max(limit, Duration(1))), Happens::timeout, number);
     if (server >= w.pools.size())
       w.pools.resize(machines_.size());
     Pool& pool = w.pools[server];
     if (pool.epoch != m.epoch && !m.leftSilently)
       pool.idle.clear();
-    while (!pool.idle.empty() && now_ - pool.idle.back() >= settings_.idleClose) {
+    while (!pool.idle.empty() && now_ - pool.idle.back() >= settings_.idleTimeout) {
       if (pool.epoch == m.epoch)
         lower(m, pool.idle.size());
       pool.idle.clear();
@@ -677,21 +678,21 @@
     Job job;
     job.attempt = id;
     job.key = c.key;
-    job.hasKey = c.key != 0 && s_.warmKeys;
+    job.hasKey = c.key != 0 && s_.keyAffinity;
     job.deadline = t.deadline;
     job.work = c.work * (d.noise > 0 ? draw.lognormal(1, d.noise) : 1) + (a.fresh ? d_.handshakeWork : 0);
     const Gateway& w = gateways_[t.gateway];
     double informed = 0;
     const bool knew = a.server < w.toldStart.size() && w.toldStart[a.server] == m.entry.upSince;
-    if (m.server.overdriven(now_, job.work, knew, s_.fallMultiple, s_.fallMs / 1000, informed)) {
+    if (m.server.overdriven(now_, job.work, knew, s_.overloadMultiple, s_.fallMs / 1000, informed)) {
       note("cold server " + m.entry.address + " fell over");
       checker_.fell(now_, m.entry.address, informed);
       stopMachine(a.server, false);
-      publishLater(noticeTime(), a.server, Phase::out, m.entry.upSince);
+      publishLater(noticeTime(), a.server, EndpointState::removed, m.entry.upSince);
       return;
     }
     if (m.draining)
-      return respond(id, Outcome::full);
+      return respond(id, Outcome::rejected);
     if (m.resets > 0 && draw.chance(m.resets)) {
       m.server.offer(now_, job);  // it runs, but the answer is lost
       reschedule(a.server);
@@ -701,7 +702,7 @@
     if (m.errors > 0 && draw.chance(m.errors))
       return respond(id, Outcome::error);
     if (!m.server.offer(now_, job))
-      return respond(id, Outcome::full);
+      return respond(id, Outcome::rejected);
     collect(a.server);
     reschedule(a.server);
   }
@@ -719,7 +720,7 @@
       if (!a.out || a.outcome != Outcome::served)
         continue;
       if (e.dropped)
-        respond(e.attempt, Outcome::full);
+        respond(e.attempt, Outcome::rejected);
       else
         respond(e.attempt, Stream(seed_, "error", e.attempt).chance(m.server.figures().errorRate)
                                ? Outcome::error
@@ -756,12 +757,12 @@
     Machine& m = machines_[a.server];
     if (givenUp || outcome == Outcome::reset)
       hangUp(a, id);
-    else if (outcome != Outcome::connectFailed && outcome != Outcome::moot && a.epoch == m.epoch) {
+    else if (outcome != Outcome::connectFailed && outcome != Outcome::abandoned && a.epoch == m.epoch) {
       if (w.pools[a.server].epoch == m.epoch)
         w.pools[a.server].idle.push_back(now_);
     }
     Second& second = secondOf(now_);
-    if (outcome == Outcome::full)
+    if (outcome == Outcome::rejected)
       second.full += 1;
     if (outcome == Outcome::timeout)
       second.timeouts += 1;
@@ -777,7 +778,7 @@
     r.attempt = a.number;
     r.host = w.policy->findHost(m.entry.address);
     r.outcome = outcome;
-    r.taken = now_ - a.at;
+    r.elapsed = now_ - a.at;
     if (outcome == Outcome::served && !t.ended) {
       checker_.served(tryId + 1);
       end(tryId, true, false, {});
@@ -798,20 +799,20 @@
     end(id, false, false, {});
     if (!w.up || w.life != t.life)
       return;
-    w.policy->onClientGone(now_, id + 1);
+    w.policy->onClientDisconnected(now_, id + 1);
     carryOut(t.gateway);
   }
 
   // --- Discovery
   // --------------------------------------------------------------------------------------------
 
-  void learn(std::uint32_t g, std::uint32_t server, const HostEntry& e) {
+  void learn(std::uint32_t g, std::uint32_t server, const Endpoint& e) {
     Gateway& w = gateways_[g];
-    w.told.resize(machines_.size(), Phase::out);
+    w.told.resize(machines_.size(), EndpointState::removed);
     w.toldStart.resize(machines_.size());
-    w.told[server] = e.phase;
+    w.told[server] = e.state;
     w.toldStart[server] = e.upSince;
-    checker_.told(now_, g, server, e.phase);
+    checker_.told(now_, g, server, e.state);
   }
 
   void tell(std::uint32_t g, std::uint32_t change) {
@@ -819,31 +820,31 @@
       return;
     const Change& c = changes_[change];
     learn(g, c.server, c.entry);
-    gateways_[g].policy->onHosts(now_, ListKind::update, {c.entry});
+    gateways_[g].policy->onEndpoints(now_, EndpointListKind::delta, {c.entry});
     carryOut(g);
   }
 
   void tellAll(std::uint32_t g) {
-    std::vector<HostEntry> entries;
+    std::vector<Endpoint> entries;
     for (std::uint32_t m = 0; m < machines_.size(); ++m) {
-      HostEntry e = published_[m];
+      Endpoint e = published_[m];
       if (!publishedIn_[m])
-        e.phase = Phase::out;
+        e.state = EndpointState::removed;
       learn(g, m, e);
-      if (e.phase != Phase::out)
+      if (e.state != EndpointState::removed)
         entries.push_back(e);
     }
-    gateways_[g].policy->onHosts(now_, ListKind::replace, entries);
+    gateways_[g].policy->onEndpoints(now_, EndpointListKind::snapshot, entries);
     carryOut(g);
   }
 
   // Discovery has noticed: every gateway hears of it within the spread.
-  void publish(std::uint32_t server, Phase phase, Time upSince) {
-    HostEntry e = machines_[server].entry;
-    e.phase = phase;
+  void publish(std::uint32_t server, EndpointState state, Time upSince) {
+    Endpoint e = machines_[server].entry;
+    e.state = state;
     e.upSince = upSince;
     published_[server] = e;
-    publishedIn_[server] = phase != Phase::out;
+    publishedIn_[server] = state != EndpointState::removed;
     changes_.push_back({server, e});
     const double spread = s_.spreadMs.draw(notices_) / 1000;
     for (std::uint32_t g = 0; g < gateways_.size(); ++g) {
@@ -853,13 +854,13 @@
       at(when, Happens::tell, g, static_cast<std::uint32_t>(changes_.size() - 1));
     }
   }
-  void publishLater(Duration in, std::uint32_t server, Phase phase, Time upSince) {
+  void publishLater(Duration in, std::uint32_t server, EndpointState state, Time upSince) {
     Time when = now_ + in + secs(lateLists_);
     if (d_.lookPeriod > 0) {  // discovery looks every so often
       const auto period = secs(d_.lookPeriod).count();
       when = Time((when.count() + period - 1) / period * period);
     }
-    at(when, [this, server, phase, upSince] { publish(server, phase, upSince); });
+    at(when, [this, server, state, upSince] { publish(server, state, upSince); });
   }
   Duration noticeTime() { return secs(s_.noticeS.draw(notices_)); }
 
@@ -972,7 +973,7 @@
             noticeSilence(i);
           } else {
             startMachine(i);
-            publishLater(secs(s_.addS.draw(notices_)), i, Phase::in, now_);
+            publishLater(secs(s_.addS.draw(notices_)), i, EndpointState::serving, now_);
           }
         });
       } else if (t.kind == "cut") {
@@ -1020,7 +1021,7 @@
   void noticeSilence(std::uint32_t i) {
     at(now_ + secs(s_.silentNoticeS.draw(notices_)), [this, i] {
       if (!machines_[i].reachable)
-        publish(i, Phase::out, machines_[i].entry.upSince);
+        publish(i, EndpointState::removed, machines_[i].entry.upSince);
     });
   }
 
@@ -1040,14 +1041,14 @@
         if (m.draining || !m.up)
           return;
         m.draining = true;
-        publishLater(noticeTime(), id, Phase::draining, m.entry.upSince);
+        publishLater(noticeTime(), id, EndpointState::draining, m.entry.upSince);
         at(now_ + secs(drain), [this, id] {
           stopMachine(id, false);
-          publishLater(noticeTime(), id, Phase::out, machines_[id].entry.upSince);
+          publishLater(noticeTime(), id, EndpointState::removed, machines_[id].entry.upSince);
           const std::uint32_t fresh =
               addMachine(kindOf_[id], machines_[id].zone, static_cast<std::size_t>(machines_[id].entry.cell));
           startMachine(fresh);
-          publishLater(secs(s_.addS.draw(notices_)), fresh, Phase::in, now_);
+          publishLater(secs(s_.addS.draw(notices_)), fresh, EndpointState::serving, now_);
         });
       });
     }
@@ -1057,9 +1058,9 @@
     if (attempts >= 1)
       settings_.maxAttempts = static_cast<std::uint32_t>(std::min(attempts, 8.0));
     for (std::size_t i = 0; i < settings_.classes.size(); ++i) {
-      if (settings_.classes[i].name != t.className || t.effect.empty())
+      if (settings_.classes[i].name != t.className || t.idempotency.empty())
         continue;
-      settings_.classes[i].effect = effectNamed(t.effect);
+      settings_.classes[i].idempotency = effectNamed(t.idempotency);
     }
     note("settings changed");
     for (std::uint32_t g = 0; g < gateways_.size(); ++g)
@@ -1147,9 +1148,10 @@
     std::size_t up = 0;
     for (const Gateway& w : gateways_)
       if (w.up)
-        cut += w.policy->cutoff(), ++up;
+        cut += w.policy->sheddingThreshold(), ++up;
     if (up > 0)
-      secondOf(now_).cutoff = std::max(secondOf(now_).cutoff, cut / static_cast<double>(up));
+      secondOf(now_).sheddingThreshold =
+          std::max(secondOf(now_).sheddingThreshold, cut / static_cast<double>(up));
     if (now_ + kSample <= kStart + secs(s_.lengthS))
       at(now_ + kSample, Happens::sample);
   }
@@ -1163,12 +1165,12 @@
     std::vector<std::vector<double>> times(r.seconds.size());
     for (const Call& c : clientCalls_) {
       const ClassSettings& set = d_.classes[c.cls].set;
-      const double worth = c.end == CallEnd::inTime ? c.worth
-                           : c.end == CallEnd::late ? set.lateShare * c.worth
+      const double value = c.end == CallEnd::inTime ? c.value
+                           : c.end == CallEnd::late ? set.lateValueFraction * c.value
                                                     : 0;
       Second& second = secondOf(c.first);
-      second.asked += c.worth;
-      (c.end == CallEnd::late ? second.late : second.inTime) += worth;
+      second.asked += c.value;
+      (c.end == CallEnd::late ? second.late : second.inTime) += value;
       second.calls += 1;
       if (c.end == CallEnd::inTime || c.end == CallEnd::late)
         times[static_cast<std::size_t>(&second - r.seconds.data())].push_back(inSeconds(c.endAt - c.first) *
@@ -1178,8 +1180,8 @@
         continue;
       ++r.calls;
       ClassRecord& record = r.classes[c.cls];
-      record.asked += c.worth;
-      record.served += worth;
+      record.asked += c.value;
+      record.served += value;
       record.calls += 1;
       record.inTime += c.end == CallEnd::inTime;
       record.late += c.end == CallEnd::late;
@@ -1188,8 +1190,8 @@
         continue;
       (c.end == CallEnd::refused ? record.refused : record.failed) += 1;
       ++(c.end == CallEnd::refused ? refused : failed);
-      if (c.end == CallEnd::open || c.endAt - c.first > set.aim)
-        lateFailed += c.worth;
+      if (c.end == CallEnd::open || c.endAt - c.first > set.latencyObjective)
+        lateFailed += c.value;
     }
     for (std::size_t i = 0; i < times.size(); ++i) {
       std::sort(times[i].begin(), times[i].end());
@@ -1267,7 +1269,7 @@
   std::deque<Machine> machines_;  // grows while references are held
   std::vector<std::size_t> kindOf_;
   std::unordered_map<std::string, std::uint32_t> byAddress_;
-  std::vector<HostEntry> published_;
+  std::vector<Endpoint> published_;
   std::vector<char> publishedIn_;
   std::vector<Change> changes_;
   std::vector<Gateway> gateways_;
--- a/src/lab/simulation/world.hpp
+++ b/src/lab/simulation/world.hpp
@@ -20,8 +20,8 @@
   double asked = 0, inTime = 0, late = 0;  // worth of the calls that came in this second
   std::uint32_t calls = 0, tries = 0, refused = 0, failed = 0, attempts = 0;
   std::uint32_t full = 0, timeouts = 0, connectFailed = 0, resets = 0, errors = 0;  // of attempts
-  double cutoff = 0;        // the highest mean over the gateways
-  double p50 = 0, p99 = 0;  // ms, of its calls that were served
+  double sheddingThreshold = 0;  // the highest mean over the gateways
+  double p50 = 0, p99 = 0;       // ms, of its calls that were served
 };
 
 enum class ServerState : std::uint8_t { usual, cold, choked, slowed, paused, silent, draining, gone };
--- a/src/lab/soak/ledger.cpp
+++ b/src/lab/soak/ledger.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using balancer::Effect;
+using balancer::Idempotency;
 
 constexpr std::array<std::string_view, 12> kNames = {
     "unanswered", "after_leaving", "told_too_much", "after_drain", "ran_twice", "nobodys_request",
@@ -68,7 +68,7 @@
   if (status == 200 && request.runs.empty())
     add(SoakRule::wrongAnswer, id, "served, and no server has run it");
   const bool refused = status == 429 || status == 503;
-  if (refused && !request.runs.empty() && request.cls.effect == Effect::fragile)
+  if (refused && !request.runs.empty() && request.cls.idempotency == Idempotency::none)
     add(SoakRule::ranTwice, id, "refused as harmless, and it has run");
   const SoakTime held = heldSince(request.gateway, request.sent, now);
   if (now > request.sent + request.wait + kAnswerGrace + held + slack_)
@@ -114,9 +114,9 @@
   if (it == requests_.end())
     return;
   Request& request = it->second;
-  if (!request.runs.empty() && request.cls.effect == Effect::fragile)
+  if (!request.runs.empty() && request.cls.idempotency == Idempotency::none)
     add(SoakRule::ranTwice, id, "a request that may not be repeated ran again");
-  if (!request.runs.empty() && request.cls.effect == Effect::dedup &&
+  if (!request.runs.empty() && request.cls.idempotency == Idempotency::keyed &&
       now - request.runs.front().at > request.cls.window + kHoldUp + slack_)
     add(SoakRule::ranTwice, id, "ran again past its window");
   request.runs.push_back({now});
--- a/src/lab/soak/ledger.hpp
+++ b/src/lab/soak/ledger.hpp
@@ -40,7 +40,7 @@
 
 struct SoakClass {
   std::string name;
-  balancer::Effect effect = balancer::Effect::fragile;
+  balancer::Idempotency idempotency = balancer::Idempotency::none;
   std::chrono::nanoseconds window{};
 };
 
--- a/src/lab/soak/soak.cpp
+++ b/src/lab/soak/soak.cpp
@@ -41,14 +41,14 @@
 constexpr auto kColdTime = 9s, kFallWindow = 2s;
 constexpr double kColdShare = 0.32, kFallMultiple = 3, kHeadroom = 2;
 
-const SoakClass kClasses[] = {{"read", balancer::Effect::retryable, 0ns},
-                              {"write", balancer::Effect::fragile, 0ns},
-                              {"put", balancer::Effect::dedup, 2s}};
+const SoakClass kClasses[] = {{"read", balancer::Idempotency::idempotent, 0ns},
+                              {"write", balancer::Idempotency::none, 0ns},
+                              {"put", balancer::Idempotency::keyed, 2s}};
 
 json classJson(const SoakClass& cls) {
   static constexpr const char* kEffects[] = {"retryable", "dedup", "fragile"};
   return {{"name", cls.name},
-          {"effect", kEffects[static_cast<std::size_t>(cls.effect)]},
+          {"effect", kEffects[static_cast<std::size_t>(cls.idempotency)]},
           {"group", "all"},
           {"aimNs", 800'000'000},
           {"giveUpNs", 1'000'000'000},
@@ -316,13 +316,13 @@
   SoakCall call;
   call.cls = kClasses[draw_() % std::size(kClasses)];
   call.id = "q" + std::to_string(plan_.seed) + "-" + std::to_string(++serial_);
-  const bool get = call.cls.effect == balancer::Effect::retryable;
+  const bool get = call.cls.idempotency == balancer::Idempotency::idempotent;
   call.body = get ? "" : std::string(draw_() % 3000, 'x');
   call.wait = kWait;
   call.head = std::string(get ? "GET /" : "POST /") + call.cls.name +
               " HTTP/1.1\r\nHost: x\r\nX-Class: " + call.cls.name + "\r\nX-Request-Id: " + call.id +
               "\r\nX-Deadline-Ms: " + std::to_string(kWait.count()) + "\r\n";
-  if (call.cls.effect == balancer::Effect::dedup)
+  if (call.cls.idempotency == balancer::Idempotency::keyed)
     call.head += "Idempotency-Key: k" + call.id + "\r\n";
   if (!get)
     call.head += "Content-Length: " + std::to_string(call.body.size()) + "\r\n";
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -68,7 +68,7 @@
     case 20:
       return Outcome::error;
     case 30:
-      return Outcome::full;
+      return Outcome::rejected;
     case 40:
       return Outcome::timeout;
     case 50:
@@ -78,7 +78,7 @@
     case 70:
       return Outcome::cancelled;
     case 80:
-      return Outcome::moot;
+      return Outcome::abandoned;
     default:
       throw BadLine("unknown disposition " + std::to_string(code));
   }
@@ -134,23 +134,23 @@
       if (n == "rngSeed")
         s.seed = static_cast<std::uint64_t>(number<std::int64_t>(p));
       else if (n == "groupSize")
-        s.groupSize = number<std::uint32_t>(p);
+        s.replicaCount = number<std::uint32_t>(p);
       else if (n == "ceilings.parallelTries")
-        s.parallelTries = boolean(p);
+        s.allowHedging = boolean(p);
       else if (n == "weights")
-        s.liveWeights = p.value == "live";
+        s.loadAdjustedWeights = p.value == "live";
       else if (n == "myNumber")
-        s.number = number<std::uint32_t>(p);
+        s.replicaIndex = number<std::uint32_t>(p);
       else if (n == "zone")
         s.zone = p.value;
       else if (n == "overShareWorth")
-        s.overShareWorth = number<double>(p);
+        s.overQuotaWeight = number<double>(p);
       else if (n == "registryMode")
-        s.askDiscovery = p.value == "ask";
+        s.pollDiscovery = p.value == "ask";
       else if (n == "stepNs")
         s.step = span(p);
       else if (n == "domain.warmKeys")
-        s.warmKeys = boolean(p);
+        s.keyAffinity = boolean(p);
       else if (n == "ceilings.retryAfter")
         s.retryAfter = boolean(p);
       else if (n == "ceilings.cancel")
@@ -160,50 +160,52 @@
       else if (n == "ceilings.streamsPerConn")
         s.streamsPerConnection = number<std::uint32_t>(p);
       else if (n == "ceilings.idleCloseNs")
-        s.idleClose = span(p);
+        s.idleTimeout = span(p);
       else if (n == "ceilings.maxRetryAfterNs")
         s.maxRetryAfter = span(p);
       else if (n == "rules.askWithinNs")
-        s.askWithin = span(p);
+        s.maxDiscoverySilence = span(p);
       else if (n == "rules.coldNs")
-        s.coldTime = span(p);
+        s.slowStartDuration = span(p);
       else if (n == "rules.coldShare")
-        s.coldShare = number<double>(p);
+        s.slowStartInitialFraction = number<double>(p);
       else if (n == "rules.fallMultiple")
-        s.fallMultiple = number<double>(p);
+        s.overloadMultiple = number<double>(p);
       else if (n == "rules.fallNs")
-        s.fallWindow = span(p);
+        s.overloadWindow = span(p);
       else if (n == "rules.keyRestNs")
-        s.keyRest = span(p);
+        s.keyCooldown = span(p);
       else {
         indexed(n, "grades", [&](std::size_t i, std::string_view field) {
           ClassSettings& c = at(s.classes, i);
           if (field == "name")
             c.name = p.value;
           else if (field == "aimNs")
-            c.aim = span(p);
+            c.latencyObjective = span(p);
           else if (field == "giveUpNs")
-            c.giveUp = span(p);
+            c.clientTimeout = span(p);
           else if (field == "windowNs")
-            c.window = span(p);
+            c.deduplicationWindow = span(p);
           else if (field == "points")
-            c.worth = number<double>(p);
+            c.priorityWeight = number<double>(p);
           else if (field == "lateShare")
-            c.lateShare = number<double>(p);
+            c.lateValueFraction = number<double>(p);
           else if (field == "aimStretch")
-            c.aimStretch = number<double>(p);
+            c.objectiveStretch = number<double>(p);
           else if (field == "inTurn")
-            c.inTurn = boolean(p);
+            c.orderedPerKey = boolean(p);
           else if (field == "staysIn")
             c.zones = names(p.value);
           else if (field == "boundTo")
-            c.kinds = names(p.value);
+            c.machineTypes = names(p.value);
           else if (field == "effect")
-            c.effect = p.value == "retryable" ? Effect::retryable
-                       : p.value == "dedup"   ? Effect::dedup
-                                              : Effect::fragile;
+            c.idempotency = p.value == "retryable" ? Idempotency::idempotent
+                            : p.value == "dedup"   ? Idempotency::keyed
+                                                   : Idempotency::none;
           else if (field == "group")
-            c.group = p.value == "all" ? Group::all : p.value == "zone" ? Group::zone : Group::cell;
+            c.deduplicationScope = p.value == "all"    ? DeduplicationScope::all
+                                   : p.value == "zone" ? DeduplicationScope::zone
+                                                       : DeduplicationScope::cell;
         });
         indexed(n, "tenants", [&](std::size_t i, std::string_view field) {
           TenantSettings& t = at(s.tenants, i);
@@ -218,7 +220,7 @@
     throw std::invalid_argument(bad.what());
   }
   for (ClassSettings& c : s.classes)
-    c.giveUp = std::max(c.giveUp, c.aim);
+    c.clientTimeout = std::max(c.clientTimeout, c.latencyObjective);
   return s;
 }
 
@@ -398,10 +400,10 @@
     if (!ref)
       return;  // it may have been dropped already
     if (name == "LEFT") {
-      g.balancer.onClientGone(Time(clock_), g.idOf(slot));
+      g.balancer.onClientDisconnected(Time(clock_), g.idOf(slot));
       ref->ended = true;
     } else {
-      g.balancer.onAnswerStarted(Time(clock_), g.idOf(slot), attempt);
+      g.balancer.onResponseStarted(Time(clock_), g.idOf(slot), attempt);
     }
     print(g);
     if (name == "LEFT" && g.find(id, slot))
@@ -458,7 +460,7 @@
   if (rowsDue_ == 0)
     throw BadLine("a row outside a list");
   --rowsDue_;
-  HostEntry e;
+  Endpoint e;
   Pair p;
   while (nextPair(rest, p)) {
     if (p.name == "host")
@@ -466,7 +468,7 @@
     else if (p.name == "locality")
       e.zone = p.value;
     else if (p.name == "machine")
-      e.kind = p.value;
+      e.machineType = p.value;
     else if (p.name == "block")
       e.cell = number<std::int64_t>(p);
     else if (p.name == "capacityHint")
@@ -475,11 +477,11 @@
       e.upSince = span(p);
     else if (p.name == "phase") {
       if (p.value == "IN")
-        e.phase = Phase::in;
+        e.state = EndpointState::serving;
       else if (p.value == "LAME")
-        e.phase = Phase::draining;
+        e.state = EndpointState::draining;
       else if (p.value == "OUT")
-        e.phase = Phase::out;
+        e.state = EndpointState::removed;
       else
         throw BadLine("unknown phase");
     }
@@ -498,23 +500,23 @@
       kind = p.value;
     else if (p.name == "buffer" && p.value != "-")
       index = number<std::size_t>(p);
-  static const std::vector<HostEntry> none;
+  static const std::vector<Endpoint> none;
   if (kind == "unavailable") {
-    g.balancer.onHosts(Time(clock_), ListKind::unavailable, none);
+    g.balancer.onEndpoints(Time(clock_), EndpointListKind::unavailable, none);
     return print(g);
   }
-  ListKind what;
+  EndpointListKind what;
   if (kind == "update")
-    what = ListKind::update;
+    what = EndpointListKind::delta;
   else if (kind == "replace")
-    what = ListKind::replace;
+    what = EndpointListKind::snapshot;
   else if (kind == "restored")
-    what = ListKind::restored;
+    what = EndpointListKind::cached;
   else
     throw BadLine("unknown kind of news");
   if (index >= lists_.size() || !lists_[index].known)
     throw BadLine("unknown list");
-  g.balancer.onHosts(Time(clock_), what, lists_[index].entries);
+  g.balancer.onEndpoints(Time(clock_), what, lists_[index].entries);
   print(g);
 }
 
@@ -539,7 +541,7 @@
     bool timed = false, classed = false;
     while (nextPair(rest, p)) {
       if (p.name == "leftNs") {
-        q.left = span(p);
+        q.remaining = span(p);
         timed = true;
       } else if (p.name == "costNs") {
         q.cost = span(p);
@@ -587,7 +589,7 @@
       a.outcome = outcomeOf(number<int>(p));
       coded = true;
     } else if (p.name == "timeTakenNs")
-      a.taken = span(p);
+      a.elapsed = span(p);
     else if (p.name == "terminal")
       a.terminal = boolean(p);
   }
@@ -617,15 +619,15 @@
         ++g.refs[slot].out;
         out.append("FORWARD i=").append(g.name).append(" ref=").append(g.refs[slot].id);
         out.append(" host=").append(g.balancer.address(a.host)).append(" withinNs=");
-        append(out, a.span.count());
+        append(out, a.timeLimit.count());
         break;
-      case ActionKind::refuse:
+      case ActionKind::reject:
       case ActionKind::fail:
-        out.append(a.kind == ActionKind::refuse ? "TURN_AWAY i=" : "RESPOND_ERROR i=");
+        out.append(a.kind == ActionKind::reject ? "TURN_AWAY i=" : "RESPOND_ERROR i=");
         out.append(g.name).append(" ref=").append(g.refs[slot].id);
-        if (a.kind == ActionKind::refuse && a.span > Duration{}) {
+        if (a.kind == ActionKind::reject && a.retryAfter > Duration{}) {
           out.append(" notBeforeForNs=");
-          append(out, a.span.count());
+          append(out, a.retryAfter.count());
         }
         g.refs[slot].ended = true;
         break;
@@ -638,10 +640,10 @@
         break;
       case ActionKind::wake:
         out.append("WAKE_AT i=").append(g.name).append(" alarmTimeNs=");
-        append(out, a.span.count());
+        append(out, a.wakeAt.count());
         out.append(" ref=w");
         break;
-      case ActionKind::subscribe:
+      case ActionKind::pollDiscovery:
         out.append("SUBSCRIBE i=").append(g.name).append(" active=1");
         break;
       case ActionKind::log:
@@ -652,7 +654,7 @@
   }
   // Ids are dropped only after all actions that name them are printed.
   for (const Action& a : g.balancer.actions())
-    if (a.kind == ActionKind::refuse || a.kind == ActionKind::fail) {
+    if (a.kind == ActionKind::reject || a.kind == ActionKind::fail) {
       const auto slot = static_cast<std::uint32_t>(a.request);
       if (!g.refs[slot].id.empty())
         g.dropIfOver(slot);
--- a/src/simulator_adapter/wire.hpp
+++ b/src/simulator_adapter/wire.hpp
@@ -16,7 +16,7 @@
 
 namespace hollyrun::simulator_adapter {
 
-using balancer::HostEntry;
+using balancer::Endpoint;
 using balancer::Settings;
 
 // Hosts many gateways, each with a Balancer of its own. Feed it line by line.
@@ -39,7 +39,7 @@
   };
   struct List {
     bool known = false;
-    std::vector<HostEntry> entries;
+    std::vector<Endpoint> entries;
   };
 
   void event(std::string_view name, std::string_view rest);
--- a/tests/bank.hpp
+++ b/tests/bank.hpp
@@ -12,22 +12,22 @@
 class Bank {
  public:
   Bank(Settings s, int gateways, int hosts) : hostCount(hosts) {
-    s.groupSize = static_cast<std::uint32_t>(gateways);
+    s.replicaCount = static_cast<std::uint32_t>(gateways);
     for (int g = 0; g < gateways; ++g) {
-      s.number = static_cast<std::uint32_t>(g);
+      s.replicaIndex = static_cast<std::uint32_t>(g);
       s.seed = static_cast<std::uint64_t>(g) + 1;
       drivers.push_back(std::make_unique<Driver>(s, 0));
     }
-    tell(ListKind::replace, 0, hosts);
+    tell(EndpointListKind::snapshot, 0, hosts);
   }
-  void tell(ListKind kind, int from, int to, Time upSince = {}) {
-    std::vector<HostEntry> list;
+  void tell(EndpointListKind kind, int from, int to, Time upSince = {}) {
+    std::vector<Endpoint> list;
     for (int i = from; i < to; ++i) {
       list.push_back(makeHost(i));
       list.back().upSince = upSince;
     }
     for (auto& d : drivers) {
-      d->balancer.onHosts(d->now, kind, list);
+      d->balancer.onEndpoints(d->now, kind, list);
       d->collect();
     }
     hostCount = std::max(hostCount, to);
--- a/tests/bank_test.cpp
+++ b/tests/bank_test.cpp
@@ -10,7 +10,7 @@
 TEST(Bank, AColdHostIsNotPushedOverByManyGatewaysTogether) {
   for (bool everywhere : {false, true}) {  // where keys are kept warm, every gateway uses every host
     Settings s = makeSettings();
-    s.warmKeys = everywhere;
+    s.keyAffinity = everywhere;
     Bank bank(s, 200, 30);
     bank.run(10, 6);
     bank.forget();
@@ -18,7 +18,7 @@
     double warm = 0;  // in the two seconds of the rule
     for (int h = 0; h < 30; ++h)
       warm += static_cast<double>(bank.sentTo(h)) / 30;
-    bank.tell(ListKind::update, 30, 31, bank.now());
+    bank.tell(EndpointListKind::delta, 30, 31, bank.now());
     std::size_t sum = 0;
     for (int window = 0; window < 3; ++window) {
       bank.forget();
@@ -34,10 +34,10 @@
 // Budgets that were spent first, by every gateway, gave many cold hosts more than the warm ones got.
 TEST(Bank, ManyColdHostsGetLessThanTheWarmOnes) {
   Settings s = makeSettings();
-  s.warmKeys = true;
+  s.keyAffinity = true;
   Bank bank(s, 100, 20);
   bank.run(10, 6);
-  bank.tell(ListKind::update, 20, 50, bank.now());
+  bank.tell(EndpointListKind::delta, 20, 50, bank.now());
   bank.run(1, 6);
   bank.forget();
   bank.run(3, 6);
@@ -51,9 +51,9 @@
 // After a restart of the whole bank nothing is known of any host, and the list may name cold ones at once.
 TEST(Bank, FreshGatewaysTogetherDoNotPushAColdHostOver) {
   Settings s = makeSettings();
-  s.warmKeys = true;
+  s.keyAffinity = true;
   Bank bank(s, 200, 30);
-  bank.tell(ListKind::update, 30, 31, bank.now());
+  bank.tell(EndpointListKind::delta, 30, 31, bank.now());
   bank.run(2, 6);
   double warm = 0;
   for (int h = 0; h < 30; ++h)
@@ -77,7 +77,7 @@
 TEST(Bank, NewHostsAreUsedAndConnectionsToFormerOnesGivenBack) {
   Bank bank(makeSettings(), 320, 50);
   bank.run(3, 6);
-  bank.tell(ListKind::update, 50, 100);
+  bank.tell(EndpointListKind::delta, 50, 100);
   bank.run(3, 6);
   bank.forget();
   bank.run(6, 6);
@@ -97,13 +97,13 @@
 // none may stay silent past the allowed time.
 TEST(Bank, GatewaysTurnedAwayByDiscoveryComeBackSpread) {
   Settings s = makeSettings();
-  s.askDiscovery = true;
-  s.askWithin = seconds(10);
+  s.pollDiscovery = true;
+  s.maxDiscoverySilence = seconds(10);
   Bank bank(s, 200, 10);
   for (int round = 0; round < 4; ++round) {
     bank.forget();
     for (auto& d : bank.drivers) {
-      d->balancer.onHosts(d->now, ListKind::unavailable, {});
+      d->balancer.onEndpoints(d->now, EndpointListKind::unavailable, {});
       d->collect();
     }
     std::vector<std::size_t> asks;
@@ -112,7 +112,7 @@
       std::size_t sum = 0;
       for (auto& d : bank.drivers) {
         d->advance(milliseconds(100), milliseconds(20));
-        sum += std::min<std::size_t>(d->count(ActionKind::subscribe), 1);
+        sum += std::min<std::size_t>(d->count(ActionKind::pollDiscovery), 1);
       }
       asks.push_back(sum - before);
       before = sum;
@@ -126,7 +126,7 @@
 // gateway, and the pool was refused while nine in ten of its servers idled.
 TEST(Bank, AFewJammedHostsDoNotFillTheMaximumOfThinGateways) {
   Settings s = makeSettings();
-  s.groupSize = 300;
+  s.replicaCount = 300;
   Driver d(s, 190);
   std::size_t before = 0;
   for (int i = 0; i < 800; ++i) {
@@ -143,15 +143,15 @@
         ++k;
     }
     if (i == 200)
-      before = d.count(ActionKind::refuse);
+      before = d.count(ActionKind::reject);
   }
-  EXPECT_LT(d.count(ActionKind::refuse) - before, 60u) << "of 600";
+  EXPECT_LT(d.count(ActionKind::reject) - before, 60u) << "of 600";
 }
 
 // All servers together take five times as long: that is an overload, however little a gateway holds itself.
 TEST(Bank, APoolThatSlowsDownWholeIsRelievedByThinGateways) {
   Settings s = makeSettings();
-  s.groupSize = 100;
+  s.replicaCount = 100;
   Driver d(s, 60);
   std::size_t before = 0;
   for (int i = 0; i < 1200; ++i) {
@@ -166,9 +166,9 @@
         ++k;
     }
     if (i == 600)
-      before = d.count(ActionKind::refuse);
+      before = d.count(ActionKind::reject);
   }
-  EXPECT_GT(d.count(ActionKind::refuse) - before, 390u) << "of 600";
+  EXPECT_GT(d.count(ActionKind::reject) - before, 390u) << "of 600";
 }
 
 // What a gateway with few requests holds swings by chance; the cubic must not make refusals of it, and still
@@ -180,13 +180,13 @@
   bank.run(10, 6, milliseconds(110));
   std::size_t refused = 0, asked = 0;
   for (auto& d : bank.drivers) {
-    refused += d->count(ActionKind::refuse);
-    asked += d->count(ActionKind::refuse) + d->sent.size();
+    refused += d->count(ActionKind::reject);
+    asked += d->count(ActionKind::reject) + d->sent.size();
   }
   EXPECT_LT(refused * 50, asked) << "hosts answer in a quarter of the aim";
 
   Settings s = makeSettings();
-  s.groupSize = 100;
+  s.replicaCount = 100;
   Driver slow(s, 20);
   std::size_t before = 0;
   for (int i = 0; i < 600; ++i) {
@@ -202,17 +202,17 @@
         ++k;
     }
     if (i == 300)
-      before = slow.count(ActionKind::refuse);
+      before = slow.count(ActionKind::reject);
   }
   EXPECT_LT(before, 6u);
-  EXPECT_GT(slow.count(ActionKind::refuse) - before, 100u) << "of 300, after nothing comes in time any more";
+  EXPECT_GT(slow.count(ActionKind::reject) - before, 100u) << "of 300, after nothing comes in time any more";
 }
 
 // A slow host that this gateway cannot know yet ate the whole aim of a request that may be repeated.
 TEST(SecondCopy, OnlyWhereAllowedAndOnlyForWhatMayBeRepeated) {
   for (bool parallel : {true, false}) {
     Settings s = makeSettings();
-    s.parallelTries = parallel;
+    s.allowHedging = parallel;
     Driver d(s, 6);
     for (std::uint32_t cls : {0u, 1u})
       d.warmUp(cls, 60);
@@ -232,12 +232,12 @@
 // The rule on parallel attempts binds from the reload on, also for what was under way.
 TEST(SecondCopy, IsNotSentOnceAReloadHasForbiddenIt) {
   Settings s = makeSettings();
-  s.parallelTries = true;
+  s.allowHedging = true;
   Driver d(s, 6);
   d.warmUp(0, 60);
   d.forget();
   d.request(0);
-  s.parallelTries = false;
+  s.allowHedging = false;
   d.balancer.onSettings(d.now, s);
   d.advance(milliseconds(300));
   EXPECT_EQ(d.sent.size(), 1u);
@@ -246,15 +246,15 @@
 // Popular keys heap up on one host unseen by gateways that each hold nothing there; the list tells of it.
 TEST(LiveWeights, ACrowdedHostLosesShareAndGetsItBack) {
   Settings s = makeSettings();
-  s.liveWeights = true;
+  s.loadAdjustedWeights = true;
   Driver d(s, 6);
   const auto run = [&](double weight) {
     d.forget();
     for (int i = 0; i < 400; ++i) {
       if (i % 10 == 0) {
-        HostEntry e = makeHost(2);
+        Endpoint e = makeHost(2);
         e.weight = weight;
-        d.balancer.onHosts(d.now, ListKind::update, {e});
+        d.balancer.onEndpoints(d.now, EndpointListKind::delta, {e});
       }
       d.request(0);
       d.advance(milliseconds(40));
@@ -280,7 +280,7 @@
   for (int i = 0; i < 20; ++i) {
     d.request(0);
     while (!d.out.empty())
-      d.settle(Sent(d.out.front()), Outcome::full, false);
+      d.settle(Sent(d.out.front()), Outcome::rejected, false);
     d.advance(milliseconds(20));
   }
   EXPECT_LE(d.sent.size(), 20u + 13u);
@@ -288,13 +288,13 @@
 
 // A gateway that meets a host once in many seconds learns it too late; its machine kind is known sooner.
 TEST(Pace, ANewHostIsTakenForItsKind) {
-  std::vector<HostEntry> list;
+  std::vector<Endpoint> list;
   for (int i = 0; i < 12; ++i) {
     list.push_back(makeHost(i));
-    list.back().kind = i % 2 ? "slow" : "fast";
+    list.back().machineType = i % 2 ? "slow" : "fast";
   }
   Driver d(makeSettings(), 0);
-  d.balancer.onHosts(d.now, ListKind::replace, {list.begin(), list.begin() + 8});
+  d.balancer.onEndpoints(d.now, EndpointListKind::snapshot, {list.begin(), list.begin() + 8});
   for (int i = 0; i < 400; ++i) {
     d.request(0);
     while (!d.out.empty()) {
@@ -305,7 +305,7 @@
     }
     d.advance(milliseconds(50), milliseconds(50));
   }
-  d.balancer.onHosts(d.now, ListKind::update, {list.begin() + 8, list.end()});
+  d.balancer.onEndpoints(d.now, EndpointListKind::delta, {list.begin() + 8, list.end()});
   d.forget();
   for (int i = 0; i < 60; ++i) {
     d.request(0);
@@ -317,17 +317,17 @@
 
 // A kind that drowns answers nothing; it was taken for a usual one at every host not met before.
 TEST(Pace, AKindThatOnlyLosesIsKnownAsSlow) {
-  for (Outcome loss : {Outcome::timeout, Outcome::full}) {
-    std::vector<HostEntry> list;
+  for (Outcome loss : {Outcome::timeout, Outcome::rejected}) {
+    std::vector<Endpoint> list;
     for (int i = 0; i < 20; ++i) {
       list.push_back(makeHost(i));
-      list.back().kind = i % 2 ? "drowned" : "good";
+      list.back().machineType = i % 2 ? "drowned" : "good";
     }
     Settings s = makeSettings();
-    s.groupSize = 100;
-    s.warmKeys = true;
+    s.replicaCount = 100;
+    s.keyAffinity = true;
     Driver d(s, 0);
-    d.balancer.onHosts(d.now, ListKind::replace, {list.begin(), list.begin() + 12});
+    d.balancer.onEndpoints(d.now, EndpointListKind::snapshot, {list.begin(), list.begin() + 12});
     for (int i = 0; i < 400; ++i) {
       d.request(0);
       while (!d.out.empty()) {
@@ -339,7 +339,7 @@
       }
       d.advance(milliseconds(50), milliseconds(50));
     }
-    d.balancer.onHosts(d.now, ListKind::update, {list.begin() + 12, list.end()});
+    d.balancer.onEndpoints(d.now, EndpointListKind::delta, {list.begin() + 12, list.end()});
     d.forget();
     for (int i = 0; i < 120; ++i) {
       d.request(0);
@@ -355,16 +355,16 @@
 
 // A tenth of a kind's hosts jammed shut out all of it: the mean of the kind followed what timed out there.
 TEST(Pace, AFewJammedHostsDoNotSlowTheirKind) {
-  std::vector<HostEntry> list;
+  std::vector<Endpoint> list;
   for (int i = 0; i < 40; ++i) {
     list.push_back(makeHost(i));
-    list.back().kind = i % 2 ? "partly" : "good";
+    list.back().machineType = i % 2 ? "partly" : "good";
   }
   Settings s = makeSettings();
-  s.groupSize = 100;
-  s.warmKeys = true;
+  s.replicaCount = 100;
+  s.keyAffinity = true;
   Driver d(s, 0);
-  d.balancer.onHosts(d.now, ListKind::replace, {list.begin(), list.begin() + 20});
+  d.balancer.onEndpoints(d.now, EndpointListKind::snapshot, {list.begin(), list.begin() + 20});
   for (int i = 0; i < 400; ++i) {
     d.request(0);
     while (!d.out.empty()) {
@@ -374,7 +374,7 @@
     }
     d.advance(milliseconds(50), milliseconds(50));
   }
-  d.balancer.onHosts(d.now, ListKind::update, {list.begin() + 20, list.end()});
+  d.balancer.onEndpoints(d.now, EndpointListKind::delta, {list.begin() + 20, list.end()});
   d.forget();
   for (int i = 0; i < 400; ++i) {
     d.request(0);
@@ -391,7 +391,7 @@
 // what hangs came too late to help.
 TEST(Pace, TheUsualTimeIsThatOfMostAnswers) {
   Settings s = makeSettings();
-  s.parallelTries = true;
+  s.allowHedging = true;
   Driver d(s, 10);
   for (int i = 0; i < 600; ++i) {
     d.request(1);
@@ -418,16 +418,16 @@
 // nothing anywhere, so none of them sees that the small hosts drown.
 TEST(WarmKeys, SmallHostsOfALargePoolGetFewerKeys) {
   constexpr int kHosts = 40;
-  std::vector<HostEntry> list;
+  std::vector<Endpoint> list;
   for (int i = 0; i < kHosts; ++i) {
     list.push_back(makeHost(i));
-    list.back().kind = i % 2 ? "small" : "large";
+    list.back().machineType = i % 2 ? "small" : "large";
   }
   Settings s = makeSettings();
-  s.groupSize = 100;
-  s.warmKeys = true;
+  s.replicaCount = 100;
+  s.keyAffinity = true;
   Driver d(s, 0);
-  d.balancer.onHosts(d.now, ListKind::replace, list);
+  d.balancer.onEndpoints(d.now, EndpointListKind::snapshot, list);
   const auto run = [&](int requests) {
     d.forget();
     for (int i = 0; i < requests; ++i) {
@@ -453,8 +453,8 @@
 // All gateways send a key to the same host. A favourite's is busy, and no one of many gateways sees that.
 TEST(WarmKeys, AFavouriteKeyIsSharedByHostsInProportionAndOthersStay) {
   Settings s = makeSettings();
-  s.groupSize = 100;
-  s.warmKeys = true;
+  s.replicaCount = 100;
+  s.keyAffinity = true;
   Driver d(s, 50);
   const auto hostsOf = [&](std::uint64_t key, int every) {
     std::set<HostId> met;
--- a/tests/bounds_test.cpp
+++ b/tests/bounds_test.cpp
@@ -8,9 +8,9 @@
 
 Settings inTurnSettings() {
   Settings s = makeSettings();
-  s.classes[0].inTurn = true;  // retryable
-  s.classes[1].inTurn = true;  // fragile
-  s.keyRest = milliseconds(100);
+  s.classes[0].orderedPerKey = true;  // retryable
+  s.classes[1].orderedPerKey = true;  // fragile
+  s.keyCooldown = milliseconds(100);
   return s;
 }
 
@@ -46,8 +46,8 @@
 }
 
 TEST(Order, TheKeyRestsAfterEachUnsureOutcomeOnly) {
-  for (Outcome outcome : {Outcome::served, Outcome::error, Outcome::full, Outcome::timeout,
-                          Outcome::connectFailed, Outcome::reset, Outcome::cancelled, Outcome::moot}) {
+  for (Outcome outcome : {Outcome::served, Outcome::error, Outcome::rejected, Outcome::timeout,
+                          Outcome::connectFailed, Outcome::reset, Outcome::cancelled, Outcome::abandoned}) {
     Settings s = inTurnSettings();
     s.maxAttempts = 1;
     Driver d(s);
@@ -88,7 +88,7 @@
 TEST(Order, AnEndedRequestKeepsTheTurnUntilItsAttemptSettles) {
   Driver d(inTurnSettings());
   const RequestId a = d.request(0, seconds(1), 5), b = d.request(0, seconds(1), 5);
-  d.balancer.onClientGone(d.now, a);
+  d.balancer.onClientDisconnected(d.now, a);
   d.collect();
   d.advance(milliseconds(50));
   EXPECT_FALSE(wasSent(d, b));
@@ -102,7 +102,7 @@
   Driver d(inTurnSettings());
   d.request(0, seconds(1), 5);
   const RequestId b = d.request(0, seconds(1), 5), c = d.request(0, seconds(1), 5);
-  d.balancer.onClientGone(d.now, b);
+  d.balancer.onClientDisconnected(d.now, b);
   d.collect();
   d.serve(Sent(d.out.front()));
   EXPECT_FALSE(wasSent(d, b));
@@ -133,11 +133,11 @@
   const RequestId b = d.request(0, seconds(1), 5);
   const Sent first = d.out.front();
   for (int i = 0; i < 2; ++i) {
-    HostEntry e = makeHost(i, "east", i % 2);
+    Endpoint e = makeHost(i, "east", i % 2);
     if (d.balancer.findHost(e.address) == first.host)
       continue;
-    e.phase = Phase::draining;
-    d.balancer.onHosts(d.now, ListKind::update, {e});
+    e.state = EndpointState::draining;
+    d.balancer.onEndpoints(d.now, EndpointListKind::delta, {e});
   }
   d.serve(first);
   EXPECT_TRUE(wasSent(d, b));
@@ -149,14 +149,14 @@
 Settings boundSettings() {
   Settings s = makeSettings();
   s.classes[0].zones = std::vector<std::string>{"west", "north"};
-  s.classes[1].kinds = std::vector<std::string>{"big"};
+  s.classes[1].machineTypes = std::vector<std::string>{"big"};
   return s;
 }
 
 void addPlaces(Driver& d) {
-  std::vector<HostEntry> list = {makeHost(20, "west"), makeHost(21, "north"), makeHost(22, "east")};
-  list.back().kind = "big";
-  d.balancer.onHosts(d.now, ListKind::update, list);
+  std::vector<Endpoint> list = {makeHost(20, "west"), makeHost(21, "north"), makeHost(22, "east")};
+  list.back().machineType = "big";
+  d.balancer.onEndpoints(d.now, EndpointListKind::delta, list);
   d.collect();
 }
 
@@ -188,10 +188,10 @@
 TEST(Placement, WithAllItsHostsGoneARequestEndsAndOthersGoOn) {
   Driver d(boundSettings());
   addPlaces(d);
-  std::vector<HostEntry> gone = {makeHost(20, "west"), makeHost(21, "north")};
-  for (HostEntry& e : gone)
-    e.phase = Phase::out;
-  d.balancer.onHosts(d.now, ListKind::update, gone);
+  std::vector<Endpoint> gone = {makeHost(20, "west"), makeHost(21, "north")};
+  for (Endpoint& e : gone)
+    e.state = EndpointState::removed;
+  d.balancer.onEndpoints(d.now, EndpointListKind::delta, gone);
   const RequestId bound = d.request(0), free = d.request(2);
   EXPECT_TRUE(d.refused(bound));
   EXPECT_FALSE(wasSent(d, bound));
--- a/tests/candidates_test.cpp
+++ b/tests/candidates_test.cpp
@@ -16,28 +16,28 @@
 Settings settingsOf(std::uint32_t candidates, std::uint32_t gateways = 1, std::uint32_t number = 0) {
   Settings s = makeSettings();
   s.candidates = candidates;
-  s.groupSize = gateways;
-  s.number = number;
+  s.replicaCount = gateways;
+  s.replicaIndex = number;
   s.seed = number + 1;
   return s;
 }
 
-std::vector<HostEntry> hostsOf(int count) {
-  std::vector<HostEntry> list;
+std::vector<Endpoint> hostsOf(int count) {
+  std::vector<Endpoint> list;
   for (int i = 0; i < count; ++i)
     list.push_back(makeHost(i, kZones[i / 4 % 3], i / 4));
   return list;
 }
 
-std::unique_ptr<Driver> driverOf(const Settings& s, const std::vector<HostEntry>& hosts) {
+std::unique_ptr<Driver> driverOf(const Settings& s, const std::vector<Endpoint>& hosts) {
   auto d = std::make_unique<Driver>(s, 0);
-  d->balancer.onHosts(d->now, ListKind::replace, hosts);
+  d->balancer.onEndpoints(d->now, EndpointListKind::snapshot, hosts);
   d->collect();
   return d;
 }
 
-void tell(Driver& d, ListKind kind, const std::vector<HostEntry>& hosts) {
-  d.balancer.onHosts(d.now, kind, hosts);
+void tell(Driver& d, EndpointListKind kind, const std::vector<Endpoint>& hosts) {
+  d.balancer.onEndpoints(d.now, kind, hosts);
   d.collect();
 }
 
@@ -82,7 +82,7 @@
   std::map<std::uint64_t, std::string> first;
   for (std::uint32_t number : {0u, 1u, 17u, 399u}) {
     Settings s = settingsOf(16, 400, number);
-    s.warmKeys = true;
+    s.keyAffinity = true;
     const auto d = driverOf(s, hostsOf(300));
     const auto places = placesOf(*d, 200);
     if (first.empty())
@@ -93,27 +93,27 @@
 
 TEST(Candidates, KeysStayWhereTheyAreAsServersJoinAndLeave) {
   Settings s = settingsOf(16);
-  s.warmKeys = true;
+  s.keyAffinity = true;
   constexpr std::uint64_t keys = 1000;
-  const std::vector<HostEntry> hosts = hostsOf(201);
-  const std::vector<HostEntry> fewer(hosts.begin(), hosts.end() - 1);
+  const std::vector<Endpoint> hosts = hostsOf(201);
+  const std::vector<Endpoint> fewer(hosts.begin(), hosts.end() - 1);
   const auto few = placesOf(*driverOf(s, fewer), keys), many = placesOf(*driverOf(s, hosts), keys);
   EXPECT_GT(moved(few, many), 0u) << "the new one serves some";
   EXPECT_LT(moved(few, many), 4 * keys / hosts.size());
 
   const auto joined = driverOf(s, fewer);
-  tell(*joined, ListKind::update, {hosts.back()});
+  tell(*joined, EndpointListKind::delta, {hosts.back()});
   EXPECT_EQ(placesOf(*joined, keys), many) << "told of as an update or in the first list";
-  HostEntry gone = hosts.back();
-  gone.phase = Phase::out;
+  Endpoint gone = hosts.back();
+  gone.state = EndpointState::removed;
   const auto left = driverOf(s, hosts);
-  tell(*left, ListKind::update, {gone});
+  tell(*left, EndpointListKind::delta, {gone});
   EXPECT_EQ(placesOf(*left, keys), few);
 }
 
 TEST(Candidates, KeysAreSpreadEvenlyOverTheServers) {
   Settings s = settingsOf(32);
-  s.warmKeys = true;
+  s.keyAffinity = true;
   constexpr int hosts = 500, each = 100;
   const auto d = driverOf(s, hostsOf(hosts));
   std::map<std::string, int> count;
@@ -129,7 +129,7 @@
 
 TEST(Candidates, AFavouriteKeyIsSharedByMoreHostsThanTheCandidates) {
   Settings s = settingsOf(8, 100);
-  s.warmKeys = true;
+  s.keyAffinity = true;
   const auto d = driverOf(s, hostsOf(300));
   for (int i = 0; i < 400; ++i) {  // one request a second: one of many gateways
     d->advance(seconds(1), milliseconds(100));
@@ -148,21 +148,21 @@
 TEST(Candidates, DrainingAndGoneServersGetNothingAndNewOnesTheirPart) {
   for (bool keyed : {false, true}) {
     Settings s = settingsOf(8, 8);
-    s.warmKeys = keyed;
-    std::vector<HostEntry> hosts = hostsOf(60);
+    s.keyAffinity = keyed;
+    std::vector<Endpoint> hosts = hostsOf(60);
     const auto d = driverOf(s, hosts);
     for (std::size_t i = 0; i < hosts.size(); i += 2)
-      hosts[i].phase = i % 4 ? Phase::draining : Phase::out;
-    tell(*d, ListKind::update, hosts);
+      hosts[i].state = i % 4 ? EndpointState::draining : EndpointState::removed;
+    tell(*d, EndpointListKind::delta, hosts);
     std::set<std::string> allowed;
-    for (const HostEntry& e : hosts)
-      if (e.phase == Phase::in)
+    for (const Endpoint& e : hosts)
+      if (e.state == EndpointState::serving)
         allowed.insert(e.address);
     for (std::uint64_t i = 1; i <= 300; ++i)
       EXPECT_EQ(allowed.count(served(*d, kRead, keyed ? i : 0)), 1u) << "request " << i;
-    for (HostEntry& e : hosts)
-      e.phase = Phase::in;
-    tell(*d, ListKind::update, hosts);
+    for (Endpoint& e : hosts)
+      e.state = EndpointState::serving;
+    tell(*d, EndpointListKind::delta, hosts);
     std::set<std::string> back;
     for (std::uint64_t i = 1; i <= 600; ++i) {
       const std::string place = served(*d, kRead, keyed ? i : 0);
@@ -176,20 +176,20 @@
 TEST(Candidates, EveryServerKeepsGateways) {
   const std::pair<std::uint32_t, int> sizes[] = {{4, 40}, {30, 60}, {100, 200}, {410, 600}};
   for (const auto& [gateways, count] : sizes) {
-    const std::vector<HostEntry> hosts = hostsOf(count);
+    const std::vector<Endpoint> hosts = hostsOf(count);
     std::map<std::string, std::size_t> kept;
     for (std::uint32_t number = 0; number < gateways; ++number) {
       const auto d = driverOf(settingsOf(8, gateways, number), hosts);
       for (const std::string& host : servedBy(*d, gateways < 10 ? 400 : 150))
         ++kept[host];
     }
-    for (const HostEntry& e : hosts)
+    for (const Endpoint& e : hosts)
       EXPECT_GE(kept[e.address], kGatewaysLeast) << e.address << " of " << count;
   }
 }
 
 TEST(Candidates, EveryServerKeepsGatewaysAsTheirNumberChanges) {
-  const std::vector<HostEntry> hosts = hostsOf(120);
+  const std::vector<Endpoint> hosts = hostsOf(120);
   std::map<std::string, std::size_t> kept;
   for (std::uint32_t number = 0; number < 40; ++number) {
     const auto d = driverOf(settingsOf(8, 100, number), hosts);
@@ -199,12 +199,12 @@
     for (const std::string& host : servedBy(*d, 300))
       ++kept[host];
   }
-  for (const HostEntry& e : hosts)
+  for (const Endpoint& e : hosts)
     EXPECT_GE(kept[e.address], kGatewaysLeast) << e.address;
 }
 
 TEST(Candidates, AGatewayThatRestartsChoosesAmongTheSameServers) {
-  const std::vector<HostEntry> hosts = hostsOf(400);
+  const std::vector<Endpoint> hosts = hostsOf(400);
   Settings s = settingsOf(8, 100, 37);
   const std::set<std::string> before = servedBy(*driverOf(s, hosts), 600);
   s.seed = 4711;
@@ -216,13 +216,13 @@
 // -------------------------------------------------------------------------------
 
 TEST(Candidates, ALostZoneThatHoldsTheWholePartIsLeft) {
-  const std::vector<HostEntry> hosts = hostsOf(300);
+  const std::vector<Endpoint> hosts = hostsOf(300);
   const auto d = driverOf(settingsOf(8, 100, 5), hosts);
   const std::set<std::string> own = servedBy(*d, 600);
-  std::vector<HostEntry> zoned = hosts;  // the same addresses, all of this gateway's own in one zone
-  for (HostEntry& e : zoned)
+  std::vector<Endpoint> zoned = hosts;  // the same addresses, all of this gateway's own in one zone
+  for (Endpoint& e : zoned)
     e.zone = own.count(e.address) ? "lost" : "kept";
-  tell(*d, ListKind::update, zoned);
+  tell(*d, EndpointListKind::delta, zoned);
   // The zone is lost, and discovery does not tell yet: nothing can be opened there.
   std::size_t atLost = 0, answered = 0;
   for (int i = 0; i < 300; ++i) {
@@ -242,11 +242,11 @@
   EXPECT_EQ(answered, 100u);
   EXPECT_LE(atLost, 20u) << "trials of those that rested";
   // Discovery tells: not one more, and none refused.
-  std::vector<HostEntry> gone;
-  for (HostEntry e : zoned)
+  std::vector<Endpoint> gone;
+  for (Endpoint e : zoned)
     if (e.zone == "lost")
-      e.phase = Phase::out, gone.push_back(e);
-  tell(*d, ListKind::update, gone);
+      e.state = EndpointState::removed, gone.push_back(e);
+  tell(*d, EndpointListKind::delta, gone);
   for (int i = 0; i < 100; ++i) {
     const std::string place = served(*d);
     EXPECT_NE(place, "none");
@@ -258,11 +258,11 @@
 TEST(Candidates, TheOneReadyHostIsFoundWhereverItStands) {
   for (bool keyed : {false, true}) {
     Settings s = settingsOf(4, 50, 3);
-    s.warmKeys = keyed;
+    s.keyAffinity = keyed;
     s.maxAttempts = 1;
-    const std::vector<HostEntry> hosts = hostsOf(120);
+    const std::vector<Endpoint> hosts = hostsOf(120);
     for (const std::size_t ready : {0, 31, 77, 119}) {
-      std::vector<HostEntry> others = hosts;
+      std::vector<Endpoint> others = hosts;
       others.erase(others.begin() + static_cast<std::ptrdiff_t>(ready));
       const auto d = driverOf(s, others);
       std::set<HostId> resting;
@@ -275,7 +275,7 @@
         d->settle(sent, Outcome::connectFailed, false);
       }
       ASSERT_EQ(resting.size(), others.size()) << "all rest within the same half second";
-      tell(*d, ListKind::update, {hosts[ready]});
+      tell(*d, EndpointListKind::delta, {hosts[ready]});
       for (std::uint64_t i = 1; i <= 20; ++i) {
         d->request(kRead, milliseconds(1000), keyed ? i : 0);
         EXPECT_EQ(d->balancer.address(d->lastSent().host), hosts[ready].address);
@@ -288,7 +288,7 @@
 TEST(Candidates, WhereNoHostIsReadyThoseThatTheRulesAllowAreTaken) {
   for (bool keyed : {false, true}) {
     Settings s = settingsOf(4, 50, 3);
-    s.warmKeys = keyed;
+    s.keyAffinity = keyed;
     s.maxAttempts = 1;
     const auto d = driverOf(s, hostsOf(40));
     for (std::uint64_t i = 1; i <= 2000; ++i) {
@@ -323,14 +323,14 @@
 TEST(Candidates, AClassStaysInItsZonesAndKinds) {
   for (bool keyed : {false, true}) {
     Settings s = settingsOf(4, 20, 7);
-    s.warmKeys = keyed;
+    s.keyAffinity = keyed;
     s.classes[0].zones = {"west"};
     s.classes[1].zones = {"west"};
-    s.classes[1].kinds = {"rare"};
-    s.classes[2].kinds = std::vector<std::string>{};
-    std::vector<HostEntry> hosts = hostsOf(300);
-    hosts[100].kind = "rare";  // in the west
-    hosts[104].kind = "rare";  // in the south
+    s.classes[1].machineTypes = {"rare"};
+    s.classes[2].machineTypes = std::vector<std::string>{};
+    std::vector<Endpoint> hosts = hostsOf(300);
+    hosts[100].machineType = "rare";  // in the west
+    hosts[104].machineType = "rare";  // in the south
     const auto d = driverOf(s, hosts);
     std::set<std::string> places;
     for (std::uint64_t i = 1; i <= 300; ++i) {
@@ -351,7 +351,7 @@
 TEST(Candidates, ThirtyGatewaysTogetherKeepToAColdServersBudget) {
   for (bool keyed : {false, true}) {
     Settings s = makeSettings();
-    s.warmKeys = keyed;
+    s.keyAffinity = keyed;
     s.candidates = 8;
     constexpr int hosts = 60;
     Bank bank(s, 30, hosts);
@@ -361,7 +361,7 @@
     double warm = 0;
     for (int h = 0; h < hosts; ++h)
       warm += static_cast<double>(bank.sentTo(h)) / hosts;
-    bank.tell(ListKind::update, hosts, hosts + 1, bank.now());
+    bank.tell(EndpointListKind::delta, hosts, hosts + 1, bank.now());
     for (int window = 0; window < 3; ++window) {
       bank.forget();
       bank.run(2, 20);
@@ -381,7 +381,7 @@
 TEST(Candidates, ALargeFleetTurnsThemOnByItself) {
   constexpr int kUsual = 500, kLarge = 1000;
   Settings s = settingsOf(0, 200);
-  s.warmKeys = true;
+  s.keyAffinity = true;
   const auto usual = driverOf(s, hostsOf(kUsual)), large = driverOf(s, hostsOf(kLarge));
   EXPECT_GT(servedBy(*usual, 400).size(), 100u);
   const std::size_t met = servedBy(*large, 400).size();
@@ -392,17 +392,17 @@
 TEST(Candidates, AFleetThatShrinksIsChosenFromInFullAgain) {
   const Settings s = settingsOf(0);
   const auto d = driverOf(s, hostsOf(1000));
-  tell(*d, ListKind::replace, hostsOf(100));
+  tell(*d, EndpointListKind::snapshot, hostsOf(100));
   EXPECT_EQ(servedBy(*d, 3000).size(), 100u);
-  tell(*d, ListKind::replace, hostsOf(1000));
+  tell(*d, EndpointListKind::snapshot, hostsOf(1000));
   for (int i = 0; i < 100; ++i)
     EXPECT_NE(served(*d), "none");
 }
 
 TEST(Candidates, TurnedOnAndOffUnderWay) {
-  const std::vector<HostEntry> hosts = hostsOf(200);
+  const std::vector<Endpoint> hosts = hostsOf(200);
   Settings s = settingsOf(0, 20, 3);
-  s.warmKeys = true;
+  s.keyAffinity = true;
   const auto d = driverOf(s, hosts);
   for (std::uint64_t round = 0; round < 6; ++round) {
     const RequestId open = d->request(kRead, milliseconds(1000), 77);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -33,11 +33,11 @@
   j["settings"]["ceilings"]["streamsPerConn"] = 100;
   const Config c = parse(j);
   EXPECT_EQ(c.module.classes.size(), 3u);
-  EXPECT_EQ(c.module.classes[2].effect, balancer::Effect::dedup);
-  EXPECT_EQ(c.module.classes[2].group, balancer::Group::zone);
-  EXPECT_EQ(c.module.classes[0].aim, std::chrono::seconds(20));
+  EXPECT_EQ(c.module.classes[2].idempotency, balancer::Idempotency::keyed);
+  EXPECT_EQ(c.module.classes[2].deduplicationScope, balancer::DeduplicationScope::zone);
+  EXPECT_EQ(c.module.classes[0].latencyObjective, std::chrono::seconds(20));
   EXPECT_EQ(c.module.seed, 0x8c1f30d27a5be964u);
-  EXPECT_TRUE(c.module.askDiscovery && c.module.cancel && !c.module.parallelTries);
+  EXPECT_TRUE(c.module.pollDiscovery && c.module.cancel && !c.module.allowHedging);
   EXPECT_EQ(c.module.streamsPerConnection, 1u) << "on sockets a connection carries one request at a time";
   ASSERT_TRUE(c.known);
   EXPECT_EQ(c.known->version, 41);
@@ -84,7 +84,7 @@
   j["settings"]["myNumber"] = 100;
   expectBad(j, "groupSize");
   j["settings"]["myNumber"] = 99;
-  EXPECT_EQ(parse(j).module.number, 99u);
+  EXPECT_EQ(parse(j).module.replicaIndex, 99u);
 }
 
 TEST(Config, AbsentAndEmptyKeepTheDefaultAndUnknownKeysArePassedOver) {
@@ -97,10 +97,10 @@
   const Config c = parse(j);
   EXPECT_EQ(c.sockets, 1024u);
   EXPECT_FALSE(c.known);
-  EXPECT_EQ(c.module.idleClose, std::chrono::seconds(4)) << "a whole number, however it is written";
+  EXPECT_EQ(c.module.idleTimeout, std::chrono::seconds(4)) << "a whole number, however it is written";
 }
 
-TEST(HostList, WhatContradictsItselfIsNoList) {
+TEST(EndpointList, WhatContradictsItselfIsNoList) {
   const json good = {{"rev", 3}, {"all", true}, {"targets", {target("s-1", loopback(81))}}};
   EXPECT_EQ(parseHostList(good).hosts.size(), 1u);
   EXPECT_TRUE(parseHostList({{"rev", 3}, {"all", true}, {"targets", json::array()}}).hosts.empty());
@@ -170,7 +170,7 @@
   std::remove(path.c_str());
 }
 
-TEST(HostList, RefusesNonsense) {
+TEST(EndpointList, RefusesNonsense) {
   EXPECT_THROW(parseHostList(json::array()), std::invalid_argument);
   EXPECT_THROW(parseHostList({{"rev", 1}}), std::invalid_argument);
   EXPECT_THROW(parseHostList({{"rev", 1}, {"targets", {{{"uid", ""}, {"state", "SERVING"}}}}}),
@@ -225,8 +225,8 @@
     for (const Key& key : *keys)
       EXPECT_TRUE(mentioned(key.toml)) << key.toml;
   const Config c = parseConfig(file.json, [](const char*) { return nullptr; });
-  EXPECT_EQ(c.module.classes[0].aim, std::chrono::milliseconds(400));
-  EXPECT_EQ(c.module.classes[2].effect, balancer::Effect::dedup);
+  EXPECT_EQ(c.module.classes[0].latencyObjective, std::chrono::milliseconds(400));
+  EXPECT_EQ(c.module.classes[2].idempotency, balancer::Idempotency::keyed);
   EXPECT_EQ(c.memoryBytes, 64u << 20);
 }
 
@@ -303,7 +303,7 @@
     EXPECT_THROW(readConfig(toml.environment(), &running), BadConfig) << bad;
   }
   toml.write(whole + "worth = 2\n");
-  EXPECT_EQ(readConfig(toml.environment(), &running).module.classes[0].worth, 2);
+  EXPECT_EQ(readConfig(toml.environment(), &running).module.classes[0].priorityWeight, 2);
 }
 
 // At the start the variable goes before the file; once running, the file tells where discovery has moved.
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -314,11 +314,12 @@
  protected:
   asio::io_context io;
   std::vector<ClientRequest> requests;
-  ClientServer server{io,
-                      {},
-                      {[this](ClientRequest r) { requests.push_back(std::move(r)); }, [](ExchangeId) {},
-                       [](ExchangeId) {}, [](const std::string&, bool) {}},
-                      std::make_shared<BodyBudget>(1 << 20)};
+  DownstreamServer server{
+      io,
+      {},
+      {[this](ClientRequest r) { requests.push_back(std::move(r)); }, [](DownstreamRequestId) {},
+       [](DownstreamRequestId) {}, [](const std::string&, bool) {}},
+      std::make_shared<MemoryBudget>(1 << 20)};
   template <class Predicate>
   bool until(Predicate predicate) {
     const auto end = Clock::now() + kPatience;
@@ -429,11 +430,11 @@
 
 class Attempts : public Crossings {  // the pool alone
  protected:
-  std::vector<AttemptEnd> ends;
-  HostPool pool{io,
-                {.connections = 8, .connectTimeout = 20s, .idleClose = 60s},
-                [this](AttemptEnd end) { ends.push_back(std::move(end)); },
-                std::make_shared<BodyBudget>(1 << 20)};
+  std::vector<AttemptCompletion> ends;
+  UpstreamPool pool{io,
+                    {.connections = 8, .connectTimeout = 20s, .idleTimeout = 60s},
+                    [this](AttemptCompletion end) { ends.push_back(std::move(end)); },
+                    std::make_shared<MemoryBudget>(1 << 20)};
   HttpRequest get() {
     HttpRequest r{http::verb::get, "/read", 11};
     r.set("X-Request-Id", "r");
--- a/tests/departures_test.cpp
+++ b/tests/departures_test.cpp
@@ -171,11 +171,11 @@
 class AcceptQueue : public ::testing::Test {
  protected:
   asio::io_context io;
-  ClientServer server{
-      io,
-      {},
-      {[](ClientRequest) {}, [](ExchangeId) {}, [](ExchangeId) {}, [](const std::string&, bool) {}},
-      std::make_shared<BodyBudget>(1 << 20)};
+  DownstreamServer server{io,
+                          {},
+                          {[](ClientRequest) {}, [](DownstreamRequestId) {}, [](DownstreamRequestId) {},
+                           [](const std::string&, bool) {}},
+                          std::make_shared<MemoryBudget>(1 << 20)};
 };
 
 TEST_F(AcceptQueue, IsTakenInBatchesSoThatOtherEventsComeBetween) {
--- a/tests/dispatch_guard_test.cpp
+++ b/tests/dispatch_guard_test.cpp
@@ -10,8 +10,11 @@
 
 class Guard : public ::testing::Test {
  protected:
-  AttemptTerms terms{.effect = Effect::retryable, .group = Group::all, .window = 5s, .maxAttempts = 3};
-  ServerState server{.id = 0, .zone = "a", .cell = 1};
+  AttemptTerms terms{.idempotency = Idempotency::idempotent,
+                     .deduplicationScope = DeduplicationScope::all,
+                     .deduplicationWindow = 5s,
+                     .maxAttempts = 3};
+  EndpointStatus server{.id = 0, .zone = "a", .cell = 1};
   AttemptHistory history;
   DispatchGuard guard;
   Time now = 100s;
@@ -44,22 +47,22 @@
 }
 
 TEST_F(Guard, DeniesWhatNobodyWaitsFor) {
-  EXPECT_EQ(admit(0, 800ms, false).denied, DenialReason::clientGone);
+  EXPECT_EQ(admit(0, 800ms, false).denied, DenialReason::clientDisconnected);
 }
 
 TEST_F(Guard, DeniesAnAttemptWithLessThanAMillisecondLeft) {
   EXPECT_FALSE(admit(0, 1ms).denied);
-  EXPECT_EQ(admit(0, 999us).denied, DenialReason::outOfTime);
-  EXPECT_EQ(admit(0, -1s).denied, DenialReason::outOfTime);
+  EXPECT_EQ(admit(0, 999us).denied, DenialReason::deadlineExceeded);
+  EXPECT_EQ(admit(0, -1s).denied, DenialReason::deadlineExceeded);
 }
 
 TEST_F(Guard, DeniesAServerThatWasToldAsDrainingHalfASecondAgo) {
-  server.phase = Phase::draining;
-  server.phaseSince = now - 500ms;
+  server.state = EndpointState::draining;
+  server.stateSince = now - 500ms;
   EXPECT_FALSE(admit(0).denied);
-  server.phaseSince = now - 501ms;
+  server.stateSince = now - 501ms;
   expectDenied(0, DenialReason::notServing);
-  server.phase = Phase::out;
+  server.state = EndpointState::removed;
   expectDenied(0, DenialReason::notServing);
 }
 
@@ -72,24 +75,25 @@
 
 TEST_F(Guard, DeniesMoreAttemptsThanAllowed) {
   EXPECT_FALSE(admit(2).denied);
-  expectDenied(3, DenialReason::tooMany);
+  expectDenied(3, DenialReason::attemptsExhausted);
 }
 
 TEST_F(Guard, DeniesASecondAttemptBesideOneThatIsOut) {
   history.wrote(0, server, now);
-  expectDenied(1, DenialReason::parallel);
-  terms.parallelTries = true;
+  expectDenied(1, DenialReason::hedgingForbidden);
+  terms.allowHedging = true;
   EXPECT_FALSE(admit(1).denied);
 }
 
 TEST_F(Guard, DeniesTheRepeatOfAFragileRequestThatMayHaveRun) {
-  terms.effect = Effect::fragile;
+  terms.idempotency = Idempotency::none;
   for (const Outcome outcome : {Outcome::error, Outcome::timeout, Outcome::reset, Outcome::cancelled}) {
     history = {};
     earlier(outcome);
-    expectDenied(1, DenialReason::mayRepeat);
+    expectDenied(1, DenialReason::notIdempotent);
   }
-  for (const Outcome outcome : {Outcome::full, Outcome::connectFailed, Outcome::moot, Outcome::notSent}) {
+  for (const Outcome outcome :
+       {Outcome::rejected, Outcome::connectFailed, Outcome::abandoned, Outcome::localFailure}) {
     history = {};
     earlier(outcome);
     EXPECT_FALSE(admit(1).denied) << "it never ran";
@@ -97,34 +101,35 @@
 }
 
 TEST_F(Guard, DeniesTheRepeatOfADedupRequestPastItsWindow) {
-  terms.effect = Effect::dedup;
+  terms.idempotency = Idempotency::keyed;
   earlier(Outcome::reset);
-  terms.window = 1s;
+  terms.deduplicationWindow = 1s;
   EXPECT_FALSE(admit(1).denied);
-  terms.window = 999ms;
-  expectDenied(1, DenialReason::windowOver);
+  terms.deduplicationWindow = 999ms;
+  expectDenied(1, DenialReason::deduplicationWindowPassed);
 }
 
 TEST_F(Guard, DeniesTheRepeatOfADedupRequestOutsideItsGroup) {
-  terms.effect = Effect::dedup;
-  terms.group = Group::zone;
+  terms.idempotency = Idempotency::keyed;
+  terms.deduplicationScope = DeduplicationScope::zone;
   earlier(Outcome::timeout, "b", 1);
-  expectDenied(1, DenialReason::otherGroup);
-  terms.group = Group::cell;
+  expectDenied(1, DenialReason::outsideDeduplicationScope);
+  terms.deduplicationScope = DeduplicationScope::cell;
   history = {};
   earlier(Outcome::timeout, "a", 2);
-  expectDenied(1, DenialReason::otherGroup);
-  terms.group = Group::all;
+  expectDenied(1, DenialReason::outsideDeduplicationScope);
+  terms.deduplicationScope = DeduplicationScope::all;
   EXPECT_FALSE(admit(1).denied);
 }
 
 TEST_F(Guard, TellsCrossingsFromViolations) {
   for (const DenialReason crossing :
-       {DenialReason::clientGone, DenialReason::outOfTime, DenialReason::windowOver, DenialReason::notServing,
-        DenialReason::restarted})
+       {DenialReason::clientDisconnected, DenialReason::deadlineExceeded,
+        DenialReason::deduplicationWindowPassed, DenialReason::notServing, DenialReason::restarted})
     EXPECT_FALSE(isViolation(crossing)) << nameOf(crossing);
   for (const DenialReason violation :
-       {DenialReason::tooMany, DenialReason::mayRepeat, DenialReason::otherGroup, DenialReason::parallel})
+       {DenialReason::attemptsExhausted, DenialReason::notIdempotent, DenialReason::outsideDeduplicationScope,
+        DenialReason::hedgingForbidden})
     EXPECT_TRUE(isViolation(violation)) << nameOf(violation);
 }
 
--- a/tests/driver.hpp
+++ b/tests/driver.hpp
@@ -14,16 +14,16 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-inline ClassSettings makeClass(const std::string& name, Effect effect, double worth,
-                               Group group = Group::all) {
+inline ClassSettings makeClass(const std::string& name, Idempotency idempotency, double priorityWeight,
+                               DeduplicationScope deduplicationScope = DeduplicationScope::all) {
   ClassSettings c;
   c.name = name;
-  c.aim = milliseconds(400);
-  c.giveUp = milliseconds(1000);
-  c.window = milliseconds(800);
-  c.effect = effect;
-  c.group = group;
-  c.worth = worth;
+  c.latencyObjective = milliseconds(400);
+  c.clientTimeout = milliseconds(1000);
+  c.deduplicationWindow = milliseconds(800);
+  c.idempotency = idempotency;
+  c.deduplicationScope = deduplicationScope;
+  c.priorityWeight = priorityWeight;
   return c;
 }
 
@@ -31,22 +31,22 @@
   Settings s;
   s.seed = 7;
   s.zone = "east";
-  s.classes = {makeClass("read", Effect::retryable, 10), makeClass("write", Effect::fragile, 1),
-               makeClass("put", Effect::dedup, 1, Group::cell)};
+  s.classes = {makeClass("read", Idempotency::idempotent, 10), makeClass("write", Idempotency::none, 1),
+               makeClass("put", Idempotency::keyed, 1, DeduplicationScope::cell)};
   s.cancel = true;
   s.maxAttempts = 4;
   s.step = milliseconds(5);
-  s.coldShare = 0.2;
-  s.coldTime = seconds(10);
-  s.fallWindow = seconds(2);
+  s.slowStartInitialFraction = 0.2;
+  s.slowStartDuration = seconds(10);
+  s.overloadWindow = seconds(2);
   return s;
 }
 
-inline HostEntry makeHost(int number, const std::string& zone = "east", std::int64_t cell = 0) {
-  HostEntry e;
+inline Endpoint makeHost(int number, const std::string& zone = "east", std::int64_t cell = 0) {
+  Endpoint e;
   e.address = "host-" + std::to_string(100 + number);
   e.zone = zone;
-  e.kind = "std";
+  e.machineType = "std";
   e.cell = cell;
   return e;
 }
@@ -62,10 +62,10 @@
 class Driver {
  public:
   explicit Driver(const Settings& s, int hosts = 6) : now(seconds(100)), balancer(s, now) {
-    std::vector<HostEntry> list;
+    std::vector<Endpoint> list;
     for (int i = 0; i < hosts; ++i)
       list.push_back(makeHost(i, "east", i % 2));
-    balancer.onHosts(now, ListKind::restored, list);
+    balancer.onEndpoints(now, EndpointListKind::cached, list);
     collect();
   }
 
@@ -73,7 +73,7 @@
     Request q;
     q.id = ++last;
     q.classIndex = cls;
-    q.left = left;
+    q.remaining = left;
     q.key = key;
     q.hasKey = key != 0;
     balancer.onRequest(now, q);
@@ -108,7 +108,7 @@
     }
   }
   Sent lastSent() const { return sent.back(); }
-  bool refused(RequestId id) const { return answers.count(id) && answers.at(id) == ActionKind::refuse; }
+  bool refused(RequestId id) const { return answers.count(id) && answers.at(id) == ActionKind::reject; }
   bool failed(RequestId id) const { return answers.count(id) && answers.at(id) == ActionKind::fail; }
   HostId host(int number) const { return balancer.findHost(makeHost(number).address); }
   std::size_t sentTo(HostId id) const {
@@ -131,12 +131,12 @@
   void collect() {
     for (Action& a : balancer.actions()) {
       if (a.kind == ActionKind::send) {
-        sent.push_back({a.request, a.attempt, a.host, now, a.span});
+        sent.push_back({a.request, a.attempt, a.host, now, a.timeLimit});
         out.push_back(sent.back());
-      } else if (a.kind == ActionKind::refuse || a.kind == ActionKind::fail) {
+      } else if (a.kind == ActionKind::reject || a.kind == ActionKind::fail) {
         EXPECT_EQ(answers.count(a.request), 0u) << "answered twice";
         answers[a.request] = a.kind;
-        retryAfter[a.request] = a.span;
+        retryAfter[a.request] = a.retryAfter;
       }
       all.push_back(std::move(a));
     }
--- a/tests/embed/main.cpp
+++ b/tests/embed/main.cpp
@@ -8,15 +8,15 @@
   settings.seed = 42;
   hollyrun::balancer::ClassSettings reads;
   reads.name = "read";
-  reads.effect = hollyrun::balancer::Effect::retryable;
-  reads.aim = 200ms;
-  reads.giveUp = 1s;
+  reads.idempotency = hollyrun::balancer::Idempotency::idempotent;
+  reads.latencyObjective = 200ms;
+  reads.clientTimeout = 1s;
   settings.classes = {reads};
 
   hollyrun::balancer::Balancer balancer(settings, 0ns);  // throws std::invalid_argument on nonsense
-  hollyrun::balancer::HostEntry host;
+  hollyrun::balancer::Endpoint host;
   host.address = "10.0.0.1:8080";
-  balancer.onHosts(0ns, hollyrun::balancer::ListKind::replace, {host});
+  balancer.onEndpoints(0ns, hollyrun::balancer::EndpointListKind::snapshot, {host});
 
   hollyrun::balancer::Request request;
   request.id = 1;
--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -36,7 +36,7 @@
       else
         ++k;
     }
-    EXPECT_EQ(d.balancer.cutoff(), 0);
+    EXPECT_EQ(d.balancer.sheddingThreshold(), 0);
   }
   EXPECT_LT(d.sentTo(bad), 30u) << "it holds nothing in flight, so the pick would feed it";
   EXPECT_GT(d.sentTo(bad), 3u) << "a trickle finds out when it is well again";
@@ -117,7 +117,7 @@
   d.warmUp(0, 100, milliseconds(20));
   for (int i = 0; i < 6; ++i)
     EXPECT_GT(d.sentTo(d.host(i)), 0u) << i;
-  EXPECT_EQ(d.balancer.cutoff(), 0);
+  EXPECT_EQ(d.balancer.sheddingThreshold(), 0);
 }
 
 TEST(Health, ARestartedHostStartsWithACleanRecord) {
@@ -136,9 +136,9 @@
         ++k;
     }
   }
-  HostEntry fresh = makeHost(0);
+  Endpoint fresh = makeHost(0);
   fresh.upSince = d.now;
-  d.balancer.onHosts(d.now, ListKind::update, {fresh});
+  d.balancer.onEndpoints(d.now, EndpointListKind::delta, {fresh});
   while (!d.out.empty())
     d.serve(Sent(d.out.front()));
   d.forget();
@@ -163,7 +163,7 @@
     for (std::size_t k = 0; k < d.out.size();) {
       const Sent s = d.out[k];
       if (s.host == full)
-        d.settle(s, Outcome::full, false);
+        d.settle(s, Outcome::rejected, false);
       else if (d.now - s.at >= milliseconds(20))
         d.serve(s);
       else
@@ -177,12 +177,12 @@
 TEST(Deploy, TheLastWarmHostIsNotBuried) {
   Driver d(makeSettings(), 6);
   d.warmUp(0, 60);
-  std::vector<HostEntry> list = {makeHost(0)};
+  std::vector<Endpoint> list = {makeHost(0)};
   for (int i = 1; i < 6; ++i) {
     list.push_back(makeHost(10 + i));
     list.back().upSince = d.now;
   }
-  d.balancer.onHosts(d.now, ListKind::replace, list);
+  d.balancer.onEndpoints(d.now, EndpointListKind::snapshot, list);
   for (int i = 0; i < 200; ++i)
     d.request(1);
   std::size_t held = 0;
@@ -197,12 +197,12 @@
 TEST(Deploy, ColdHostsAloneGetTheirShare) {
   Driver d(makeSettings(), 4);
   d.warmUp(1, 600, milliseconds(5));
-  std::vector<HostEntry> list;
+  std::vector<Endpoint> list;
   for (int i = 10; i < 14; ++i) {
     list.push_back(makeHost(i));
     list.back().upSince = d.now;
   }
-  d.balancer.onHosts(d.now, ListKind::replace, list);
+  d.balancer.onEndpoints(d.now, EndpointListKind::snapshot, list);
   d.collect();
   d.forget();
   d.warmUp(1, 400, milliseconds(5));  // two seconds
@@ -248,7 +248,7 @@
         ++k;
       }
     }
-    EXPECT_LT(d.balancer.cutoff(), 1);
+    EXPECT_LT(d.balancer.sheddingThreshold(), 1);
   }
   EXPECT_LT(failures, 120u) << "one in five requests would go there half of the time: 200";
 }
@@ -256,10 +256,10 @@
 // A whole zone out of reach: the reachable hosts serve all, and the zone comes back by itself.
 TEST(Zones, AZoneOutOfReachIsLeftAndReturns) {
   Driver d(makeSettings(), 0);
-  std::vector<HostEntry> list;
+  std::vector<Endpoint> list;
   for (int i = 0; i < 8; ++i)
     list.push_back(makeHost(i, i < 4 ? "east" : "west"));
-  d.balancer.onHosts(d.now, ListKind::replace, list);
+  d.balancer.onEndpoints(d.now, EndpointListKind::snapshot, list);
   bool cutOff = true;
   const auto far = [&](HostId h) { return d.balancer.address(h) >= "host-104"; };
   const auto run = [&](int n) {
@@ -343,14 +343,14 @@
 TEST(Cutoff, AShrinkingFleetWithShrinkingTrafficShedsNothing) {
   Driver d(makeSettings(), 8);
   int refused = 0;
-  for (int phase = 0; phase < 3; ++phase) {
-    std::vector<HostEntry> list;
-    for (int i = 0; i < (8 >> phase); ++i)
+  for (int state = 0; state < 3; ++state) {
+    std::vector<Endpoint> list;
+    for (int i = 0; i < (8 >> state); ++i)
       list.push_back(makeHost(i));
-    d.balancer.onHosts(d.now, ListKind::replace, list);
+    d.balancer.onEndpoints(d.now, EndpointListKind::snapshot, list);
     for (int i = 0; i < 300; ++i) {
       refused += d.refused(d.request(1));
-      d.advance(milliseconds(5 << phase));
+      d.advance(milliseconds(5 << state));
       serveDue(d, [](HostId) { return Duration(milliseconds(30)); });
     }
   }
@@ -505,7 +505,7 @@
 // times.
 TEST(Cutoff, AFewLostRequestsRefuseNothingWhereAnswersAreQuick) {
   Settings s = makeSettings();
-  s.groupSize = 2;
+  s.replicaCount = 2;
   Driver d(s, 10);
   int refused = 0;
   for (int i = 0; i < 6000; ++i) {
@@ -531,7 +531,7 @@
   for (int i = 0; i < 450; ++i) {
     refused += d.refused(d.request(1));
     while (++sends % 9 == 0)
-      d.settle(d.lastSent(), Outcome::full, false);
+      d.settle(d.lastSent(), Outcome::rejected, false);
     d.advance(milliseconds(2), milliseconds(2));
     serveDue(d, [](HostId) { return Duration(milliseconds(50)); });
   }
@@ -542,7 +542,7 @@
 // maximum would sink to the floor and stay there while other gateways take its share.
 TEST(Cutoff, AGatewayLeftWithHeavyRequestsGrowsBack) {
   Settings set = makeSettings();
-  set.groupSize = 4;
+  set.replicaCount = 4;
   Driver d(set, 8);
   std::map<RequestId, bool> heavy;
   int refused = 0;
@@ -578,7 +578,7 @@
       if (i >= 1000)
         refused[round] += d.refused(id);
       while (round == 1 && ++sends % 15 == 0)
-        d.settle(d.lastSent(), Outcome::full, false);
+        d.settle(d.lastSent(), Outcome::rejected, false);
       d.advance(milliseconds(5));
       serveDue(d, [&](HostId) { return Duration(milliseconds(105)); });
     }
@@ -606,7 +606,7 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Settings s = makeSettings();
     s.seed = seed;
-    s.groupSize = 50;
+    s.replicaCount = 50;
     Driver d(s, 8);
     for (int i = 0; i < 160; ++i) {  // ten a second: the hosts' even part would be twenty each
       d.request(1);
@@ -625,14 +625,14 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Settings s = makeSettings();
     s.seed = seed;
-    s.groupSize = 50;
+    s.replicaCount = 50;
     Driver d(s, 8);
     for (int i = 0; i < 300; ++i) {  // twenty a second; then held comes near the maximum, 3.5 usual times
       d.request(1);
       d.advance(milliseconds(50), milliseconds(5));
       serveDue(d, [&](HostId) { return Duration(milliseconds(i < 200 ? 50 : 200)); });
       if (i >= 220)
-        sum += d.balancer.cutoff() / 80;
+        sum += d.balancer.sheddingThreshold() / 80;
     }
   }
   EXPECT_GT(sum / 20, 2.5);
@@ -655,8 +655,8 @@
 // Beside many gateways every host looks idle; the own zone was overrun while the other stood free.
 TEST(Zones, AnOverrunOwnZoneYields) {
   Driver d(makeSettings(), 0);
-  d.balancer.onHosts(d.now, ListKind::replace,
-                     {makeHost(0), makeHost(1), makeHost(2, "west"), makeHost(3, "west")});
+  d.balancer.onEndpoints(d.now, EndpointListKind::snapshot,
+                         {makeHost(0), makeHost(1), makeHost(2, "west"), makeHost(3, "west")});
   const auto time = [&](HostId h) {
     return h == d.host(0) || h == d.host(1) ? milliseconds(120) : milliseconds(40);
   };
@@ -698,7 +698,7 @@
 std::size_t closedBeforeSends(Duration idle) {
   Settings s = makeSettings();
   s.maxAttempts = 1;
-  s.idleClose = seconds(60);
+  s.idleTimeout = seconds(60);
   s.streamsPerConnection = 100;
   Driver d(s, 1);
   d.warmUp(0, 10);
@@ -796,7 +796,7 @@
       if (i >= 600 && sent.host == bad)
         ++toBad[cls];
       const bool full = cls == 1 && sent.host == bad;
-      d.settle(sent, full ? Outcome::full : Outcome::served, !full);
+      d.settle(sent, full ? Outcome::rejected : Outcome::served, !full);
     }
   }
   EXPECT_LT(toBad[1], 10u);  // of 150; an even share would be 25
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -81,7 +81,7 @@
 struct Row {
   const char* name;
   std::function<void(PeerConnection&)> wrong;
-  bool mayHaveRun;
+  bool mayHaveExecuted;
 };
 std::ostream& operator<<(std::ostream& out, const Row& row) {
   return out << row.name;
@@ -92,8 +92,8 @@
 TEST_P(Outcomes, UnsafeIsSentAgainOnlyIfItNeverRan) {
   twoHosts(first(GetParam().wrong));
   const Response r = ask(text("write", "", "body"));
-  EXPECT_EQ(r.result_int(), GetParam().mayHaveRun ? 502u : 200u);
-  EXPECT_EQ(reached.size(), GetParam().mayHaveRun ? 1u : 2u);
+  EXPECT_EQ(r.result_int(), GetParam().mayHaveExecuted ? 502u : 200u);
+  EXPECT_EQ(reached.size(), GetParam().mayHaveExecuted ? 1u : 2u);
 }
 
 TEST_P(Outcomes, SafeIsSentAgainToTheOtherHost) {
@@ -312,7 +312,7 @@
   auto silent = client(), slow = client();
   slow->send("GET /re");
   EXPECT_TRUE(until([&] { return silent->closedByPeer && slow->closedByPeer; }));
-  EXPECT_LT(ClientServer::Limits{}.first, std::chrono::seconds(3)) << "the terms' limit";
+  EXPECT_LT(DownstreamServer::Limits{}.first, std::chrono::seconds(3)) << "the terms' limit";
 }
 
 TEST_F(GatewayTest, AServedClientKeepsItsConnectionPastTheFirstLimit) {
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -194,9 +194,9 @@
 struct Rules : ::testing::Test {
   Checker checker{{milliseconds(20), seconds(1), false}};
   ClassSettings set;
-  HostEntry here;
+  Endpoint here;
   Rules() {
-    set.effect = Effect::fragile;
+    set.idempotency = Idempotency::none;
     here.address = "10.0.0.1:80";
     here.cell = 1;
   }
@@ -218,7 +218,7 @@
 TEST_F(Rules, AnUnsafeRequestIsSentAgainOnlyAfterProofThatItNeverRan) {
   checker.taken(1, set, at(1));
   checker.sent(at(0), 0, 1, 0, here);
-  checker.outcome(1, 0, Outcome::full);
+  checker.outcome(1, 0, Outcome::rejected);
   checker.sent(at(0.1), 0, 1, 0, here);
   EXPECT_EQ(broken(), "");
   checker.outcome(1, 1, Outcome::reset);
@@ -240,33 +240,33 @@
 }
 
 TEST_F(Rules, AKeyedRequestRepeatsWithinItsBayAndWindow) {
-  set.effect = Effect::dedup;
-  set.group = Group::cell;
-  set.window = seconds(2);
+  set.idempotency = Idempotency::keyed;
+  set.deduplicationScope = DeduplicationScope::cell;
+  set.deduplicationWindow = seconds(2);
   checker.taken(1, set, at(9));
   checker.sent(at(0), 0, 1, 0, here);
   checker.outcome(1, 0, Outcome::timeout);
   checker.sent(at(1), 0, 1, 1, here);
   EXPECT_EQ(broken(), "");
   checker.outcome(1, 1, Outcome::timeout);
-  HostEntry there = here;
+  Endpoint there = here;
   there.cell = 2;
   checker.sent(at(1.5), 0, 1, 2, there);
   EXPECT_EQ(checker.breaches().size(), 1u);
-  checker.outcome(1, 2, Outcome::full);
+  checker.outcome(1, 2, Outcome::rejected);
   checker.sent(at(2.5), 0, 1, 1, here);
   EXPECT_EQ(checker.breaches().back().what, "repeated past the window");
 }
 
 TEST_F(Rules, ADrainingServerGetsNothingNewAfterTheGrace) {
-  set.effect = Effect::retryable;
-  checker.told(at(0), 3, 0, Phase::draining);
-  checker.told(at(0.9), 3, 0, Phase::out);  // counts from the first word
+  set.idempotency = Idempotency::idempotent;
+  checker.told(at(0), 3, 0, EndpointState::draining);
+  checker.told(at(0.9), 3, 0, EndpointState::removed);  // counts from the first word
   checker.taken(1, set, at(9));
   checker.sent(at(0.95), 3, 1, 0, here);
-  checker.outcome(1, 0, Outcome::full);
+  checker.outcome(1, 0, Outcome::rejected);
   checker.sent(at(1.1), 4, 1, 0, here);  // another gateway, not told
-  checker.outcome(1, 1, Outcome::full);
+  checker.outcome(1, 1, Outcome::rejected);
   EXPECT_EQ(broken(), "");
   checker.sent(at(1.1), 3, 1, 0, here);
   EXPECT_EQ(broken(), "drain");
@@ -278,33 +278,33 @@
   enum class Fault { silent, repeats, ignoresDrains, floodsCold, none };
   explicit Faulty(Fault fault) : fault_(fault) {}
   void onSettings(Time, const Settings&) override {}
-  void onHosts(Time, ListKind kind, const std::vector<HostEntry>& entries) override {
-    if (kind != ListKind::update && fault_ != Fault::ignoresDrains)
-      for (HostEntry& h : hosts_)
-        h.phase = Phase::out;
-    for (const HostEntry& e : entries) {
+  void onEndpoints(Time, EndpointListKind kind, const std::vector<Endpoint>& entries) override {
+    if (kind != EndpointListKind::delta && fault_ != Fault::ignoresDrains)
+      for (Endpoint& h : hosts_)
+        h.state = EndpointState::removed;
+    for (const Endpoint& e : entries) {
       HostId id = findHost(e.address);
       if (id == balancer::kNone)
         id = static_cast<HostId>(hosts_.size()), hosts_.push_back(e);
       hosts_[id] = e;
       if (fault_ == Fault::ignoresDrains)
-        hosts_[id].phase = Phase::in;
+        hosts_[id].state = EndpointState::serving;
     }
   }
   void onRequest(Time now, const Request& q) override {
     if (fault_ == Fault::silent && q.id % 50 == 0)
       return;
-    deadline_[q.id] = now + q.left;
+    deadline_[q.id] = now + q.remaining;
     send(now, q.id, 0);
   }
   void onResult(Time now, const AttemptResult& r) override {
-    if (r.terminal || r.outcome == Outcome::moot)
+    if (r.terminal || r.outcome == Outcome::abandoned)
       return;
     if (fault_ == Fault::repeats && r.attempt == 0 && now < deadline_[r.request])
       return send(now, r.request, 1);
-    actions_.push_back({ActionKind::fail, r.request, 0, balancer::kNone, {}, {}});
+    end(ActionKind::fail, r.request);
   }
-  void onClientGone(Time, RequestId) override {}
+  void onClientDisconnected(Time, RequestId) override {}
   void onWake(Time) override {}
   std::vector<Action>& actions() override { return actions_; }
   HostId findHost(std::string_view address) const override {
@@ -316,29 +316,40 @@
   const std::string& address(HostId host) const override { return hosts_.at(host).address; }
 
  private:
+  void end(ActionKind kind, RequestId id) {
+    Action& action = actions_.emplace_back();
+    action.kind = kind;
+    action.request = id;
+  }
   void send(Time now, RequestId id, std::uint32_t attempt) {
     for (std::size_t i = 0; i < hosts_.size(); ++i) {
       const HostId host = static_cast<HostId>((id + i) % hosts_.size());
       const bool cold = hosts_[host].upSince > Time{};
-      if (hosts_[host].phase != Phase::in || (fault_ != Fault::floodsCold && cold))
+      if (hosts_[host].state != EndpointState::serving || (fault_ != Fault::floodsCold && cold))
         continue;
       const bool better = fault_ == Fault::floodsCold && !cold && anyCold();
       if (better)
         continue;
       // Short attempts, so that the repeating one has something to repeat.
       const Duration limit = fault_ == Fault::repeats ? Duration(milliseconds(30)) : deadline_[id] - now;
-      return actions_.push_back({ActionKind::send, id, attempt, host, limit, {}});
+      Action& send = actions_.emplace_back();
+      send.kind = ActionKind::send;
+      send.request = id;
+      send.attempt = attempt;
+      send.host = host;
+      send.timeLimit = limit;
+      return;
     }
-    actions_.push_back({ActionKind::refuse, id, 0, balancer::kNone, {}, {}});
+    end(ActionKind::reject, id);
   }
   bool anyCold() const {
-    for (const HostEntry& h : hosts_)
-      if (h.phase == Phase::in && h.upSince > Time{})
+    for (const Endpoint& h : hosts_)
+      if (h.state == EndpointState::serving && h.upSince > Time{})
         return true;
     return false;
   }
   Fault fault_;
-  std::vector<HostEntry> hosts_;
+  std::vector<Endpoint> hosts_;
   std::vector<Action> actions_;
   std::map<RequestId, Time> deadline_;
 };
--- a/tests/fleet_link_test.cpp
+++ b/tests/membership_transport_test.cpp
@@ -1,6 +1,6 @@
 // Gateways that are members of one fleet, on real loopback sockets: off by default, joined by seeds, told of
 // those that leave, asked by operators.
-#include "gateway/fleet_link.hpp"
+#include "gateway/membership_transport.hpp"
 
 #include <atomic>
 #include <filesystem>
--- a/tests/net_peers.hpp
+++ b/tests/net_peers.hpp
@@ -240,10 +240,11 @@
 };
 
 // Times so long that a slow machine changes no verdict; a test that waits for their end shortens them.
-inline json classJson(const std::string& name, const std::string& effect, const std::string& group = "all") {
+inline json classJson(const std::string& name, const std::string& idempotency,
+                      const std::string& deduplicationScope = "all") {
   return {{"name", name},
-          {"effect", effect},
-          {"group", group},
+          {"effect", idempotency},
+          {"group", deduplicationScope},
           {"aimNs", 20'000'000'000},
           {"giveUpNs", 20'000'000'000},
           {"windowNs", 20'000'000'000},
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -20,8 +20,8 @@
     smooth += 0.05 * (held - smooth);
     const double x = std::clamp((smooth / 60 - 0.5) / 0.5, 0.0, 1.0);
     zero |= x == 0 && smooth > 15;
-    EXPECT_NEAR(d.balancer.cutoff(), 100 * x * x * x, 1e-6) << "at " << before;
-    rose |= d.balancer.cutoff() > 5;
+    EXPECT_NEAR(d.balancer.sheddingThreshold(), 100 * x * x * x, 1e-6) << "at " << before;
+    rose |= d.balancer.sheddingThreshold() > 5;
   }
   EXPECT_TRUE(rose);
   EXPECT_TRUE(zero);
@@ -36,7 +36,7 @@
     const RequestId id = d.request(cls);
     if (d.out.size() > 44)
       d.serve(Sent(d.out[engine() % d.out.size()]));
-    if (d.balancer.cutoff() > 60)
+    if (d.balancer.sheddingThreshold() > 60)
       continue;  // high worth holds the top quarter of the scores
     low += cls == 1 && d.refused(id);
     high += cls == 0 && d.refused(id);
@@ -70,9 +70,9 @@
     while (!d.out.empty())
       d.settle(Sent(d.out.front()), Outcome::error, false);
   }
-  EXPECT_GT(d.balancer.cutoff(), 1);
+  EXPECT_GT(d.balancer.sheddingThreshold(), 1);
   d.warmUp(0, 200);
-  EXPECT_EQ(d.balancer.cutoff(), 0);
+  EXPECT_EQ(d.balancer.sheddingThreshold(), 0);
 }
 
 TEST(RetryAfter, LengthensAsTheScoreFallsAndOnlyWhereReceived) {
@@ -109,7 +109,7 @@
     Driver d(s, 6);
     const RequestId id = d.request(1);
     while (!d.out.empty())
-      d.settle(Sent(d.out.front()), Outcome::full, false);
+      d.settle(Sent(d.out.front()), Outcome::rejected, false);
     ASSERT_TRUE(d.refused(id));
     if (received)
       EXPECT_GT(d.retryAfter[id], Duration{});
@@ -151,7 +151,7 @@
 
 TEST(Pick, WarmKeysGoToTheSameHostsAtEveryGateway) {
   Settings s = makeSettings();
-  s.warmKeys = true;
+  s.keyAffinity = true;
   Driver a(s, 8);
   s.seed = 99;
   Driver b(s, 8);
@@ -170,8 +170,8 @@
 TEST(Pick, OwnZonePreferredAndSpills) {
   Settings s = makeSettings();
   Driver d(s, 0);
-  d.balancer.onHosts(d.now, ListKind::replace,
-                     {makeHost(0), makeHost(1), makeHost(2, "west"), makeHost(3, "west")});
+  d.balancer.onEndpoints(d.now, EndpointListKind::snapshot,
+                         {makeHost(0), makeHost(1), makeHost(2, "west"), makeHost(3, "west")});
   for (int i = 0; i < 200; ++i) {
     d.request(0);
     d.serve(d.lastSent());
@@ -215,7 +215,7 @@
   Driver d(makeSettings());
   const RequestId id = d.request(0);
   const Sent first = d.lastSent();
-  d.balancer.onClientGone(d.now, id);
+  d.balancer.onClientDisconnected(d.now, id);
   d.collect();
   EXPECT_EQ(d.count(ActionKind::cancel), 1u);
   d.settle(first, Outcome::connectFailed, false);
@@ -238,8 +238,8 @@
   const Sent s = d.lastSent();
   d.balancer.onResult(d.now, {id + 50, 0, s.host, Outcome::error, {}, false});
   d.balancer.onResult(d.now, {id, 3, s.host, Outcome::error, {}, false});
-  d.balancer.onClientGone(d.now, 999);
-  d.balancer.onAnswerStarted(d.now, 999, 0);
+  d.balancer.onClientDisconnected(d.now, 999);
+  d.balancer.onResponseStarted(d.now, 999, 0);
   d.request(0);
   d.collect();
   EXPECT_EQ(d.answers.size(), 0u);
@@ -252,7 +252,7 @@
   Settings s = makeSettings();
   Driver d(s);
   const RequestId id = d.request(0);
-  d.balancer.onAnswerStarted(d.now, id, 0);
+  d.balancer.onResponseStarted(d.now, id, 0);
   d.advance(seconds(3));
   EXPECT_EQ(d.answers.count(id), 0u);
   d.settle(d.lastSent(), Outcome::reset, true);
@@ -270,7 +270,7 @@
     EXPECT_EQ(d.sent.size(), 1u);
     EXPECT_TRUE(d.failed(id)) << "a refusal would claim that a retry is harmless";
   }
-  for (Outcome o : {Outcome::full, Outcome::connectFailed}) {
+  for (Outcome o : {Outcome::rejected, Outcome::connectFailed}) {
     Driver d(makeSettings());
     d.request(1);
     const HostId first = d.lastSent().host;
@@ -284,38 +284,40 @@
   Driver d(makeSettings());
   const RequestId id = d.request(1);
   for (int i = 0; i < 4; ++i)
-    d.settle(d.lastSent(), Outcome::full, false);
+    d.settle(d.lastSent(), Outcome::rejected, false);
   EXPECT_EQ(d.sent.size(), 4u) << "maxAttempts";
   EXPECT_TRUE(d.refused(id));
 }
 
 TEST(Repeats, DedupStaysInItsGroupAndWindow) {
-  for (Group g : {Group::cell, Group::zone}) {
+  for (DeduplicationScope g : {DeduplicationScope::cell, DeduplicationScope::zone}) {
     Settings s = makeSettings();
-    s.classes[2].group = g;
+    s.classes[2].deduplicationScope = g;
     for (std::uint64_t seed = 1; seed < 20; ++seed) {
       s.seed = seed;
       Driver d(s, 0);
-      std::vector<HostEntry> list;
+      std::vector<Endpoint> list;
       for (int i = 0; i < 8; ++i)
         list.push_back(makeHost(i, i < 4 ? "east" : "west", i / 2));
-      d.balancer.onHosts(d.now, ListKind::replace, list);
+      d.balancer.onEndpoints(d.now, EndpointListKind::snapshot, list);
       const RequestId id = d.request(2);
       const int first = std::stoi(d.balancer.address(d.lastSent().host).substr(5)) - 100;
       d.settle(d.lastSent(), Outcome::reset, false);
       ASSERT_EQ(d.sent.size(), 2u);
       const int second = std::stoi(d.balancer.address(d.lastSent().host).substr(5)) - 100;
-      EXPECT_EQ(first / (g == Group::cell ? 2 : 4), second / (g == Group::cell ? 2 : 4));
+      EXPECT_EQ(first / (g == DeduplicationScope::cell ? 2 : 4),
+                second / (g == DeduplicationScope::cell ? 2 : 4));
       while (!d.out.empty()) {
         const int next = std::stoi(d.balancer.address(d.lastSent().host).substr(5)) - 100;
-        EXPECT_EQ(first / (g == Group::cell ? 2 : 4), next / (g == Group::cell ? 2 : 4));
+        EXPECT_EQ(first / (g == DeduplicationScope::cell ? 2 : 4),
+                  next / (g == DeduplicationScope::cell ? 2 : 4));
         d.settle(d.lastSent(), Outcome::timeout, false);
       }
       EXPECT_TRUE(d.failed(id)) << "never refused: the group is not all";
     }
   }
   Settings late = makeSettings();
-  late.classes[2].window = milliseconds(100);
+  late.classes[2].deduplicationWindow = milliseconds(100);
   Driver d(late);
   const RequestId id = d.request(2);
   d.advance(milliseconds(150));
@@ -326,7 +328,7 @@
 
 TEST(Repeats, DedupOfGroupAllMayBeRefused) {
   Settings s = makeSettings();
-  s.classes[2].group = Group::all;
+  s.classes[2].deduplicationScope = DeduplicationScope::all;
   s.maxAttempts = 1;
   Driver d(s);
   const RequestId id = d.request(2);
@@ -338,10 +340,10 @@
 
 TEST(Drains, NothingNewToADrainingOrGoneHost) {
   Driver d(makeSettings(), 3);
-  HostEntry lame = makeHost(0), gone = makeHost(1);
-  lame.phase = Phase::draining;
-  gone.phase = Phase::out;
-  d.balancer.onHosts(d.now, ListKind::update, {lame, gone});
+  Endpoint lame = makeHost(0), gone = makeHost(1);
+  lame.state = EndpointState::draining;
+  gone.state = EndpointState::removed;
+  d.balancer.onEndpoints(d.now, EndpointListKind::delta, {lame, gone});
   d.forget();
   for (int i = 0; i < 30; ++i) {
     d.request(0);
@@ -353,7 +355,7 @@
 
 TEST(Drains, AWholeListDropsWhatItLeavesOut) {
   Driver d(makeSettings(), 3);
-  d.balancer.onHosts(d.now, ListKind::replace, {makeHost(2)});
+  d.balancer.onEndpoints(d.now, EndpointListKind::snapshot, {makeHost(2)});
   d.forget();
   for (int i = 0; i < 10; ++i) {
     d.request(0);
@@ -364,20 +366,20 @@
 
 TEST(Discovery, AsksAtOnceAndAgainAfterFailuresWithinTheLimit) {
   Settings s = makeSettings();
-  s.askDiscovery = true;
-  s.askWithin = seconds(3);
+  s.pollDiscovery = true;
+  s.maxDiscoverySilence = seconds(3);
   Driver d(s, 3);
-  EXPECT_EQ(d.count(ActionKind::subscribe), 1u);
+  EXPECT_EQ(d.count(ActionKind::pollDiscovery), 1u);
   Time asked = d.now;
   for (int i = 0; i < 8; ++i) {
-    d.balancer.onHosts(d.now, ListKind::unavailable, {});
+    d.balancer.onEndpoints(d.now, EndpointListKind::unavailable, {});
     d.collect();
-    const std::size_t before = d.count(ActionKind::subscribe);
-    while (d.count(ActionKind::subscribe) == before && d.now - asked < s.askWithin)
+    const std::size_t before = d.count(ActionKind::pollDiscovery);
+    while (d.count(ActionKind::pollDiscovery) == before && d.now - asked < s.maxDiscoverySilence)
       d.advance(milliseconds(50));
-    EXPECT_EQ(d.count(ActionKind::subscribe), before + 1);
+    EXPECT_EQ(d.count(ActionKind::pollDiscovery), before + 1);
     EXPECT_GT(d.now, asked) << "no storm";
-    EXPECT_LT(d.now - asked, s.askWithin);
+    EXPECT_LT(d.now - asked, s.maxDiscoverySilence);
     asked = d.now;
   }
   d.request(0);
@@ -386,26 +388,26 @@
 
 TEST(Discovery, ALostAnswerIsAskedForAgainButNotAGivenOne) {
   Settings s = makeSettings();
-  s.askDiscovery = true;
-  s.askWithin = seconds(3);
+  s.pollDiscovery = true;
+  s.maxDiscoverySilence = seconds(3);
   Driver d(s, 3);
   d.advance(seconds(2), milliseconds(50));
-  EXPECT_EQ(d.count(ActionKind::subscribe), 2u);
-  d.balancer.onHosts(d.now, ListKind::update, {});
+  EXPECT_EQ(d.count(ActionKind::pollDiscovery), 2u);
+  d.balancer.onEndpoints(d.now, EndpointListKind::delta, {});
   d.advance(seconds(10), milliseconds(50));
-  EXPECT_EQ(d.count(ActionKind::subscribe), 2u);
+  EXPECT_EQ(d.count(ActionKind::pollDiscovery), 2u);
 }
 
 // --- Rule 4: cold hosts ---
 
 TEST(ColdStart, ABudgetInEveryWindow) {
   Settings s = makeSettings();
-  s.groupSize = 2;
+  s.replicaCount = 2;
   Driver d(s, 4);
   d.warmUp(0, 100, milliseconds(10));
-  HostEntry cold = makeHost(9);
+  Endpoint cold = makeHost(9);
   cold.upSince = d.now;
-  d.balancer.onHosts(d.now, ListKind::update, {cold});
+  d.balancer.onEndpoints(d.now, EndpointListKind::delta, {cold});
   d.forget();
   std::size_t warm = 0;
   for (int i = 0; i < 200; ++i) {  // two seconds, the cold host refuses all: refused attempts count too
@@ -414,7 +416,7 @@
     while (!d.out.empty()) {
       const Sent o = d.out.front();
       if (o.host == d.host(9))
-        d.settle(o, Outcome::full, false);
+        d.settle(o, Outcome::rejected, false);
       else
         d.serve(o);
     }
@@ -427,12 +429,12 @@
 TEST(ColdStart, AlsoWhenEveryHostIsCold) {
   Settings s = makeSettings();
   Driver d(s, 0);
-  std::vector<HostEntry> list;
+  std::vector<Endpoint> list;
   for (int i = 0; i < 3; ++i) {
     list.push_back(makeHost(i));
     list.back().upSince = d.now;
   }
-  d.balancer.onHosts(d.now, ListKind::replace, list);
+  d.balancer.onEndpoints(d.now, EndpointListKind::snapshot, list);
   for (int i = 0; i < 400; ++i) {
     d.request(0);
     d.advance(milliseconds(5));
@@ -459,19 +461,19 @@
   s.classes.clear();
   EXPECT_NE(message(s).find("class"), std::string::npos);
   s = makeSettings();
-  s.groupSize = 0;
+  s.replicaCount = 0;
   EXPECT_NE(message(s).find("groupSize"), std::string::npos);
   s = makeSettings();
   s.candidates = 3;
   EXPECT_NE(message(s).find("candidates"), std::string::npos);
   s = makeSettings();
-  s.coldShare = 0;
+  s.slowStartInitialFraction = 0;
   EXPECT_NE(message(s).find("coldShare"), std::string::npos);
   s = makeSettings();
-  s.classes[1].aim = Duration{};
+  s.classes[1].latencyObjective = Duration{};
   EXPECT_NE(message(s).find("write"), std::string::npos);
   s = makeSettings();
-  s.classes[1].worth = std::nan("");
+  s.classes[1].priorityWeight = std::nan("");
   EXPECT_NE(message(s).find("worth"), std::string::npos);
 }
 
@@ -482,7 +484,7 @@
   Driver d(s);
   const RequestId before = d.request(1);
   const Sent first = d.lastSent();
-  s.classes[1].effect = Effect::retryable;
+  s.classes[1].idempotency = Idempotency::idempotent;
   d.balancer.onSettings(d.now, s);
   d.collect();
   d.settle(first, Outcome::error, false);
@@ -500,7 +502,7 @@
   const Sent sent = d.lastSent();
   std::swap(s.classes[0], s.classes[1]);
   s.classes.pop_back();
-  s.classes.push_back(makeClass("new", Effect::fragile, 1));
+  s.classes.push_back(makeClass("new", Idempotency::none, 1));
   d.balancer.onSettings(d.now, s);
   d.collect();
   d.settle(sent, Outcome::error, false);
@@ -531,29 +533,30 @@
   Settings s = makeSettings();
   s.seed = seed;
   s.candidates = candidates;
-  s.warmKeys = seed % 2 == 0;
-  s.classes[2].group = static_cast<Group>(seed % 3);
+  s.keyAffinity = seed % 2 == 0;
+  s.classes[2].deduplicationScope = static_cast<DeduplicationScope>(seed % 3);
   std::mt19937_64 engine(seed * 77 + 1);
   const auto below = [&](std::uint64_t n) { return engine() % n; };
   Balancer b(s, seconds(50));
   Time now = seconds(50);
   std::map<RequestId, Seen> seen;
-  std::map<HostId, Phase> phase;
-  std::map<HostId, HostEntry> entries;
+  std::map<HostId, EndpointState> state;
+  std::map<HostId, Endpoint> entries;
   std::string trace;
   RequestId last = 0;
-  std::vector<HostEntry> list;
+  std::vector<Endpoint> list;
   for (int i = 0; i < 6; ++i)
     list.push_back(makeHost(i, i % 3 ? "east" : "west", i % 3));
-  b.onHosts(now, ListKind::restored, list);
-  for (const HostEntry& e : list)
+  b.onEndpoints(now, EndpointListKind::cached, list);
+  for (const Endpoint& e : list)
     entries[b.findHost(e.address)] = e;
 
   const auto check = [&] {
     for (const Action& a : b.actions()) {
       trace += std::to_string(static_cast<int>(a.kind)) + ":" + std::to_string(a.request) + ":" +
-               std::to_string(a.host) + ":" + std::to_string(a.span.count()) + " ";
-      if (a.kind == ActionKind::wake || a.kind == ActionKind::log || a.kind == ActionKind::subscribe ||
+               std::to_string(a.host) + ":" +
+               std::to_string((a.timeLimit + a.retryAfter + a.wakeAt).count()) + " ";
+      if (a.kind == ActionKind::wake || a.kind == ActionKind::log || a.kind == ActionKind::pollDiscovery ||
           a.kind == ActionKind::close)
         continue;
       EXPECT_TRUE(seen.count(a.request));
@@ -567,34 +570,34 @@
       if (a.kind == ActionKind::send) {
         EXPECT_FALSE(r.over);
         EXPECT_LT(now, r.deadline);
-        EXPECT_LE(now + a.span, r.deadline);
-        EXPECT_EQ(entries.at(a.host).phase, Phase::in);
+        EXPECT_LE(now + a.timeLimit, r.deadline);
+        EXPECT_EQ(entries.at(a.host).state, EndpointState::serving);
         EXPECT_EQ(a.attempt, r.tries.size());
         EXPECT_LT(a.attempt, s.maxAttempts);
         EXPECT_FALSE(outNow);
-        if (c.effect == Effect::fragile)
+        if (c.idempotency == Idempotency::none)
           EXPECT_FALSE(ran);
-        if (c.effect == Effect::dedup)
+        if (c.idempotency == Idempotency::keyed)
           for (std::size_t i = 0; i < r.tries.size(); ++i) {
             if (r.state[i] == 1)
               continue;
-            const HostEntry &was = entries.at(r.tries[i].host), &is = entries.at(a.host);
-            if (c.group != Group::all)
+            const Endpoint &was = entries.at(r.tries[i].host), &is = entries.at(a.host);
+            if (c.deduplicationScope != DeduplicationScope::all)
               EXPECT_EQ(was.zone, is.zone);
-            if (c.group == Group::cell)
+            if (c.deduplicationScope == DeduplicationScope::cell)
               EXPECT_EQ(was.cell, is.cell);
-            EXPECT_LE(now, r.tries[i].at + c.window);
+            EXPECT_LE(now, r.tries[i].at + c.deduplicationWindow);
           }
-        r.tries.push_back({a.request, a.attempt, a.host, now, a.span});
+        r.tries.push_back({a.request, a.attempt, a.host, now, a.timeLimit});
         r.state.push_back(0);
-      } else if (a.kind == ActionKind::refuse || a.kind == ActionKind::fail) {
+      } else if (a.kind == ActionKind::reject || a.kind == ActionKind::fail) {
         EXPECT_FALSE(r.over);
         EXPECT_LE(now, r.deadline);
         r.over = true;
-        if (a.kind == ActionKind::refuse && ran) {
-          EXPECT_NE(c.effect, Effect::fragile);
-          if (c.effect == Effect::dedup)
-            EXPECT_EQ(c.group, Group::all);
+        if (a.kind == ActionKind::reject && ran) {
+          EXPECT_NE(c.idempotency, Idempotency::none);
+          if (c.idempotency == Idempotency::keyed)
+            EXPECT_EQ(c.deduplicationScope, DeduplicationScope::all);
         }
       }
     }
@@ -608,10 +611,10 @@
       Request q;
       q.id = ++last;
       q.classIndex = static_cast<std::uint32_t>(below(3));
-      q.left = milliseconds(static_cast<int>(below(1000)) + 1);
+      q.remaining = milliseconds(static_cast<int>(below(1000)) + 1);
       q.hasKey = true;
       q.key = below(20);
-      seen[q.id] = {q.classIndex, now + q.left, false, {}, {}};
+      seen[q.id] = {q.classIndex, now + q.remaining, false, {}, {}};
       b.onRequest(now, q);
     } else if (what < 8 && !seen.empty()) {
       std::vector<std::pair<RequestId, std::size_t>> open;
@@ -623,7 +626,7 @@
         const auto [id, k] = open[below(open.size())];
         Seen& r = seen[id];
         const auto o = static_cast<Outcome>(below(8));
-        r.state[k] = o == Outcome::full || o == Outcome::connectFailed || o == Outcome::moot ? 1 : 2;
+        r.state[k] = o == Outcome::rejected || o == Outcome::connectFailed || o == Outcome::abandoned ? 1 : 2;
         const bool terminal = r.over || o == Outcome::served;
         if (terminal)
           r.over = true;
@@ -631,18 +634,18 @@
                    {id, static_cast<std::uint32_t>(k), r.tries[k].host, o, now - r.tries[k].at, terminal});
       }
     } else if (what == 8 && below(10) == 0) {
-      HostEntry e = makeHost(static_cast<int>(below(6)));
+      Endpoint e = makeHost(static_cast<int>(below(6)));
       e = entries.at(b.findHost(e.address));
-      e.phase = static_cast<Phase>(below(3));
+      e.state = static_cast<EndpointState>(below(3));
       if (below(3) == 0)
         e.upSince = now;
       entries[b.findHost(e.address)] = e;
-      b.onHosts(now, ListKind::update, {e});
+      b.onEndpoints(now, EndpointListKind::delta, {e});
     } else if (below(20) == 0 && last > 0) {
       const RequestId id = 1 + below(last);
       if (!seen[id].over) {
         seen[id].over = true;
-        b.onClientGone(now, id);
+        b.onClientDisconnected(now, id);
       }
     } else {
       b.onWake(now);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -24,7 +24,7 @@
 namespace {
 
 using gateway::Discovery;
-using gateway::HostList;
+using gateway::EndpointList;
 using gateway::HostState;
 
 constexpr std::uint32_t kTestAddresses = 0x7f3c0001;  // 127.60.0.1, where no rig has its servers
@@ -200,16 +200,16 @@
  protected:
   HollowDiscoveryTest() : discovery(io, listed(30)) {
     address = discovery.addAddress();
-    client.emplace(
-        io, discovery.endpoint(address),
-        Discovery::Callbacks{[this](const HostList& list) { told.push_back(list); }, [this] { ++failures; }},
-        Discovery::Waits{});
+    client.emplace(io, discovery.endpoint(address),
+                   Discovery::Callbacks{[this](const EndpointList& list) { told.push_back(list); },
+                                        [this] { ++failures; }},
+                   Discovery::Waits{});
   }
 
   asio::io_context io;
   HollowDiscovery discovery;
   std::size_t address = 0, failures = 0;
-  std::vector<HostList> told;
+  std::vector<EndpointList> told;
   std::optional<Discovery> client;
 };
 
--- a/tests/server_start_times_test.cpp
+++ b/tests/server_start_times_test.cpp
@@ -26,7 +26,7 @@
     host.bootMs = (kTrueUnix + since).count();
     return host;
   }
-  static HostList list(std::vector<ListedHost> hosts, bool full = true) {
+  static EndpointList list(std::vector<ListedHost> hosts, bool full = true) {
     return {.version = 1, .full = full, .hosts = std::move(hosts)};
   }
   static ListedHost longAgo(const std::string& uid) {
--- a/tests/sites_test.cpp
+++ b/tests/sites_test.cpp
@@ -22,16 +22,16 @@
     };
     for (const auto& node : *site["class"].as_array()) {
       const toml::table& c = *node.as_table();
-      const std::string effect = c["effect"].value_or(std::string());
+      const std::string idempotency = c["effect"].value_or(std::string());
       json entry = {{"name", c["name"].value_or(std::string())},
-                    {"effect", effect == "safe"    ? "retryable"
-                               : effect == "keyed" ? "dedup"
-                                                   : "fragile"},
+                    {"effect", idempotency == "safe"    ? "retryable"
+                               : idempotency == "keyed" ? "dedup"
+                                                        : "fragile"},
                     {"aimNs", ms(c, "aim_ms")},
                     {"giveUpNs", ms(c, "deadline_ms")},
                     {"points", c["worth"].value_or(1.0)},
                     {"lateShare", c["late_worth"].value_or(0.0)}};
-      if (effect == "keyed")
+      if (idempotency == "keyed")
         entry["group"] = c["group"].value_or(std::string()), entry["windowNs"] = ms(c, "window_ms");
       settings["grades"].push_back(entry);
     }
@@ -42,12 +42,12 @@
     settings["zone"] = site["net"]["zones"][0].value_or(std::string());
   }
   std::string requestOf(const json& g) {
-    const std::string name = g["name"], id = std::to_string(++serial), effect = g["effect"];
+    const std::string name = g["name"], id = std::to_string(++serial), idempotency = g["effect"];
     const std::string head =
         " /" + name + " HTTP/1.1\r\nHost: x\r\nX-Class: " + name + "\r\nX-Request-Id: r" + id + "\r\n";
-    if (effect == "retryable")
+    if (idempotency == "retryable")
       return "GET" + head + "\r\n";
-    return "POST" + head + (effect == "dedup" ? "Idempotency-Key: k" + id + "\r\n" : "") +
+    return "POST" + head + (idempotency == "dedup" ? "Idempotency-Key: k" + id + "\r\n" : "") +
            "Content-Length: 2\r\n\r\nhi";
   }
 };
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 using namespace std::chrono_literals;
-using balancer::Effect;
+using balancer::Idempotency;
 
 class Ledger : public ::testing::Test {
  protected:
   SoakLedger ledger{50ms};
-  const SoakClass read{"read", Effect::retryable, 0ns}, write{"write", Effect::fragile, 0ns},
-      put{"put", Effect::dedup, 2s};
+  const SoakClass read{"read", Idempotency::idempotent, 0ns}, write{"write", Idempotency::none, 0ns},
+      put{"put", Idempotency::keyed, 2s};
 
   void sent(const SoakClass& cls) { ledger.sent("q", cls, 0, 10s, 1s); }
   void expectOnly(SoakRule rule) {
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -71,7 +71,7 @@
 
 TEST(ColdStartsTest, LacksWhatItsHostsLack) {
   std::mt19937_64 engine(6);
-  constexpr double coldTime = 23;
+  constexpr double slowStartDuration = 23;
   double now = 5000;
   std::vector<double> starts;
   for (int i = 0; i < 500; ++i)
@@ -81,10 +81,10 @@
   for (int i = 0; i < 300; ++i, now += 0.1) {
     double expected = 0;
     for (double start : starts)
-      expected += std::max(0.0, 1 - (now - start) / coldTime);
-    ASSERT_NEAR(cold.lacking(now, coldTime), expected, 1e-9) << "after " << i;
+      expected += std::max(0.0, 1 - (now - start) / slowStartDuration);
+    ASSERT_NEAR(cold.lacking(now, slowStartDuration), expected, 1e-9) << "after " << i;
   }
-  EXPECT_EQ(cold.lacking(now, coldTime), 0) << "all are warm";
+  EXPECT_EQ(cold.lacking(now, slowStartDuration), 0) << "all are warm";
 }
 
 }  // namespace
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -62,35 +62,35 @@
   const Settings s = readSettings(std::string(kSettings) +
                                   " grades.0.inTurn=true grades.0.staysIn=north,south grades.1.boundTo= "
                                   "rules.keyRestNs=100000000");
-  EXPECT_TRUE(s.classes[0].inTurn);
-  EXPECT_FALSE(s.classes[1].inTurn);
+  EXPECT_TRUE(s.classes[0].orderedPerKey);
+  EXPECT_FALSE(s.classes[1].orderedPerKey);
   EXPECT_EQ(s.classes[0].zones, (std::vector<std::string>{"north", "south"}));
-  EXPECT_FALSE(s.classes[0].kinds);  // absent: no bound
-  ASSERT_TRUE(s.classes[1].kinds);   // empty: nothing is allowed
-  EXPECT_TRUE(s.classes[1].kinds->empty());
-  EXPECT_EQ(s.keyRest, std::chrono::milliseconds(100));
+  EXPECT_FALSE(s.classes[0].machineTypes);  // absent: no bound
+  ASSERT_TRUE(s.classes[1].machineTypes);   // empty: nothing is allowed
+  EXPECT_TRUE(s.classes[1].machineTypes->empty());
+  EXPECT_EQ(s.keyCooldown, std::chrono::milliseconds(100));
 }
 
 TEST(Wire, SettingsAreRead) {
   const Settings s = readSettings(kSettings);
   ASSERT_EQ(s.classes.size(), 2u);
   EXPECT_EQ(s.classes[0].name, "plan");
-  EXPECT_EQ(s.classes[0].worth, 12);
-  EXPECT_EQ(s.classes[1].effect, Effect::dedup);
-  EXPECT_EQ(s.classes[1].group, Group::zone);
-  EXPECT_EQ(s.classes[1].window, std::chrono::seconds(2));
-  EXPECT_TRUE(s.askDiscovery);
+  EXPECT_EQ(s.classes[0].priorityWeight, 12);
+  EXPECT_EQ(s.classes[1].idempotency, Idempotency::keyed);
+  EXPECT_EQ(s.classes[1].deduplicationScope, DeduplicationScope::zone);
+  EXPECT_EQ(s.classes[1].deduplicationWindow, std::chrono::seconds(2));
+  EXPECT_TRUE(s.pollDiscovery);
   EXPECT_EQ(s.maxAttempts, 6u);
-  EXPECT_DOUBLE_EQ(s.coldShare, 0.32);
+  EXPECT_DOUBLE_EQ(s.slowStartInitialFraction, 0.32);
   EXPECT_EQ(s.zone, "north");
-  EXPECT_FALSE(s.parallelTries);
-  EXPECT_FALSE(s.liveWeights);
+  EXPECT_FALSE(s.allowHedging);
+  EXPECT_FALSE(s.loadAdjustedWeights);
   const Settings large = readSettings(std::string(kSettings) +
                                       " myNumber=17 groupSize=300 weights=live ceilings.parallelTries=true");
-  EXPECT_EQ(large.number, 17u);
-  EXPECT_EQ(large.groupSize, 300u);
-  EXPECT_TRUE(large.liveWeights);
-  EXPECT_TRUE(large.parallelTries);
+  EXPECT_EQ(large.replicaIndex, 17u);
+  EXPECT_EQ(large.replicaCount, 300u);
+  EXPECT_TRUE(large.loadAdjustedWeights);
+  EXPECT_TRUE(large.allowHedging);
   EXPECT_THROW(readSettings("groupSize=many"), std::invalid_argument);
 }
 
