--- a/src/balancer/dispatch_guard.cpp
+++ b/src/balancer/dispatch_guard.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "balancer/state.hpp"
+#include "balancer/request_table.hpp"
 
 namespace hollyrun::balancer {
 namespace {
@@ -19,19 +19,23 @@
 
 }  // namespace
 
-std::string_view nameOf(DenialReason reason) { return kNames[static_cast<std::size_t>(reason)]; }
+std::string_view nameOf(DenialReason reason) {
+  return kNames[static_cast<std::size_t>(reason)];
+}
 
 bool isViolation(DenialReason reason) {
   switch (reason) {
     case DenialReason::attemptsExhausted:
     case DenialReason::notIdempotent:
     case DenialReason::outsideDeduplicationScope:
-    case DenialReason::hedgingForbidden: return true;
+    case DenialReason::hedgingForbidden:
+      return true;
     case DenialReason::clientDisconnected:
     case DenialReason::deadlineExceeded:
     case DenialReason::deduplicationWindowPassed:
     case DenialReason::notServing:
-    case DenialReason::restarted: return false;
+    case DenialReason::restarted:
+      return false;
   }
   return true;
 }
@@ -43,38 +47,48 @@
 
 void AttemptHistory::ended(std::uint32_t attempt, Outcome outcome) {
   const auto it = std::ranges::find(attempts_, attempt, &Attempt::number);
-  if (it == attempts_.end()) return;
+  if (it == attempts_.end())
+    return;
   it->out = false;
   it->mayHaveExecuted = !provesNotExecuted(outcome);
 }
 
 Admission DispatchGuard::admit(const DispatchFacts& facts) {
   const std::optional<DenialReason> denied = judge(facts);
-  if (denied) ++denied_[static_cast<std::size_t>(*denied)];
+  if (denied)
+    ++denied_[static_cast<std::size_t>(*denied)];
   return {denied, std::chrono::duration_cast<std::chrono::milliseconds>(facts.left)};
 }
 
 std::optional<DenialReason> DispatchGuard::judge(const DispatchFacts& facts) {
-  if (facts.attempt >= facts.terms.maxAttempts) return DenialReason::attemptsExhausted;
-  if (!facts.clientPresent) return DenialReason::clientDisconnected;
-  if (facts.left < kLeastTold) return DenialReason::deadlineExceeded;
+  if (facts.attempt >= facts.terms.maxAttempts)
+    return DenialReason::attemptsExhausted;
+  if (!facts.clientPresent)
+    return DenialReason::clientDisconnected;
+  if (facts.left < kLeastTold)
+    return DenialReason::deadlineExceeded;
   if (facts.server.state != EndpointState::serving && facts.now - facts.server.stateSince > kDrainGrace)
     return DenialReason::notServing;
-  if (facts.server.upSince != facts.terms.serverUpSince) return DenialReason::restarted;
+  if (facts.server.upSince != facts.terms.serverUpSince)
+    return DenialReason::restarted;
   return checkResend(facts);
 }
 
 // Nothing binds before an attempt may have run.
 std::optional<DenialReason> DispatchGuard::checkResend(const DispatchFacts& facts) {
   for (const AttemptHistory::Attempt& earlier : facts.history.attempts_) {
-    if (earlier.out && !facts.terms.allowHedging) return DenialReason::hedgingForbidden;
-    if (!earlier.mayHaveExecuted || facts.terms.idempotency == Idempotency::idempotent) continue;
-    if (facts.terms.idempotency == Idempotency::none) return DenialReason::notIdempotent;
+    if (earlier.out && !facts.terms.allowHedging)
+      return DenialReason::hedgingForbidden;
+    if (!earlier.mayHaveExecuted || facts.terms.idempotency == Idempotency::idempotent)
+      continue;
+    if (facts.terms.idempotency == Idempotency::none)
+      return DenialReason::notIdempotent;
     const bool sameZone =
         facts.terms.deduplicationScope != DeduplicationScope::zone || earlier.zone == facts.server.zone;
     const bool sameCell =
         facts.terms.deduplicationScope != DeduplicationScope::cell || earlier.cell == facts.server.cell;
-    if (!sameZone || !sameCell) return DenialReason::outsideDeduplicationScope;
+    if (!sameZone || !sameCell)
+      return DenialReason::outsideDeduplicationScope;
     if (facts.now - earlier.at > facts.terms.deduplicationWindow)
       return DenialReason::deduplicationWindowPassed;
   }
--- /dev/null
+++ b/src/balancer/outlier_detector.cpp
@@ -0,0 +1,131 @@
+#include "balancer/outlier_detector.hpp"
+
+#include <string>
+
+namespace hollyrun::balancer {
+namespace {
+
+constexpr double kFailureGain = 0.12;          // per outcome: five failures on end make one half
+constexpr double kEjectionFailureRate = 0.45;  // ejects,
+constexpr double kEjectionPeerFactor = 2.5;  // if it is also this multiple of the better quarter of the pool
+constexpr double kRecoveredFailureRate = 0.05;
+constexpr double kClassGain = 0.25;  // per outcome of the class at the endpoint: three on end make a half
+constexpr double kPeersGain = 0.02;  // per outcome of the class anywhere: what its peers do, over fifty
+constexpr double kMaxEjected = 0.5;  // of the pool, so that a trouble of all endpoints never empties it
+constexpr Duration kEjectionTime = std::chrono::seconds(1);  // doubled each time,
+constexpr int kMaxEjectionDoublings = 3;                     // up to so often
+constexpr double kSilenceFactor = 4;  // silent: nothing heard for this multiple of the expected time,
+constexpr Duration kMinSilence = std::chrono::milliseconds(150);  // and at least for this long
+constexpr Duration kFullRest = std::chrono::milliseconds(100);    // a few response times without load
+
+bool isFailure(Outcome outcome) {
+  return outcome == Outcome::timeout || outcome == Outcome::error || outcome == Outcome::connectFailed ||
+         outcome == Outcome::reset;
+}
+
+}  // namespace
+
+void OutlierDetector::recordResult(EndpointRecord& record, HostId host, RequestClass& requestClass,
+                                   Outcome outcome, Time now, RandomSource& random,
+                                   ActionList& actions) const {
+  EndpointHealth& health = record.health;
+  const bool failed = isFailure(outcome);
+  const bool rejected = outcome == Outcome::rejected;
+  recordReply(health, outcome, now, random);
+  health.outcomes += 1;
+  if (failed || rejected)
+    health.errors += 1;
+  if (!rejected)
+    health.failureRate += kFailureGain * ((failed ? 1.0 : 0.0) - health.failureRate);
+  if (outcome != Outcome::connectFailed)
+    recordClassResult(host, requestClass, failed || rejected);
+  if (health.state != HealthState::probation || rejected)
+    return;
+  if (failed) {
+    eject(record, "trial failed", now, random, actions);
+    return;
+  }
+  health.state = HealthState::healthy;
+  health.failureRate = 0;
+  if (actions.mayLog(now))
+    actions.log(now, "host returned " + record.endpoint.address);
+}
+
+void OutlierDetector::recordReply(EndpointHealth& health, Outcome outcome, Time now, RandomSource& random) {
+  if (outcome == Outcome::served || outcome == Outcome::rejected || outcome == Outcome::error)
+    health.lastHeardAt = now;
+  if (outcome == Outcome::served)
+    health.consecutiveRejections = 0;
+  if (outcome == Outcome::rejected && ++health.consecutiveRejections >= kMaxConsecutiveRejections)
+    health.restUntil = now + scaled(kFullRest, 0.5 + random.drawUnit());
+}
+
+void OutlierDetector::recordClassResult(HostId host, RequestClass& requestClass, bool lost) {
+  const double sample = lost ? 1 : 0;
+  const auto known = requestClass.endpointFailureRates.find(host);
+  if (known != requestClass.endpointFailureRates.end())
+    known->second += kClassGain * (sample - known->second);
+  else if (lost)
+    requestClass.endpointFailureRates.emplace(host, kClassGain);
+  requestClass.failureRate += kPeersGain * (sample - requestClass.failureRate);
+}
+
+void OutlierDetector::eject(EndpointRecord& record, const char* reason, Time now, RandomSource& random,
+                            ActionList& actions) {
+  EndpointHealth& health = record.health;
+  health.state = HealthState::ejected;
+  health.ejectedUntil = now + scaled(kEjectionTime * (1 << health.ejections), 0.75 + 0.5 * random.drawUnit());
+  health.ejections = std::min(health.ejections + 1, kMaxEjectionDoublings);
+  if (actions.mayLog(now))
+    actions.log(now, "host ejected " + record.endpoint.address + " (" + reason + ")");
+}
+
+void OutlierDetector::beginSweep(EndpointRegistry& endpoints, double gain, Time now) {
+  unhealthyCount_ = 0;
+  for (HostId host : endpoints.serving()) {
+    EndpointHealth& health = endpoints.record(host).health;
+    health.outcomes *= 1 - gain;
+    health.errors *= 1 - gain;
+    if (health.state == HealthState::ejected && now >= health.ejectedUntil)
+      health.state = HealthState::probation;
+    if (health.state != HealthState::healthy)
+      ++unhealthyCount_;
+    health.silent = false;
+  }
+}
+
+// A paused or lost endpoint would otherwise gather requests until they time out.
+void OutlierDetector::detectSilence(EndpointRegistry& endpoints, const RequestTable& requests,
+                                    double expectedServiceTime, Time now) const {
+  for (HostId host : endpoints.busy()) {
+    EndpointRecord& record = endpoints.record(host);
+    const double factor = kSilenceFactor * expectedServiceTime * std::max(1.0, record.serviceTime.relative);
+    const Duration limit = std::max(kMinSilence, scaled(std::chrono::seconds(1), factor));
+    const Attempt* oldest = requests.findInFlight(record.attempts.front(), host);
+    record.health.silent = oldest && now - std::max(record.health.lastHeardAt, oldest->sentAt) > limit;
+  }
+}
+
+// Endpoints are compared with their peers, so that a trouble of all endpoints ejects none.
+void OutlierDetector::ejectOutliers(EndpointRegistry& endpoints, Time now, RandomSource& random,
+                                    ActionList& actions) const {
+  const double peerRate =
+      endpoints.quantile([](const EndpointRecord& record) { return record.health.failureRate; }, 0.25, 0);
+  const double limit = std::max(kEjectionFailureRate, kEjectionPeerFactor * peerRate);
+  double unhealthy = unhealthyCount_;
+  for (HostId host : endpoints.serving()) {
+    EndpointRecord& record = endpoints.record(host);
+    EndpointHealth& health = record.health;
+    if (health.state != HealthState::healthy || unhealthy + 1 > kMaxEjected * endpoints.servingCount())
+      continue;
+    if (health.failureRate > limit) {
+      eject(record, "failing", now, random, actions);
+      ++unhealthy;
+    } else if (health.ejections > 0 && health.failureRate < kRecoveredFailureRate &&
+               now > health.ejectedUntil + 4 * kEjectionTime) {
+      health.ejections = 0;
+    }
+  }
+}
+
+}  // namespace hollyrun::balancer
--- a/src/balancer/settings.cpp
+++ b/src/balancer/settings.cpp
@@ -11,7 +11,8 @@
 
 // The texts name the keys of the configuration, which is what an operator can change.
 void require(bool good, const std::string& what) {
-  if (!good) throw std::invalid_argument("balancer settings: " + what);
+  if (!good)
+    throw std::invalid_argument("balancer settings: " + what);
 }
 
 }  // namespace
--- /dev/null
+++ b/src/balancer/slow_start.cpp
@@ -0,0 +1,70 @@
+#include "balancer/slow_start.hpp"
+
+#include "balancer/arrival_rate.hpp"
+
+namespace hollyrun::balancer {
+namespace {
+
+constexpr double kColdLoad = 0.45;  // load of a cold endpoint, as a part of the multiple that overloads it
+constexpr double kProvenDecay = 0.997;     // per sweep: proven rates fade over half a minute
+constexpr double kMinWindowSeconds = 0.1;  // of the overload window
+
+}  // namespace
+
+// All gateways together can overload a cold endpoint, so each stays within its own part: the cold fraction of
+// what warm endpoints of that type carry for it, in every window, rejected attempts counted. That may be less
+// than one request; a floor of one, times hundreds of gateways, would overload the endpoint.
+double SlowStart::refill(EndpointRecord& record, double fallbackRate, Time now) const {
+  SlowStartBudget& budget = record.slowStart;
+  const double window = std::max(toSeconds(settings_.overloadWindow), kMinWindowSeconds);
+  const double known = record.machineType->throughput.proven;
+  const double proven = known > 0 ? known : fallbackRate;
+  const double rate = proven * rampFraction(record, now) * kColdLoad * settings_.overloadMultiple;
+  budget.tokens =
+      std::min(budget.tokens + rate * toSeconds(now - budget.refilledAt), std::max(1.0, rate * window / 4));
+  budget.refilledAt = now;
+  return budget.tokens;
+}
+
+void SlowStart::trackColdEndpoints(const EndpointRegistry& endpoints, Time now) {
+  std::vector<double> starts;
+  for (HostId host : endpoints.serving()) {
+    const EndpointRecord& record = endpoints.record(host);
+    if (isCold(record, now))
+      starts.push_back(toSeconds(record.endpoint.upSince));
+  }
+  deficit_.assign(std::move(starts));
+}
+
+double SlowStart::warmCount(const EndpointRegistry& endpoints, Time now) {
+  const double missing = (1 - settings_.slowStartInitialFraction) *
+                         deficit_.at(toSeconds(now), toSeconds(settings_.slowStartDuration));
+  return endpoints.servingCount() - missing;
+}
+
+// When nearly all endpoints restart in a deployment, the last warm ones are overloaded, and their falling
+// rates would starve the cold ones that could help; hence the slow decay of the proven rate.
+void SlowStart::sweepThroughput(EndpointRegistry& endpoints, double gain, Time now) const {
+  for (auto& [name, machineType] : endpoints.machineTypes())
+    machineType.throughput.served = machineType.throughput.count = 0;
+  const std::vector<VirtualNode>& order = endpoints.subsetOrder();
+  for (std::size_t i = 0; i < order.size(); ++i) {
+    EndpointRecord& record = endpoints.record(order[i].host);
+    const bool inUse = i < endpoints.activeSize();
+    if (inUse && !isCold(record, now) && !record.health.isUnhealthy()) {
+      record.machineType->throughput.served += record.servedSinceSweep;
+      record.machineType->throughput.count += 1;
+    }
+    record.servedSinceSweep = 0;
+  }
+  for (auto& [name, machineType] : endpoints.machineTypes()) {
+    MachineTypeThroughput& throughput = machineType.throughput;
+    if (throughput.count > 0) {
+      const double perEndpoint = throughput.served / throughput.count / toSeconds(kSweepInterval);
+      throughput.rate += gain * (perEndpoint - throughput.rate);
+    }
+    throughput.proven = std::max(throughput.rate, throughput.proven * kProvenDecay);
+  }
+}
+
+}  // namespace hollyrun::balancer
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -1,11 +1,12 @@
 // What the module keeps so that a request costs the same whatever the number of tenants and hosts, against
 // the plain sums that it stands for.
-#include "balancer/state.hpp"
-
 #include <gtest/gtest.h>
 
 #include <random>
 
+#include "balancer/slow_start.hpp"
+#include "balancer/tenant_quota.hpp"
+
 namespace hollyrun::balancer::testing {
 namespace {
 
@@ -32,21 +33,21 @@
   Time at_;
 };
 
-TEST(TenantBucketsTest, GivesWhatBucketsFilledAtEveryRequestGive) {
+TEST(TenantQuotaTest, GivesWhatBucketsFilledAtEveryRequestGive) {
   std::mt19937_64 engine(5);
   std::vector<double> quotas;
   for (int i = 0; i < 40; ++i)
     quotas.push_back(0.3 + 0.77 * i);
   Time now = seconds(1000);
   EagerBuckets eager(quotas, now);
-  TenantBuckets lazy;
+  TenantQuota lazy;
   lazy.resize(quotas.size(), now);
   std::size_t within = 0, beyond = 0;
   for (int i = 0; i < 100000; ++i) {
     now += Duration(engine() % 3000000);
     const std::size_t tenant = engine() % quotas.size();
     const bool expected = eager.take(tenant, now);
-    ASSERT_EQ(lazy.take(static_cast<std::uint32_t>(tenant), quotas[tenant], now), expected)
+    ASSERT_EQ(lazy.tryAcquire(static_cast<std::uint32_t>(tenant), quotas[tenant], now), expected)
         << "request " << i;
     ++(expected ? within : beyond);
   }
@@ -54,37 +55,37 @@
   EXPECT_GT(beyond, 10000u);
 }
 
-TEST(TenantBucketsTest, SavesUpOneSecondsWorthAndStartsEmpty) {
-  TenantBuckets buckets;
+TEST(TenantQuotaTest, SavesUpOneSecondsWorthAndStartsEmpty) {
+  TenantQuota buckets;
   Time now = seconds(1000);
   buckets.resize(1, now);
-  EXPECT_FALSE(buckets.take(0, 10, now));
+  EXPECT_FALSE(buckets.tryAcquire(0, 10, now));
   now += seconds(3600);
   for (int i = 0; i < 10; ++i)
-    EXPECT_TRUE(buckets.take(0, 10, now)) << i;
-  EXPECT_FALSE(buckets.take(0, 10, now));
+    EXPECT_TRUE(buckets.tryAcquire(0, 10, now)) << i;
+  EXPECT_FALSE(buckets.tryAcquire(0, 10, now));
   now += milliseconds(100);
-  EXPECT_TRUE(buckets.take(0, 10, now));
+  EXPECT_TRUE(buckets.tryAcquire(0, 10, now));
   buckets.resize(2, now);
-  EXPECT_FALSE(buckets.take(1, 10, now)) << "a new tenant";
+  EXPECT_FALSE(buckets.tryAcquire(1, 10, now)) << "a new tenant";
 }
 
-TEST(ColdStartsTest, LacksWhatItsHostsLack) {
+TEST(RampDeficitTest, LacksWhatItsHostsLack) {
   std::mt19937_64 engine(6);
   constexpr double slowStartDuration = 23;
   double now = 5000;
   std::vector<double> starts;
   for (int i = 0; i < 500; ++i)
     starts.push_back(now - 40 * static_cast<double>(engine() % 1000) / 1000);
-  ColdStarts cold;
-  cold.assign(starts);
+  RampDeficit deficit;
+  deficit.assign(starts);
   for (int i = 0; i < 300; ++i, now += 0.1) {
     double expected = 0;
     for (double start : starts)
       expected += std::max(0.0, 1 - (now - start) / slowStartDuration);
-    ASSERT_NEAR(cold.lacking(now, slowStartDuration), expected, 1e-9) << "after " << i;
+    ASSERT_NEAR(deficit.at(now, slowStartDuration), expected, 1e-9) << "after " << i;
   }
-  EXPECT_EQ(cold.lacking(now, slowStartDuration), 0) << "all are warm";
+  EXPECT_EQ(deficit.at(now, slowStartDuration), 0) << "all are warm";
 }
 
 }  // namespace
