--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,50 +1,66 @@
-// Runs the decision module behind the line protocol: batches on standard input, replies on standard output.
+/// Runs the balancer behind the simulator's line protocol: batches on standard input, replies on standard
+/// output, reports of bad lines on standard error. Exit codes: 0 at the input's end; 1 if the input ends
+/// within a batch or a reply can't be written.
 #include <unistd.h>
 
 #include <cerrno>
 #include <iostream>
 #include <string>
+#include <string_view>
 #include <vector>
 
-#include "simulator_adapter/wire.hpp"
+#include "simulator_adapter/adapter.hpp"
 
 namespace {
 
+using hollyrun::simulator_adapter::Adapter;
+
+constexpr std::size_t kReadSize = 1 << 16;
+
 bool writeAll(const std::string& text) {
   std::size_t done = 0;
   while (done < text.size()) {
-    const ssize_t n = write(STDOUT_FILENO, text.data() + done, text.size() - done);
-    if (n < 0 && errno == EINTR)
+    const ssize_t written = write(STDOUT_FILENO, text.data() + done, text.size() - done);
+    if (written < 0 && errno == EINTR)
+      continue;
+    if (written <= 0)
+      return false;
+    done += static_cast<std::size_t>(written);
+  }
+  return true;
+}
+
+/// Feeds the whole lines at the front of `pending`, removes them and writes the replies; false if one can't
+/// be written.
+bool feedLines(Adapter& adapter, std::string& pending) {
+  std::string reply;
+  std::size_t start = 0;
+  for (std::size_t end; (end = pending.find('\n', start)) != std::string::npos; start = end + 1) {
+    if (!adapter.feed(std::string_view(pending).substr(start, end - start), reply))
       continue;
-    if (n <= 0)
+    if (!writeAll(reply))
       return false;
-    done += static_cast<std::size_t>(n);
+    reply.clear();
   }
+  pending.erase(0, start);
   return true;
 }
 
 }  // namespace
 
 int main() {
-  hollyrun::simulator_adapter::Adapter adapter(std::cerr);
-  std::vector<char> block(1 << 16);
-  std::string pending, reply;
+  Adapter adapter(std::cerr);
+  std::vector<char> block(kReadSize);
+  std::string pending;
   for (;;) {
-    const ssize_t n = read(STDIN_FILENO, block.data(), block.size());
-    if (n < 0 && errno == EINTR)
+    const ssize_t received = read(STDIN_FILENO, block.data(), block.size());
+    if (received < 0 && errno == EINTR)
       continue;
-    if (n <= 0)
+    if (received <= 0)
       break;
-    pending.append(block.data(), static_cast<std::size_t>(n));
-    std::size_t from = 0;
-    for (std::size_t end; (end = pending.find('\n', from)) != std::string::npos; from = end + 1) {
-      if (!adapter.feed(std::string_view(pending).substr(from, end - from), reply))
-        continue;
-      if (!writeAll(reply))
-        return 1;
-      reply.clear();
-    }
-    pending.erase(0, from);
+    pending.append(block.data(), static_cast<std::size_t>(received));
+    if (!feedLines(adapter, pending))
+      return 1;
   }
   if (!pending.empty() || adapter.insideBatch()) {
     std::cerr << "line " << adapter.lineNumber() + 1 << ": input ended within a batch\n";
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,9 +1,10 @@
-#include "simulator_adapter/wire.hpp"
-
 #include <gtest/gtest.h>
 
 #include <sstream>
 
+#include "simulator_adapter/adapter.hpp"
+#include "simulator_adapter/settings_reader.hpp"
+
 namespace hollyrun::simulator_adapter {
 
 using namespace balancer;
