--- a/tests/wire_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -21,9 +21,10 @@
     "rules.coldNs=9000000000 rules.coldShare=0.32 rules.fallMultiple=3.0 rules.fallNs=2000000000 "
     "stepNs=5000000 tenants= zone=north zones=north,south";
 
-struct Wire {
-  std::ostringstream complaints;
-  Adapter adapter{complaints};
+/// An adapter and what it reported on standard error.
+struct Session {
+  std::ostringstream errors;
+  Adapter adapter{errors};
   std::string feed(const std::string& text) {
     std::string reply;
     std::istringstream in(text);
@@ -37,55 +38,57 @@
       text += "ROW host=10.0.0." + std::to_string(i) +
               ":80 locality=north machine=std block=0 phase=IN capacityHint=1\n";
     std::istringstream in(names);
-    for (std::string n; in >> n;)
-      text += "ENLIST i=" + n + kSettings + "\nMEMBERSHIP i=" + n + " generation=1 buffer=0 kind=restored\n";
+    for (std::string name; in >> name;)
+      text += "ENLIST i=" + name + kSettings + "\nMEMBERSHIP i=" + name +
+              " generation=1 buffer=0 kind=restored\n";
     return feed(text + "EOF_BATCH\n");
   }
 };
 
 std::size_t count(const std::string& text, const std::string& what) {
-  std::size_t n = 0;
+  std::size_t occurrences = 0;
   for (std::size_t at = 0; (at = text.find(what, at)) != std::string::npos; at += what.size())
-    ++n;
-  return n;
+    ++occurrences;
+  return occurrences;
 }
 
-std::string req(const std::string& gateway, const std::string& ref, const std::string& more = "") {
+std::string requestLine(const std::string& gateway, const std::string& ref, const std::string& more = "") {
   return "REQ i=" + gateway + " ref=" + ref + " leftNs=1000000000 tierClass=plan" + more + "\n";
 }
 
-TEST(Wire, EmptyBatch) {
-  Wire w;
-  EXPECT_EQ(w.feed("FRAME tNs=8412250000\nEOF_BATCH\n"), "OK\n");
+TEST(SimulatorAdapter, EmptyBatchIsAnsweredWithOk) {
+  Session session;
+  EXPECT_EQ(session.feed("FRAME tNs=8412250000\nEOF_BATCH\n"), "OK\n");
 }
 
-TEST(Wire, TurnsAndPlacementAreRead) {
-  const Settings s = readSettings(std::string(kSettings) +
-                                  " grades.0.inTurn=true grades.0.staysIn=north,south grades.1.boundTo= "
-                                  "rules.keyRestNs=100000000");
-  EXPECT_TRUE(s.classes[0].orderedPerKey);
-  EXPECT_FALSE(s.classes[1].orderedPerKey);
-  EXPECT_EQ(s.classes[0].zones, (std::vector<std::string>{"north", "south"}));
-  EXPECT_FALSE(s.classes[0].machineTypes);  // absent: no bound
-  ASSERT_TRUE(s.classes[1].machineTypes);   // empty: nothing is allowed
-  EXPECT_TRUE(s.classes[1].machineTypes->empty());
-  EXPECT_EQ(s.keyCooldown, std::chrono::milliseconds(100));
+TEST(SettingsReader, ReadsOrderingPerKeyAndPlacement) {
+  const Settings settings =
+      readSettings(std::string(kSettings) +
+                   " grades.0.inTurn=true grades.0.staysIn=north,south grades.1.boundTo= "
+                   "rules.keyRestNs=100000000");
+  EXPECT_TRUE(settings.classes[0].orderedPerKey);
+  EXPECT_FALSE(settings.classes[1].orderedPerKey);
+  EXPECT_EQ(settings.classes[0].zones, (std::vector<std::string>{"north", "south"}));
+  EXPECT_FALSE(settings.classes[0].machineTypes);  // absent: no bound
+  ASSERT_TRUE(settings.classes[1].machineTypes);   // empty: nothing is allowed
+  EXPECT_TRUE(settings.classes[1].machineTypes->empty());
+  EXPECT_EQ(settings.keyCooldown, std::chrono::milliseconds(100));
 }
 
-TEST(Wire, SettingsAreRead) {
-  const Settings s = readSettings(kSettings);
-  ASSERT_EQ(s.classes.size(), 2u);
-  EXPECT_EQ(s.classes[0].name, "plan");
-  EXPECT_EQ(s.classes[0].priorityWeight, 12);
-  EXPECT_EQ(s.classes[1].idempotency, Idempotency::keyed);
-  EXPECT_EQ(s.classes[1].deduplicationScope, DeduplicationScope::zone);
-  EXPECT_EQ(s.classes[1].deduplicationWindow, std::chrono::seconds(2));
-  EXPECT_TRUE(s.pollDiscovery);
-  EXPECT_EQ(s.maxAttempts, 6u);
-  EXPECT_DOUBLE_EQ(s.slowStartInitialFraction, 0.32);
-  EXPECT_EQ(s.zone, "north");
-  EXPECT_FALSE(s.allowHedging);
-  EXPECT_FALSE(s.loadAdjustedWeights);
+TEST(SettingsReader, ReadsSettingsAndRejectsMalformedOnes) {
+  const Settings settings = readSettings(kSettings);
+  ASSERT_EQ(settings.classes.size(), 2u);
+  EXPECT_EQ(settings.classes[0].name, "plan");
+  EXPECT_EQ(settings.classes[0].priorityWeight, 12);
+  EXPECT_EQ(settings.classes[1].idempotency, Idempotency::keyed);
+  EXPECT_EQ(settings.classes[1].deduplicationScope, DeduplicationScope::zone);
+  EXPECT_EQ(settings.classes[1].deduplicationWindow, std::chrono::seconds(2));
+  EXPECT_TRUE(settings.pollDiscovery);
+  EXPECT_EQ(settings.maxAttempts, 6u);
+  EXPECT_DOUBLE_EQ(settings.slowStartInitialFraction, 0.32);
+  EXPECT_EQ(settings.zone, "north");
+  EXPECT_FALSE(settings.allowHedging);
+  EXPECT_FALSE(settings.loadAdjustedWeights);
   const Settings large = readSettings(std::string(kSettings) +
                                       " myNumber=17 groupSize=300 weights=live ceilings.parallelTries=true");
   EXPECT_EQ(large.replicaIndex, 17u);
@@ -95,19 +98,20 @@
   EXPECT_THROW(readSettings("groupSize=many"), std::invalid_argument);
 }
 
-// A gateway of a large bank that had to go beyond its own hosts gives those connections back.
-TEST(Wire, ConnectionsBeyondTheOwnHostsAreClosed) {
-  Wire w;
+// A gateway of a large fleet that had to send outside its subset of endpoints closes those connections
+// afterwards.
+TEST(SimulatorAdapter, ConnectionsOutsideTheSubsetAreClosed) {
+  Session session;
   std::string text = "FRAME tNs=1000000000\nLEDGER buffer=0 rowsIn=20\n";
   for (int i = 0; i < 20; ++i)
     text += "ROW host=10.0.0." + std::to_string(i) + ":80 locality=north machine=std block=0 phase=IN\n";
   text += "ENLIST i=gateway-1" + std::string(kSettings) + " myNumber=1 groupSize=20\n" +
           "MEMBERSHIP i=gateway-1 generation=1 buffer=0 kind=restored\nEOF_BATCH\n";
-  w.feed(text);
+  session.feed(text);
   text = "FRAME tNs=1010000000\n";
   for (int i = 0; i < 14; ++i)
     text += "REQ i=gateway-1 ref=r" + std::to_string(i) + " leftNs=1000000000 tierClass=plan\n";
-  std::istringstream sends(w.feed(text + "EOF_BATCH\n"));
+  std::istringstream sends(session.feed(text + "EOF_BATCH\n"));
   text = "FRAME tNs=1050000000\n";
   int sent = 0;
   for (std::string line; std::getline(sends, line);) {
@@ -119,34 +123,35 @@
     ++sent;
   }
   ASSERT_GT(sent, 10);
-  w.feed(text + "EOF_BATCH\n");
+  session.feed(text + "EOF_BATCH\n");
   std::string later;
-  for (int s = 2; s < 9; ++s)
-    later +=
-        w.feed("FRAME tNs=" + std::to_string(s) + "000000000\nTIMEOUT_FIRED i=gateway-1 ref=w\nEOF_BATCH\n");
+  for (int second = 2; second < 9; ++second)
+    later += session.feed("FRAME tNs=" + std::to_string(second) +
+                          "000000000\nTIMEOUT_FIRED i=gateway-1 ref=w\nEOF_BATCH\n");
   EXPECT_NE(later.find("CLOSE i=gateway-1 host=10.0.0."), std::string::npos);
 }
 
-TEST(Wire, ARequestRoundTrip) {
-  Wire w;
-  EXPECT_EQ(count(w.start("gateway-0"), "SUBSCRIBE i=gateway-0 active=1"), 1u);
-  std::string reply = w.feed("FRAME tNs=1005000000\n" +
-                             req("gateway-0", "a-1", " future=5 routeKey=91f03b7c55d20a64") + "EOF_BATCH\n");
+TEST(SimulatorAdapter, RejectedAttemptIsRetriedOnTheOtherEndpoint) {
+  Session session;
+  EXPECT_EQ(count(session.start("gateway-0"), "SUBSCRIBE i=gateway-0 active=1"), 1u);
+  std::string reply =
+      session.feed("FRAME tNs=1005000000\n" +
+                   requestLine("gateway-0", "a-1", " future=5 routeKey=91f03b7c55d20a64") + "EOF_BATCH\n");
   ASSERT_EQ(count(reply, "FORWARD i=gateway-0 ref=a-1 host=10.0.0."), 1u);
   const std::string host = reply.substr(reply.find("host=") + 5, 11);
-  reply = w.feed("FRAME tNs=1105000000\nSETTLED i=gateway-0 ref=a-1 go=0 host=" + host +
-                 " disposition=30 timeTakenNs=900 terminal=0 metrics=3,14.5\nEOF_BATCH\n");
+  reply = session.feed("FRAME tNs=1105000000\nSETTLED i=gateway-0 ref=a-1 go=0 host=" + host +
+                       " disposition=30 timeTakenNs=900 terminal=0 metrics=3,14.5\nEOF_BATCH\n");
   ASSERT_EQ(count(reply, "FORWARD i=gateway-0 ref=a-1"), 1u);
   EXPECT_EQ(count(reply, host), 0u);
-  reply = w.feed(
+  reply = session.feed(
       "FRAME tNs=1205000000\nSETTLED i=gateway-0 ref=a-1 go=1 host=x disposition=10 timeTakenNs=9 "
       "terminal=1\n"
       "LEFT i=gateway-0 ref=a-1\nEOF_BATCH\n");
   EXPECT_EQ(count(reply, "a-1"), 0u);
-  EXPECT_EQ(w.complaints.str(), "");
+  EXPECT_EQ(session.errors.str(), "");
 }
 
-TEST(Wire, BadLinesGetAMessageAndTheBatchItsReply) {
+TEST(SimulatorAdapter, BadLinesAreReportedAndTheBatchIsAnswered) {
   const char* bad[] = {"NOISE x=1",
                        "REQ ref=q leftNs=5 tierClass=plan",
                        "REQ i=gateway-9 ref=q leftNs=5 tierClass=plan",
@@ -159,67 +164,67 @@
                        "LEFT i=gateway-0",
                        "garbage"};
   for (const char* line : bad) {
-    Wire w;
-    w.start("gateway-0");
-    const std::string reply = w.feed(std::string("FRAME tNs=1005000000\n") + line + "\n" +
-                                     req("gateway-0", "ok-1") + "EOF_BATCH\n");
+    Session session;
+    session.start("gateway-0");
+    const std::string reply = session.feed(std::string("FRAME tNs=1005000000\n") + line + "\n" +
+                                           requestLine("gateway-0", "ok-1") + "EOF_BATCH\n");
     EXPECT_EQ(count(reply, "ref=ok-1"), 1u) << line;
     EXPECT_EQ(count(reply, "OK\n"), 1u) << line;
-    EXPECT_EQ(count(w.complaints.str(), "line 9: "), 1u) << line << w.complaints.str();
+    EXPECT_EQ(count(session.errors.str(), "line 9: "), 1u) << line << session.errors.str();
   }
 }
 
-TEST(Wire, AHalfReadableRequestIsAnsweredWithAnError) {
+TEST(SimulatorAdapter, MalformedRequestIsAnsweredWithAnError) {
   for (const char* rest : {" leftNs=abc tierClass=plan", " tierClass=plan", " leftNs=5",
                            " leftNs=5 tierClass=plan repeat=maybe"}) {
-    Wire w;
-    w.start("gateway-0");
+    Session session;
+    session.start("gateway-0");
     const std::string reply =
-        w.feed(std::string("FRAME tNs=1005000000\nREQ i=gateway-0 ref=b-1") + rest + "\nEOF_BATCH\n");
+        session.feed(std::string("FRAME tNs=1005000000\nREQ i=gateway-0 ref=b-1") + rest + "\nEOF_BATCH\n");
     EXPECT_EQ(count(reply, "RESPOND_ERROR i=gateway-0 ref=b-1\n"), 1u) << rest;
-    EXPECT_NE(w.complaints.str(), "");
+    EXPECT_NE(session.errors.str(), "");
   }
 }
 
-TEST(Wire, RetireAndEnlistInOneBatch) {
-  Wire w;
-  w.start("gateway-0 gateway-1");
+TEST(SimulatorAdapter, RetiredGatewaysActionsAreDropped) {
+  Session session;
+  session.start("gateway-0 gateway-1");
   const std::string reply =
-      w.feed("FRAME tNs=1005000000\n" + req("gateway-0", "old-1") + req("gateway-1", "keep-1") +
-             "RETIRE i=gateway-0\nENLIST i=gateway-0" + kSettings +
-             "\nMEMBERSHIP i=gateway-0 generation=1 buffer=0 kind=restored\n" + req("gateway-0", "new-1") +
-             "EOF_BATCH\n");
-  EXPECT_EQ(count(reply, "old-1"), 0u) << "the life that asked for it is over";
+      session.feed("FRAME tNs=1005000000\n" + requestLine("gateway-0", "old-1") +
+                   requestLine("gateway-1", "keep-1") + "RETIRE i=gateway-0\nENLIST i=gateway-0" + kSettings +
+                   "\nMEMBERSHIP i=gateway-0 generation=1 buffer=0 kind=restored\n" +
+                   requestLine("gateway-0", "new-1") + "EOF_BATCH\n");
+  EXPECT_EQ(count(reply, "old-1"), 0u) << "the gateway that was sent the request is retired";
   EXPECT_EQ(count(reply, "ref=keep-1"), 1u);
   EXPECT_EQ(count(reply, "ref=new-1"), 1u);
 }
 
-TEST(Wire, ListNumbersAreResolvedInOrder) {
-  Wire w;
-  w.start("gateway-0", 1);
-  const std::string reply = w.feed(
+TEST(SimulatorAdapter, EndpointListsAreResolvedInLineOrder) {
+  Session session;
+  session.start("gateway-0", 1);
+  const std::string reply = session.feed(
       "FRAME tNs=1005000000\nLEDGER buffer=0 rowsIn=1\nROW host=10.9.9.9:80 locality=north machine=std "
       "block=0 phase=IN\n"
       "MEMBERSHIP i=gateway-0 generation=2 buffer=0 kind=replace\nLEDGER buffer=0 rowsIn=1\n"
       "ROW host=10.8.8.8:80 locality=north machine=std block=0 phase=IN\n" +
-      req("gateway-0", "c-1") + "EOF_BATCH\n");
+      requestLine("gateway-0", "c-1") + "EOF_BATCH\n");
   EXPECT_EQ(count(reply, "ref=c-1 host=10.9.9.9:80"), 1u);
 }
 
-TEST(Wire, OneProcessActsLikeSeveral) {
+TEST(SimulatorAdapter, GatewaysOfOneProcessActAsInSeparateOnes) {
   const auto events = [](const std::string& gateway) {
     std::string text;
     for (int i = 0; i < 60; ++i)
-      text += req(gateway, gateway + "-r" + std::to_string(i));
+      text += requestLine(gateway, gateway + "-r" + std::to_string(i));
     return text;
   };
-  Wire both;
+  Session both;
   both.start("gateway-0 gateway-1");
   const std::string together =
       both.feed("FRAME tNs=1005000000\n" + events("gateway-0") + events("gateway-1") + "EOF_BATCH\n");
   std::string apart;
   for (const char* name : {"gateway-0", "gateway-1"}) {
-    Wire one;
+    Session one;
     one.start(name);
     const std::string reply = one.feed("FRAME tNs=1005000000\n" + events(name) + "EOF_BATCH\n");
     apart += reply.substr(0, reply.size() - 3);
@@ -228,13 +233,13 @@
   EXPECT_GT(count(together, "FORWARD"), 10u);
 }
 
-TEST(Wire, LongBatch) {
-  Wire w;
-  w.start("gateway-0", 16);
+TEST(SimulatorAdapter, EveryRequestOfALongBatchIsAnswered) {
+  Session session;
+  session.start("gateway-0", 16);
   std::string text = "FRAME tNs=1005000000\n";
   for (int i = 0; i < 5000; ++i)
-    text += req("gateway-0", "r" + std::to_string(i));
-  const std::string reply = w.feed(text + "EOF_BATCH\n");
+    text += requestLine("gateway-0", "r" + std::to_string(i));
+  const std::string reply = session.feed(text + "EOF_BATCH\n");
   EXPECT_EQ(count(reply, "FORWARD") + count(reply, "TURN_AWAY"), 5000u);
 }
 
