--- /dev/null
+++ b/src/lab/commands/members_command.cpp
@@ -0,0 +1,119 @@
+#include <spdlog/fmt/fmt.h>
+
+#include <chrono>
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "lab/commands/commands.hpp"
+#include "lab/commands/exit_codes.hpp"
+#include "lab/simulation/explore.hpp"
+#include "lab/simulation/member_faults.hpp"
+#include "lab/simulation/members.hpp"
+
+namespace hollyrun::lab {
+namespace {
+
+/// Of the explored states, every so many are played on until all members agree.
+constexpr std::uint64_t kHealEvery = 50;
+
+/// `members`: the membership protocol in virtual time, as measurements, under faults, or explored
+/// exhaustively.
+class MembersCommand final : public Command {
+ public:
+  explicit MembersCommand(CLI::App& app)
+      : Command(app, "members", "the fleet's membership in virtual time: a table of times and cost") {
+    addMeasurementOptions();
+    addFaultOptions();
+    addExplorationOptions();
+  }
+
+  int run() override {
+    if (exploredSteps_ > 0)
+      return explore();
+    if (faults_.empty())
+      measure();
+    else
+      measureFaults();
+    return kExitSuccess;
+  }
+
+ private:
+  void addMeasurementOptions() {
+    CLI::App& options = subcommand();
+    options.add_option("--members", memberCounts_, "numbers of members")->check(CLI::Range(2, 1000));
+    options.add_option("--loss", lossFractions_, "shares of datagrams that get lost")
+        ->check(CLI::Range(0.0, 0.9));
+    options.add_option("--kills", kills_, "members killed and started again for each row")
+        ->capture_default_str();
+    options.add_option("--seed", seed_, "of all that is drawn")->capture_default_str();
+    options.add_flag("--trace", trace_, "a hash of all that is sent and raised, to compare two builds");
+  }
+
+  void addFaultOptions() {
+    subcommand()
+        .add_option("--fault", faults_, "instead: zone, cut or restarts, what it costs until views agree")
+        ->check(CLI::IsMember({"zone", "cut", "restarts"}));
+    subcommand()
+        .add_option("--apart", partitionPeriods_, "with cut: its length in periods")
+        ->capture_default_str();
+  }
+
+  void addExplorationOptions() {
+    subcommand()
+        .add_option("--explore", exploredSteps_,
+                    "instead: three members through every schedule of so many steps")
+        ->check(CLI::Range(1, 12));
+    subcommand()
+        .add_option("--crashes", exploredCrashes_, "with it: the most on a way")
+        ->capture_default_str();
+  }
+
+  int explore() const {
+    const Explored explored = exploreMembers(exploredSteps_, exploredCrashes_, kHealEvery);
+    fmt::print(
+        "three members, {} steps deep, {} crashes: {} states, {} steps, {} of the states played on until all "
+        "agreed\n",
+        exploredSteps_, exploredCrashes_, explored.states, explored.steps, explored.healed);
+    for (const std::string& violation : explored.broken)
+      fmt::print("{}\n", violation);
+    return explored.broken.empty() ? kExitSuccess : kExitRuleBroken;
+  }
+
+  void measureFaults() const {
+    std::vector<MemberFaultRow> rows;
+    for (const std::size_t members : memberCounts_)
+      for (const std::string& fault : faults_) {
+        const std::vector<MemberFaultRow> phases = measureMemberFault(
+            {memberFaultNamed(fault).value(), members, std::chrono::seconds(partitionPeriods_), seed_});
+        rows.insert(rows.end(), phases.begin(), phases.end());
+      }
+    fmt::print("{}", textOf(rows));
+  }
+
+  void measure() const {
+    std::vector<MembersRow> rows;
+    for (const std::size_t members : memberCounts_)
+      for (const double loss : lossFractions_)
+        rows.push_back(measureMembers({members, loss, kills_, seed_, trace_}));
+    fmt::print("{}", textOf(rows));
+  }
+
+  std::vector<std::size_t> memberCounts_{3, 30, 300};
+  std::vector<double> lossFractions_{0, 0.05, 0.3};
+  std::size_t kills_ = 20;
+  std::uint64_t seed_ = 1;
+  bool trace_ = false;
+  std::vector<std::string> faults_;
+  int partitionPeriods_ = 300;
+  unsigned exploredSteps_ = 0;  // 0: nothing is explored
+  unsigned exploredCrashes_ = 1;
+};
+
+}  // namespace
+
+std::unique_ptr<Command> addMembersCommand(CLI::App& app) {
+  return std::make_unique<MembersCommand>(app);
+}
+
+}  // namespace hollyrun::lab
--- a/src/lab/rig/scale_command.cpp
+++ b/src/lab/commands/scale_command.cpp
@@ -1,8 +1,5 @@
-#include "lab/rig/scale_command.hpp"
-
 #include <spdlog/fmt/fmt.h>
 #include <spdlog/spdlog.h>
-#include <unistd.h>
 
 #include <algorithm>
 #include <csignal>
@@ -10,16 +7,20 @@
 #include <filesystem>
 #include <map>
 #include <stdexcept>
+#include <string>
+#include <utility>
+#include <vector>
 
+#include "lab/commands/commands.hpp"
+#include "lab/commands/exit_codes.hpp"
 #include "lab/report/store.hpp"
 #include "lab/rig/scale.hpp"
+#include "lab/rig/scale_plan.hpp"
 #include "lab/rig/scale_rig.hpp"
 
 namespace hollyrun::lab {
 namespace {
 
-constexpr int kBroken = 1, kVoid = 3, kInterrupted = 130;
-
 const std::map<Dimension, const char*>& helpOfSizes() {
   static const std::map<Dimension, const char*> all{
       {Dimension::gateways, "real gateways, processes of their own"},
@@ -62,90 +63,99 @@
   return all;
 }
 
-}  // namespace
-
-ScaleCommand::ScaleCommand(CLI::App& app) {
-  addScale(app);
-  addHollow(app);
+/// `scale`: what a gateway costs by the size of its fleet, on processes. It starts the hollow commands.
+class ScaleCommand final : public Command {
+ public:
+  ScaleCommand(CLI::App& app, std::string commandLine);
+  int run() override;
+
+ private:
+  void addLoadOptions();
+  void addFleetOptions();
+  void addResultOptions();
+  void addSizes();
+  void readSizes();
+  int play();
+  int showKept() const;
+
+  std::string commandLine_;
+  ScalePlan plan_;
+  std::string scenario_;
+  std::string db_;
+  std::string label_ = "scale";
+  std::vector<std::string> set_;
+  std::vector<std::string> bounds_;
+  std::vector<std::vector<double>> sizes_;  // by dimension; one of them may have several
+  bool kept_ = false;
+};
+
+ScaleCommand::ScaleCommand(CLI::App& app, std::string commandLine)
+    : Command(app, "scale", "what a gateway costs by the size of its fleet, on processes"),
+      commandLine_(std::move(commandLine)) {
+  subcommand().add_option("scenario", scenario_, "scenario (TOML): classes, keys and zones of the load");
+  subcommand().add_option("--set", set_, "KEY=VALUE over the file's")->allow_extra_args(false);
+  addSizes();
+  addLoadOptions();
+  addFleetOptions();
+  addResultOptions();
 }
 
-void ScaleCommand::addScale(CLI::App& app) {
-  scale_ = app.add_subcommand("scale", "what a gateway costs by the size of its fleet, on processes");
-  scale_->add_option("scenario", scenario_, "scenario (TOML): classes, keys and zones of the load");
-  scale_->add_option("--set", set_, "KEY=VALUE over the file's")->allow_extra_args(false);
-  addSizes(*scale_);
+void ScaleCommand::addLoadOptions() {
+  CLI::App& options = subcommand();
   plan_.program = "build/hollyrun";
-  scale_->add_option("--program", plan_.program, "the built gateway")->capture_default_str();
-  scale_->add_option("--rounds", plan_.rounds, "of all steps")->capture_default_str();
-  scale_->add_option("--idle", plan_.idleS, "seconds without requests")->capture_default_str();
-  scale_->add_option("--for", plan_.loadS, "seconds of each load")->capture_default_str();
-  scale_->add_option("--warm", plan_.warmS, "seconds of a load before it")->capture_default_str();
-  scale_->add_option("--answer-ms", plan_.answerMs, "until a hollow server answers")->capture_default_str();
-  scale_->add_option("--hangups", plan_.hangups, "SIGHUPs a step")->capture_default_str();
-  scale_->add_option("--list-changes", plan_.listChanges, "followed to all hollow gateways")
+  options.add_option("--program", plan_.program, "the built gateway")->capture_default_str();
+  options.add_option("--rounds", plan_.rounds, "of all steps")->capture_default_str();
+  options.add_option("--idle", plan_.idleS, "seconds without requests")->capture_default_str();
+  options.add_option("--for", plan_.loadS, "seconds of each load")->capture_default_str();
+  options.add_option("--warm", plan_.warmS, "seconds of a load before it")->capture_default_str();
+  options.add_option("--answer-ms", plan_.answerMs, "until a hollow server answers")->capture_default_str();
+  options.add_option("--hangups", plan_.hangups, "SIGHUPs a step")->capture_default_str();
+}
+
+void ScaleCommand::addFleetOptions() {
+  CLI::App& options = subcommand();
+  options.add_option("--list-changes", plan_.listChanges, "followed to all hollow gateways")
       ->capture_default_str();
-  scale_->add_option("--outage", plan_.outageS, "seconds of discovery before its watches begin anew; 0: none")
+  options
+      .add_option("--outage", plan_.outageS, "seconds of discovery before its watches begin anew; 0: none")
       ->capture_default_str();
-  scale_->add_option("--configured", plan_.configured, "fleet.gateways of the settings")
+  options.add_option("--configured", plan_.configured, "fleet.gateways of the settings")
       ->capture_default_str();
-  scale_->add_option("--period", plan_.membershipPeriodMs, "of membership, ms; 0: no membership")
+  options.add_option("--period", plan_.membershipPeriodMs, "of membership, ms; 0: no membership")
       ->capture_default_str();
-  scale_->add_option("--join", plan_.joinMostS, "seconds until all members have to see all")
+  options.add_option("--join", plan_.joinMostS, "seconds until all members have to see all")
       ->capture_default_str();
-  scale_->add_option("--seed", plan_.seed, "of all that is drawn")->capture_default_str();
-  scale_->add_option("--db", db_, "SQLite file that keeps the steps");
-  scale_->add_option("--label", label_, "name of this run there")->capture_default_str();
-  scale_->add_flag("--kept", kept_, "play nothing, print the tables of the kept runs");
-  scale_->add_option("--at-most", bounds_, "FIGURE=FACTOR: from the first size to the last")
+}
+
+void ScaleCommand::addResultOptions() {
+  CLI::App& options = subcommand();
+  options.add_option("--seed", plan_.seed, "of all that is drawn")->capture_default_str();
+  options.add_option("--db", db_, "SQLite file that keeps the steps");
+  options.add_option("--label", label_, "name of this run there")->capture_default_str();
+  options.add_flag("--kept", kept_, "play nothing, print the tables of the kept runs");
+  options.add_option("--at-most", bounds_, "FIGURE=FACTOR: from the first size to the last")
       ->allow_extra_args(false);
 }
 
-void ScaleCommand::addSizes(CLI::App& scale) {
+void ScaleCommand::addSizes() {
   sizes_.resize(std::size(kDimensions));
   for (std::size_t i = 0; i < sizes_.size(); ++i) {
     const Dimension dimension = kDimensions[i];
     sizes_[i] = {plan_.size.of(dimension)};
-    scale.add_option(std::string("--") + nameOf(dimension), sizes_[i], helpOfSizes().at(dimension))
+    subcommand()
+        .add_option(std::string("--") + nameOf(dimension), sizes_[i], helpOfSizes().at(dimension))
         ->delimiter(',')
         ->capture_default_str();
   }
 }
 
-void ScaleCommand::addHollow(CLI::App& app) {
-  servers_ = app.add_subcommand("hollow-servers", "started by `scale`: servers that do no work");
-  servers_->add_option("--first-address", serverPlan_.firstAddress)->required();
-  servers_->add_option("--count", serverPlan_.count)->required();
-  servers_->add_option("--answer-ms", serverPlan_.answerMs)->required();
-  gateways_ = app.add_subcommand("hollow-gateways", "started by `scale`: gateways without clients");
-  gateways_->add_option("--first", gatewayPlan_.first)->required();
-  gateways_->add_option("--count", gatewayPlan_.count)->required();
-  gateways_->add_option("--config", gatewayPlan_.config)->required();
-  gateways_->add_option("--discovery", gatewayPlan_.discovery)->required();
-  gateways_->add_option("--seeds", gatewayPlan_.seeds);
-}
-
-int ScaleCommand::run(int argc, char** argv) {
+int ScaleCommand::run() {
   std::signal(SIGPIPE, SIG_IGN);  // a peer that left shows as an error of the write
-  if (servers_->parsed())
-    return runHollowServers(serverPlan_);
-  if (gateways_->parsed())
-    return runHollowGateways(gatewayPlan_);
-  if (kept_)
-    return showKept();
-  std::string command = "hollyrun-lab";
-  for (int i = 1; i < argc; ++i)
-    command += std::string(" ") + argv[i];
-  return play(command);
+  return kept_ ? showKept() : play();
 }
 
-int ScaleCommand::play(const std::string& command) {
-  if (scenario_.empty())
-    throw std::invalid_argument("scale: a scenario is required");
-  plan_.scenario = readScenario(scenario_, set_);
-  plan_.lab = std::filesystem::read_symlink("/proc/self/exe").string();
-  std::vector<ShapeBound> bounds;
-  for (const std::string& text : bounds_)
-    bounds.push_back(parseShapeBound(text));
+/// Of the dimensions, the one with several sizes is the one that is varied.
+void ScaleCommand::readSizes() {
   std::size_t stepped = 0;
   plan_.values = {plan_.size.of(plan_.dimension)};
   for (std::size_t i = 0; i < sizes_.size(); ++i) {
@@ -159,25 +169,36 @@
     plan_.dimension = kDimensions[i];
     plan_.values = sizes_[i];
   }
+}
+
+int ScaleCommand::play() {
+  if (scenario_.empty())
+    throw std::invalid_argument("scale: a scenario is required");
+  plan_.scenario = readScenario(scenario_, set_);
+  plan_.lab = std::filesystem::read_symlink("/proc/self/exe").string();
+  std::vector<ShapeBound> bounds;
+  for (const std::string& text : bounds_)
+    bounds.push_back(parseShapeBound(text));
+  readSizes();
   ScaleRun run;
   run.label = label_;
   run.dimension = nameOf(plan_.dimension);
-  run.command = command;
+  run.command = commandLine_;
   try {
     run.steps = playScale(plan_, [&](const StepResult& step) {
                   spdlog::info("{}", lineOf(run.dimension.c_str(), step));
                   keepStep(db_, run, step);
                 }).steps;
   } catch (const ScaleInterrupted&) {
-    return kInterrupted;
+    return kExitInterrupted;
   }
   fmt::print("{}", tableOf(run));
   if (hasVoidStep(run))
-    return kVoid;
+    return kExitVoid;
   const std::vector<std::string> faults = shapeFaults(run, bounds);
   for (const std::string& fault : faults)
     fmt::print("{}\n", fault);
-  return faults.empty() ? 0 : kBroken;
+  return faults.empty() ? kExitSuccess : kExitRuleBroken;
 }
 
 int ScaleCommand::showKept() const {
@@ -185,7 +206,13 @@
     throw std::invalid_argument("scale --kept needs --db");
   for (const ScaleRun& run : byCommand(Store(db_).scaleRuns(label_)))
     fmt::print("{}: {}\n\n{}\n", run.label, run.command, tableOf(run));
-  return 0;
+  return kExitSuccess;
+}
+
+}  // namespace
+
+std::unique_ptr<Command> addScaleCommand(CLI::App& app, const std::string& commandLine) {
+  return std::make_unique<ScaleCommand>(app, commandLine);
 }
 
 }  // namespace hollyrun::lab
--- /dev/null
+++ b/src/lab/commands/serve_command.cpp
@@ -0,0 +1,87 @@
+#include <spdlog/fmt/fmt.h>
+#include <spdlog/spdlog.h>
+
+#include <boost/asio/signal_set.hpp>
+#include <chrono>
+#include <csignal>
+#include <cstdio>
+#include <string>
+
+#include "lab/commands/commands.hpp"
+#include "lab/commands/exit_codes.hpp"
+#include "lab/commands/periodic_task.hpp"
+#include "lab/commands/process_options.hpp"
+#include "lab/commands/text_file.hpp"
+#include "lab/rig/fleet.hpp"
+#include "lab/rig/platform.hpp"
+
+namespace hollyrun::lab {
+namespace {
+
+constexpr std::chrono::seconds kStateLogInterval{5};
+
+/// `serve`: the emulated platform, until it is interrupted or for a given time.
+class ServeCommand final : public Command {
+ public:
+  explicit ServeCommand(CLI::App& app)
+      : Command(app, "serve", "the emulated platform on loopback, in real time") {
+    emulation_.addTo(subcommand());
+    subcommand().add_option("--write", configFile_, "write a gateway's configuration to this file");
+    subcommand().add_option("--for", durationS_, "seconds; 0: until it is interrupted");
+  }
+
+  int run() override {
+    const Scenario scenario = emulation_.read();
+    asio::io_context io(1);
+    Platform platform(io, scenario, emulation_.seed, nullptr);
+    const std::string discovery = textOf(platform.addAgent());
+    const HeldPort listen(io);
+    const HeldPort management(io);
+    fmt::print("discovery   {}\n{} record servers: {}\n", discovery, platform.servers(),
+               platform.stateLine());
+    if (!configFile_.empty())
+      writeConfiguration(scenario, textOf(listen.endpoint()), discovery, textOf(management.endpoint()));
+    std::fflush(stdout);
+    runUntilStopped(io, platform);
+    return kExitSuccess;
+  }
+
+ private:
+  /// Writes the configuration of a gateway in front of the platform and prints how to use it.
+  void writeConfiguration(const Scenario& scenario, const std::string& listen, const std::string& discovery,
+                          const std::string& management) const {
+    const DrawnDay day(scenario, emulation_.seed);
+    writeTextFile(configFile_, configOf(scenario, day, 0, 1, listen, discovery, management));
+    fmt::print(
+        "gateway     hollyrun serve --config {}\nrecord      curl -H 'X-Request-Id: 1' http://{}/{}/1\n",
+        configFile_, listen, scenario.classes.front().set.name);
+    fmt::print("load        hollyrun-lab load {} --to {}\n", emulation_.file(), listen);
+  }
+
+  void runUntilStopped(asio::io_context& io, const Platform& platform) const {
+    asio::signal_set signals(io, SIGINT, SIGTERM);
+    signals.async_wait([&io](error_code, int) { io.stop(); });
+    asio::steady_timer end(io);
+    if (durationS_ > 0) {
+      end.expires_after(seconds(durationS_));
+      end.async_wait([&io](error_code) { io.stop(); });
+    }
+    const PeriodicTask stateLog(io, kStateLogInterval, [&platform] {
+      if (platform.held() > 0)
+        spdlog::info("held {}", platform.stateLine());
+    });
+    io.run();
+  }
+
+  EmulationOptions emulation_;
+  std::string configFile_;
+  double durationS_ = 0;
+};
+
+}  // namespace
+
+std::unique_ptr<Command> addServeCommand(CLI::App& app) {
+  return std::make_unique<ServeCommand>(app);
+}
+
+}  // namespace hollyrun::lab
--- a/src/lab/soak/soak_command.cpp
+++ b/src/lab/commands/soak_command.cpp
@@ -1,13 +1,16 @@
-#include "lab/soak/soak_command.hpp"
-
 #include <cmath>
+#include <cstdint>
 #include <cstdio>
+#include <map>
+#include <string>
+
+#include "lab/commands/commands.hpp"
+#include "lab/commands/exit_codes.hpp"
+#include "lab/soak/soak.hpp"
 
 namespace hollyrun::lab {
 namespace {
 
-constexpr int kPass = 0, kBroken = 1, kVoid = 3;
-
 const char* nameOf(SoakVerdict verdict) {
   switch (verdict) {
     case SoakVerdict::pass:
@@ -36,20 +39,32 @@
   std::fflush(stdout);
 }
 
-}  // namespace
+/// `soak`: plays seeds, one after the other, and judges each.
+class SoakCommand final : public Command {
+ public:
+  explicit SoakCommand(CLI::App& app);
+  int run() override;
+
+ private:
+  SoakPlan plan_;
+  double seconds_ = 20;
+  std::uint64_t seeds_ = 1;
+};
 
 SoakCommand::SoakCommand(CLI::App& app)
-    : soak_(app.add_subcommand("soak", "real processes under troubles that overlap, judged by their peers")) {
-  soak_->add_option("--program", plan_.program, "the built hollyrun")->required();
-  soak_->add_option("--library", plan_.library, "the built fault library; none: no failing calls, no clocks");
-  soak_->add_option("--seed", plan_.seed, "the first seed");
-  soak_->add_option("--seeds", seeds_, "how many seeds to play, one after the other");
-  soak_->add_option("--for", seconds_, "seconds of load")->check(CLI::Range(5.0, 3600.0));
-  soak_->add_option("--gateways", plan_.gateways, "processes")->check(CLI::Range(1, 40));
-  soak_->add_option("--rate", plan_.rate, "requests a second over all of them");
-  soak_->add_option("--only", plan_.only, "the numbers of the troubles to play, to shrink a broken seed")
+    : Command(app, "soak", "real processes under troubles that overlap, judged by their peers") {
+  CLI::App& options = subcommand();
+  options.add_option("--program", plan_.program, "the built hollyrun")->required();
+  options.add_option("--library", plan_.library,
+                     "the built fault library; none: no failing calls, no clocks");
+  options.add_option("--seed", plan_.seed, "the first seed");
+  options.add_option("--seeds", seeds_, "how many seeds to play, one after the other");
+  options.add_option("--for", seconds_, "seconds of load")->check(CLI::Range(5.0, 3600.0));
+  options.add_option("--gateways", plan_.gateways, "processes")->check(CLI::Range(1, 40));
+  options.add_option("--rate", plan_.rate, "requests a second over all of them");
+  options.add_option("--only", plan_.only, "the numbers of the troubles to play, to shrink a broken seed")
       ->delimiter(',');
-  soak_->add_flag("--keep-logs", plan_.keepLogs, "keep the processes' configurations and logs");
+  options.add_flag("--keep-logs", plan_.keepLogs, "keep the processes' configurations and logs");
 }
 
 int SoakCommand::run() {
@@ -72,7 +87,13 @@
   std::printf("%zu of %zu pairs of kinds overlapped\n", pairs.size(),
               kTroubleKinds * (kTroubleKinds + 1) / 2);
   std::printf("%llu seeds: %zu broken, %zu void\n", static_cast<unsigned long long>(seeds_), broken, voided);
-  return broken > 0 ? kBroken : voided > 0 ? kVoid : kPass;
+  return broken > 0 ? kExitRuleBroken : voided > 0 ? kExitVoid : kExitSuccess;
+}
+
+}  // namespace
+
+std::unique_ptr<Command> addSoakCommand(CLI::App& app) {
+  return std::make_unique<SoakCommand>(app);
 }
 
 }  // namespace hollyrun::lab
