--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -32,7 +32,7 @@
   if (line.empty())
     return false;
   std::string_view fields = line;
-  const std::string_view lineName = takeWord(fields);
+  const std::string_view lineName = popWord(fields);
   try {
     checkListComplete(line, lineName);
     if (lineName == "EOF_BATCH") {
@@ -156,7 +156,7 @@
   gatewayNamedIn(fields);
 }
 
-/// What the gateway still had to say is lost with it, the actions of this batch too.
+/// Removes the gateway and discards its actions of this batch.
 void Adapter::retire(std::string_view fields) {
   SimulatedGateway& gateway = gatewayNamedIn(fields);
   std::erase(batchGateways_, &gateway);
--- a/src/simulator_adapter/line_parser.cpp
+++ b/src/simulator_adapter/line_parser.cpp
@@ -2,7 +2,7 @@
 
 namespace hollyrun::simulator_adapter {
 
-std::string_view takeWord(std::string_view& rest) {
+std::string_view popWord(std::string_view& rest) {
   const std::size_t end = rest.find(' ');
   const std::string_view word = rest.substr(0, end);
   rest = end == std::string_view::npos ? std::string_view{} : rest.substr(end + 1);
@@ -11,7 +11,7 @@
 
 std::optional<Field> FieldReader::next() {
   while (!rest_.empty()) {
-    const std::string_view word = takeWord(rest_);
+    const std::string_view word = popWord(rest_);
     if (word.empty())
       continue;
     const std::size_t separator = word.find('=');
@@ -24,7 +24,7 @@
 
 std::optional<std::string_view> findValue(std::string_view fields, std::string_view key) {
   while (!fields.empty()) {
-    const std::string_view word = takeWord(fields);
+    const std::string_view word = popWord(fields);
     if (word.size() > key.size() && word.starts_with(key) && word[key.size()] == '=')
       return word.substr(key.size() + 1);
   }
--- a/src/simulator_adapter/line_parser.hpp
+++ b/src/simulator_adapter/line_parser.hpp
@@ -49,7 +49,7 @@
 };
 
 /// Removes the first word of `rest` and the space behind it, and returns the word.
-std::string_view takeWord(std::string_view& rest);
+std::string_view popWord(std::string_view& rest);
 
 /// Goes over the fields of a line, in order; empty words are skipped.
 class FieldReader {
--- a/src/simulator_adapter/request_ids.cpp
+++ b/src/simulator_adapter/request_ids.cpp
@@ -12,7 +12,7 @@
   return (static_cast<RequestId>(slots_[slot].generation) << kGenerationShift) | slot;
 }
 
-std::uint32_t RequestIds::takeFreeSlot() {
+std::uint32_t RequestIds::acquireSlot() {
   if (freeSlots_.empty()) {
     slots_.emplace_back();
     return static_cast<std::uint32_t>(slots_.size() - 1);
@@ -23,7 +23,7 @@
 }
 
 RequestId RequestIds::add(std::string_view name) {
-  const std::uint32_t index = takeFreeSlot();
+  const std::uint32_t index = acquireSlot();
   Slot& slot = slots_[index];
   slot.name.assign(name);
   ++slot.generation;
--- a/src/simulator_adapter/request_ids.hpp
+++ b/src/simulator_adapter/request_ids.hpp
@@ -39,7 +39,7 @@
   /// id.
   static std::uint32_t slotOf(balancer::RequestId id) { return static_cast<std::uint32_t>(id); }
   balancer::RequestId idOf(std::uint32_t slot) const;
-  std::uint32_t takeFreeSlot();
+  std::uint32_t acquireSlot();
 
   std::vector<Slot> slots_;
   std::vector<std::uint32_t> freeSlots_;
