--- a/src/gateway/config.cpp
+++ b/src/gateway/config.cpp
@@ -7,8 +7,8 @@
 #include <sstream>
 #include <type_traits>
 
+#include "gateway/config_reader.hpp"
 #include "gateway/json_number.hpp"
-#include "gateway/keys.hpp"
 #include "membership/message.hpp"
 
 namespace hollyrun::gateway {
@@ -369,9 +369,9 @@
   const char* path = environment("GW_CONFIG");
   if (!path)
     throw BadConfig("GW_CONFIG is not set");
-  const ReadFile read = readFile(path);
+  const ParsedConfigFile read = readConfigFile(path);
   std::string faults;
-  for (const Remark& fault : read.faults)
+  for (const Diagnostic& fault : read.errors)
     faults += (faults.empty() ? "" : "; ") + fault.text();
   if (!faults.empty())
     throw BadConfig(faults);
@@ -383,7 +383,7 @@
         return moves && std::string_view(name) == "GW_DISCOVERY" ? nullptr : environment(name);
       },
       running);
-  for (const Remark& warning : read.warnings)
+  for (const Diagnostic& warning : read.warnings)
     config.warnings.push_back(warning.text());
   return config;
 }
--- a/src/gateway/config.hpp
+++ b/src/gateway/config.hpp
@@ -1,5 +1,5 @@
 // What the gateway is told at its start: GW_* variables and the file, the platform's JSON or a person's TOML,
-// as typed settings. gateway/keys.hpp holds the table of all keys.
+// as typed settings. gateway/config_schema.hpp holds the table of all keys.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -15,8 +15,8 @@
 #include <vector>
 
 #include "gateway/config.hpp"
+#include "gateway/config_printer.hpp"
 #include "gateway/gateway.hpp"
-#include "gateway/keys.hpp"
 #include "gateway/ops_client.hpp"
 
 namespace {
@@ -76,30 +76,30 @@
 }
 
 // Prints what is wrong with the file, all of it; the file as read, if nothing is.
-bool good(const Environment& environment, ReadFile& file) {
+bool good(const Environment& environment, ParsedConfigFile& file) {
   const char* path = environment("GW_CONFIG");
   if (!path)
     throw BadConfig("no file: name one with --config or GW_CONFIG");
-  file = readFile(path);
+  file = readConfigFile(path);
   for (const auto& [key, variable] :
        {std::pair("listen", "GW_LISTEN"), std::pair("discovery", "GW_DISCOVERY")})
-    if (file.faults.empty() && !environment(variable) && !file.json.contains(key))
-      file.faults.push_back({path, key, "is missing, and " + std::string(variable) + " is not set"});
-  if (file.faults.empty())
+    if (file.errors.empty() && !environment(variable) && !file.json.contains(key))
+      file.errors.push_back({path, key, "is missing, and " + std::string(variable) + " is not set"});
+  if (file.errors.empty())
     try {
       parseConfig(file.json, environment);
     } catch (const BadConfig& bad) {
-      file.faults.push_back({path, "configuration", bad.what()});
+      file.errors.push_back({path, "configuration", bad.what()});
     }
-  for (const Remark& warning : file.warnings)
+  for (const Diagnostic& warning : file.warnings)
     std::cerr << "warning: " << warning.text() << '\n';
-  for (const Remark& fault : file.faults)
+  for (const Diagnostic& fault : file.errors)
     std::cerr << fault.text() << '\n';
-  return file.faults.empty();
+  return file.errors.empty();
 }
 
 int check(const Environment& environment) {
-  ReadFile file;
+  ParsedConfigFile file;
   if (!good(environment, file))
     return kWrong;
   std::cout << environment("GW_CONFIG") << ": good\n";
@@ -107,10 +107,10 @@
 }
 
 int showAll(const Environment& environment) {
-  ReadFile file;
+  ParsedConfigFile file;
   if (!good(environment, file))
     return kWrong;
-  std::cout << textOf(show(parseConfig(file.json, environment), file, environment));
+  std::cout << tomlText(effectiveSettings(parseConfig(file.json, environment), file, environment));
   return 0;
 }
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -6,7 +6,8 @@
 #include <map>
 #include <set>
 
-#include "gateway/keys.hpp"
+#include "gateway/config_printer.hpp"
+#include "gateway/config_schema.hpp"
 #include "net_peers.hpp"
 
 namespace hollyrun::gateway::testing {
@@ -201,18 +202,19 @@
     "listen = \"127.0.0.1:8080\"\ndiscovery = \"127.0.0.1:8500\"\n[fleet]\ngateways = 3\n[[class]]\n"
     "name = \"lookup\"\neffect = \"safe\"\naim_ms = 400\ngive_up_ms = 1000.5\n";
 
-std::vector<std::string> valuesOf(const Config& config, const ReadFile& file) {
+std::vector<std::string> valuesOf(const Config& config, const ParsedConfigFile& file) {
   std::vector<std::string> values;
-  for (const Shown& s : show(config, file, [](const char*) -> const char* { return nullptr; }))
+  for (const EffectiveSetting& s :
+       effectiveSettings(config, file, [](const char*) -> const char* { return nullptr; }))
     values.push_back(s.key + " = " + s.value);
   return values;
 }
 
 TEST(Toml, TheExampleIsGoodAndNamesEveryKey) {
-  const ReadFile file = readFile(HOLLYRUN_EXAMPLE);
-  for (const Remark& r : file.faults)
+  const ParsedConfigFile file = readConfigFile(HOLLYRUN_EXAMPLE);
+  for (const Diagnostic& r : file.errors)
     ADD_FAILURE() << r.text();
-  for (const Remark& r : file.warnings)
+  for (const Diagnostic& r : file.warnings)
     ADD_FAILURE() << r.text();
   std::ifstream stream(HOLLYRUN_EXAMPLE);
   const std::string text{std::istreambuf_iterator<char>(stream), {}};
@@ -221,8 +223,8 @@
     return text.find("\n" + name + " = ") != std::string::npos ||
            text.find("\n# " + name + " = ") != std::string::npos;
   };
-  for (const auto* keys : {&topKeys(), &classKeys(), &tenantKeys()})
-    for (const Key& key : *keys)
+  for (const auto keys : {globalKeys(), classKeys(), tenantKeys()})
+    for (const SettingKey& key : keys)
       EXPECT_TRUE(mentioned(key.toml)) << key.toml;
   const Config c = parseConfig(file.json, [](const char*) { return nullptr; });
   EXPECT_EQ(c.module.classes[0].latencyObjective, std::chrono::milliseconds(400));
@@ -235,10 +237,10 @@
       "listen = \"nowhere\"\n[limits]\nsockets = 3\nmemroy = 5\n[fleet]\ngateways = 2\nnumber = 2\n"
       "[[class]]\nname = \"a\"\neffect = \"maybe\"\naim_ms = true\ngive_up_ms = 1\n[[class]]\nname = \"a\"\n"
       "aim_ms = 9\ngive_up_ms = 8\n");
-  const ReadFile file = readFile(toml.path);
+  const ParsedConfigFile file = readConfigFile(toml.path);
   std::set<std::string> faults;
-  for (const Remark& r : file.faults)
-    faults.insert(r.place.substr(toml.path.size()) + " " + r.key);
+  for (const Diagnostic& r : file.errors)
+    faults.insert(r.location.substr(toml.path.size()) + " " + r.key);
   const std::set<std::string> expected{
       ":1 listen",           ":3 limits.sockets", ":7 fleet.number",        ":10 class[0].effect",
       ":11 class[0].aim_ms", ":13 class[1].name", ":16 class[1].give_up_ms"};
@@ -255,21 +257,22 @@
 
 TEST(Toml, BrokenSyntaxIsNamedWithItsLine) {
   TomlFile toml("listen = \"127.0.0.1:1\"\n[limits\n");
-  const ReadFile file = readFile(toml.path);
-  ASSERT_EQ(file.faults.size(), 1u);
-  EXPECT_EQ(file.faults[0].place, toml.path + ":2");
+  const ParsedConfigFile file = readConfigFile(toml.path);
+  ASSERT_EQ(file.errors.size(), 1u);
+  EXPECT_EQ(file.errors[0].location, toml.path + ":2");
 }
 
 TEST(Toml, TheSameSettingsStandBehindBothForms) {
   json j = configJson();
   j["settings"]["tenants"] = {{{"name", "t"}, {"quotaRps", 7.5}}};
-  ReadFile platform;
+  ParsedConfigFile platform;
   platform.json = j;
   const Config before = parse(j);
-  const std::vector<Shown> shown = show(before, platform, [](const char*) -> const char* { return nullptr; });
-  TomlFile toml(textOf(shown));
-  const ReadFile file = readFile(toml.path);
-  for (const Remark& r : file.faults)
+  const std::vector<EffectiveSetting> shown =
+      effectiveSettings(before, platform, [](const char*) -> const char* { return nullptr; });
+  TomlFile toml(tomlText(shown));
+  const ParsedConfigFile file = readConfigFile(toml.path);
+  for (const Diagnostic& r : file.errors)
     ADD_FAILURE() << r.text();
   const Config after = readConfig(toml.environment());
   EXPECT_EQ(valuesOf(before, platform), valuesOf(after, file));
@@ -277,18 +280,18 @@
 
 TEST(Toml, ShownSettingsTellWhereTheyComeFrom) {
   TomlFile toml(kToml);
-  const ReadFile file = readFile(toml.path);
+  const ParsedConfigFile file = readConfigFile(toml.path);
   const Environment environment = [](const char* name) {
     return std::string_view(name) == "GW_LISTEN" ? "127.0.0.1:9" : nullptr;
   };
-  std::map<std::string, Shown> shown;
-  for (const Shown& s : show(parseConfig(file.json, environment), file, environment))
+  std::map<std::string, EffectiveSetting> shown;
+  for (const EffectiveSetting& s : effectiveSettings(parseConfig(file.json, environment), file, environment))
     shown[s.key] = s;
-  EXPECT_EQ(shown["listen"].from, "variable GW_LISTEN");
+  EXPECT_EQ(shown["listen"].origin, "variable GW_LISTEN");
   EXPECT_EQ(shown["listen"].value, "\"127.0.0.1:9\"");
-  EXPECT_EQ(shown["discovery"].from, toml.path + ":2");
+  EXPECT_EQ(shown["discovery"].origin, toml.path + ":2");
   EXPECT_EQ(shown["fleet.gateways"].value, "3");
-  EXPECT_EQ(shown["limits.sockets"].from, "default");
+  EXPECT_EQ(shown["limits.sockets"].origin, "default");
   EXPECT_EQ(shown["class[0].give_up_ms"].value, "1000.5");
 }
 
