--- a/src/gateway/config.cpp
+++ b/src/gateway/config.cpp
@@ -2,13 +2,16 @@
 
 #include <algorithm>
 #include <charconv>
-#include <limits>
+#include <chrono>
+#include <cstdint>
 #include <nlohmann/json.hpp>
 #include <sstream>
-#include <type_traits>
+#include <string_view>
 
+#include "gateway/balancer_config.hpp"
+#include "gateway/config_fields.hpp"
 #include "gateway/config_reader.hpp"
-#include "gateway/json_number.hpp"
+#include "gateway/config_reload.hpp"
 #include "membership/message.hpp"
 
 namespace hollyrun::gateway {
@@ -17,373 +20,281 @@
 using balancer::Duration;
 using nlohmann::json;
 
-// What no setting reaches; far below where sums of the clock or of worths would overflow.
-constexpr std::int64_t kLongestNs = std::int64_t{366} * 24 * 3600 * 1000000000;
-constexpr std::int64_t kMostDescriptors = std::int64_t{1} << 30;
-constexpr double kMostNumber = 1e9;
+constexpr std::size_t kMinSockets = 64;
+constexpr double kBytesPerMegabyte = 1 << 20;
+constexpr auto kDefaultConnectTimeout = std::chrono::milliseconds(250);
+constexpr auto kMinMembershipPeriod = std::chrono::milliseconds(10);
 
-// Leaves the default where the value is absent or null.
-template <class T>
-void read(const json& object, const char* name, T& into) {
-  const auto it = object.find(name);
-  if (it == object.end() || it->is_null())
-    return;
-  try {
-    if constexpr (std::is_same_v<T, Duration>)
-      into = Duration(wholeNumber(*it, kLongestNs));
-    else if constexpr (std::is_same_v<T, std::uint32_t>)
-      into = static_cast<std::uint32_t>(wholeNumber(*it, std::numeric_limits<std::uint32_t>::max()));
-    else if constexpr (std::is_same_v<T, std::size_t>)
-      into = static_cast<std::size_t>(wholeNumber(*it, kMostDescriptors));
-    else if constexpr (std::is_same_v<T, double>)
-      into = realNumber(*it, kMostNumber);
-    else
-      into = it->get<T>();
-  } catch (const std::exception& bad) {
-    throw BadConfig(std::string(name) + ": " + bad.what());
-  }
-}
+/// An object of the configuration whose fields variables override.
+class OverridableObject {
+ public:
+  OverridableObject(const json& object, const Environment& environment)
+      : object_(object), environment_(environment) {}
 
-const json& part(const json& object, const char* name) {
-  static const json none = json::object();
-  const auto it = object.find(name);
-  if (it == object.end() || it->is_null())
-    return none;
-  if (!it->is_object())
-    throw BadConfig(std::string(name) + " is no object");
-  return *it;
-}
+  /// Empty if neither the variable nor the field is given.
+  std::string text(const char* name, const char* variable) const {
+    if (const char* value = environment_(variable))
+      return value;
+    std::string text;
+    readField(object_, name, text);
+    return text;
+  }
 
-// Null where the list is absent.
-const json* list(const json& object, const char* name) {
-  const auto it = object.find(name);
-  if (it == object.end() || it->is_null())
-    return nullptr;
-  if (!it->is_array())
-    throw BadConfig(std::string(name) + " is no list");
-  return &*it;
-}
+  std::optional<tcp::endpoint> endpoint(const char* name, const char* variable) const {
+    const std::string endpointText = text(name, variable);
+    if (endpointText.empty())
+      return std::nullopt;
+    try {
+      return parseEndpoint(endpointText);
+    } catch (const std::invalid_argument& error) {
+      throw ConfigError(ConfigErrorCode::malformedValue, variable,
+                        std::string(variable) + ": " + error.what());
+    }
+  }
 
-balancer::ClassSettings readClass(const json& grade) {
-  if (!grade.is_object())
-    throw BadConfig("grades: an entry is no object");
-  balancer::ClassSettings c;
-  std::string idempotency = "fragile", deduplicationScope = "all";
-  read(grade, "name", c.name);
-  read(grade, "aimNs", c.latencyObjective);
-  read(grade, "giveUpNs", c.clientTimeout);
-  read(grade, "windowNs", c.deduplicationWindow);
-  read(grade, "points", c.priorityWeight);
-  read(grade, "lateShare", c.lateValueFraction);
-  read(grade, "aimStretch", c.objectiveStretch);
-  read(grade, "inTurn", c.orderedPerKey);
-  read(grade, "effect", idempotency);
-  read(grade, "group", deduplicationScope);
-  if (idempotency == "retryable")
-    c.idempotency = balancer::Idempotency::idempotent;
-  else if (idempotency == "dedup")
-    c.idempotency = balancer::Idempotency::keyed;
-  else if (idempotency != "fragile")
-    throw BadConfig("effect: unknown '" + idempotency + "'");
-  if (deduplicationScope == "zone")
-    c.deduplicationScope = balancer::DeduplicationScope::zone;
-  else if (deduplicationScope == "cell")
-    c.deduplicationScope = balancer::DeduplicationScope::cell;
-  else if (deduplicationScope != "all")
-    throw BadConfig("group: unknown '" + deduplicationScope + "'");
-  std::vector<std::string> names;
-  if (grade.contains("staysIn"))
-    read(grade, "staysIn", names), c.zones = names;
-  names.clear();
-  if (grade.contains("boundTo"))
-    read(grade, "boundTo", names), c.machineTypes = names;
-  if (grade.contains("giveUpNs") && c.clientTimeout <= Duration{})
-    throw BadConfig("giveUpNs: must be above 0");
-  c.clientTimeout = std::max(c.clientTimeout, c.latencyObjective);
-  return c;
-}
+  tcp::endpoint requiredEndpoint(const char* name, const char* variable) const {
+    const auto found = endpoint(name, variable);
+    if (!found)
+      throw ConfigError(ConfigErrorCode::missingKey, variable, std::string(variable) + " is not set");
+    return *found;
+  }
 
-balancer::Settings readSettings(const json& settings) {
-  balancer::Settings s;
-  std::string weights;
-  read(settings, "groupSize", s.replicaCount);
-  read(settings, "myNumber", s.replicaIndex);
-  read(settings, "zone", s.zone);
-  read(settings, "candidates", s.candidates);
-  read(settings, "overShareWorth", s.overQuotaWeight);
-  read(settings, "weights", weights);
-  read(settings, "stepNs", s.step);
-  // On sockets the list comes by a watch only, also where the simulator pushes it to the instances.
-  s.pollDiscovery = true;
-  s.loadAdjustedWeights = weights == "live";
-  read(part(settings, "domain"), "warmKeys", s.keyAffinity);
-  const json& ceilings = part(settings, "ceilings");
-  read(ceilings, "parallelTries", s.allowHedging);
-  read(ceilings, "retryAfter", s.retryAfter);
-  read(ceilings, "cancel", s.cancel);
-  read(ceilings, "maxAttempts", s.maxAttempts);
-  read(ceilings, "idleCloseNs", s.idleTimeout);
-  read(ceilings, "maxRetryAfterNs", s.maxRetryAfter);
-  // A connection carries one request at a time on sockets, whatever the simulator's setting says: with more
-  // the module would take a busy connection for a free one.
-  s.streamsPerConnection = 1;
-  const json& rules = part(settings, "rules");
-  read(rules, "askWithinNs", s.maxDiscoverySilence);
-  read(rules, "coldNs", s.slowStartDuration);
-  read(rules, "coldShare", s.slowStartInitialFraction);
-  read(rules, "fallMultiple", s.overloadMultiple);
-  read(rules, "fallNs", s.overloadWindow);
-  read(rules, "keyRestNs", s.keyCooldown);
-  const json* grades = list(settings, "grades");
-  if (!grades)
-    throw BadConfig("grades: missing");
-  for (const json& grade : *grades)
-    s.classes.push_back(readClass(grade));
-  if (const json* tenants = list(settings, "tenants"))
-    for (const json& tenant : *tenants) {
-      if (!tenant.is_object())
-        throw BadConfig("tenants: an entry is no object");
-      balancer::TenantSettings t;
-      read(tenant, "name", t.name);
-      read(tenant, "quotaRps", t.quotaPerSecond);
-      s.tenants.push_back(t);
-    }
-  return s;
-}
+ private:
+  const json& object_;
+  const Environment& environment_;
+};
 
-std::uint64_t readSeed(const std::string& text) {
+std::uint64_t parseSeed(const std::string& text) {
   std::uint64_t seed = 0;
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
-  if (error != std::errc{} || end != text.data() + text.size())
-    throw BadConfig("seed: '" + text + "' is no hexadecimal number");
+  const char* const last = text.data() + text.size();
+  const auto [end, error] = std::from_chars(text.data(), last, seed, 16);
+  if (error != std::errc{} || end != last)
+    throw ConfigError(ConfigErrorCode::malformedValue, "seed",
+                      "seed: '" + text + "' is no hexadecimal number");
   return seed;
 }
 
-// The platform sets the limits on cores and memory; here they only have to make sense.
+// The platform enforces the limits on cores and memory; here they are only checked for plausibility.
 void readLimits(const json& limits, Config& config) {
-  read(limits, "sockets", config.sockets);
-  if (config.sockets < 64)
-    throw BadConfig("sockets: at least 64 are needed");
-  double cores = 1, megabytes = 64;
-  read(limits, "cores", cores);
-  read(limits, "memory_mb", megabytes);
+  readField(limits, "sockets", config.sockets);
+  if (config.sockets < kMinSockets)
+    throw ConfigError(ConfigErrorCode::outOfRange, "sockets",
+                      "sockets: at least " + std::to_string(kMinSockets) + " are needed");
+  double cores = 1;
+  double megabytes = 64;
+  readField(limits, "cores", cores);
+  readField(limits, "memory_mb", megabytes);
   if (cores <= 0)
-    throw BadConfig("cores: must be above 0");
+    throw ConfigError(ConfigErrorCode::outOfRange, "cores", "cores: must be above 0");
   if (megabytes <= 0)
-    throw BadConfig("memory_mb: must be above 0");
-  config.memoryBytes = static_cast<std::size_t>(megabytes * (1 << 20));
+    throw ConfigError(ConfigErrorCode::outOfRange, "memory_mb", "memory_mb: must be above 0");
+  config.memoryBytes = static_cast<std::size_t>(megabytes * kBytesPerMegabyte);
+}
+
+LogLevel parseLogLevel(const std::string& text) {
+  if (text == "debug")
+    return LogLevel::debug;
+  if (text == "info")
+    return LogLevel::info;
+  if (text == "warning")
+    return LogLevel::warning;
+  if (text == "error")
+    return LogLevel::error;
+  if (text == "off")
+    return LogLevel::off;
+  throw ConfigError(ConfigErrorCode::unknownValue, "level", "log: unknown level '" + text + "'");
 }
 
 LogSettings readLog(const json& log) {
-  LogSettings s;
-  std::string level = "info", format = "text";
-  read(log, "level", level);
-  read(log, "format", format);
-  read(log, "access", s.access);
-  read(log, "mostPerSecond", s.mostPerSecond);
-  if (level == "debug")
-    s.level = LogLevel::debug;
-  else if (level == "warning")
-    s.level = LogLevel::warning;
-  else if (level == "error")
-    s.level = LogLevel::error;
-  else if (level == "off")
-    s.level = LogLevel::off;
-  else if (level != "info")
-    throw BadConfig("log: unknown level '" + level + "'");
+  LogSettings settings;
+  std::string level = "info";
+  std::string format = "text";
+  readField(log, "level", level);
+  readField(log, "format", format);
+  readField(log, "access", settings.access);
+  readField(log, "mostPerSecond", settings.mostPerSecond);
+  settings.level = parseLogLevel(level);
   if (format != "text" && format != "json")
-    throw BadConfig("log: unknown format '" + format + "'");
-  s.json = format == "json";
-  return s;
+    throw ConfigError(ConfigErrorCode::unknownValue, "format", "log: unknown format '" + format + "'");
+  settings.json = format == "json";
+  return settings;
 }
 
-// The variable goes before the file's entry.
-std::string told(const json& config, const char* name, const char* variable, const Environment& environment) {
-  std::string text;
-  if (const char* value = environment(variable))
-    text = value;
-  else
-    read(config, name, text);
-  return text;
+// A member's record holds an IPv4 address. Any other would end a serving gateway at its reload.
+udp::endpoint requireIpv4(const tcp::endpoint& endpoint) {
+  if (!endpoint.address().is_v4())
+    throw ConfigError(ConfigErrorCode::malformedValue, "membership", "membership: only IPv4 addresses");
+  return udp::endpoint(endpoint.address(), endpoint.port());
 }
 
-std::optional<tcp::endpoint> endpointIfTold(const json& config, const char* name, const char* variable,
-                                            const Environment& environment) {
-  const std::string text = told(config, name, variable, environment);
-  if (text.empty())
-    return std::nullopt;
-  try {
-    return parseEndpoint(text);
-  } catch (const std::invalid_argument& bad) {
-    throw BadConfig(std::string(variable) + ": " + bad.what());
-  }
+std::vector<std::string> splitAtCommas(const std::string& text) {
+  std::vector<std::string> parts;
+  std::istringstream stream(text);
+  for (std::string part; std::getline(stream, part, ',');)
+    if (!part.empty())
+      parts.push_back(part);
+  return parts;
 }
 
-tcp::endpoint toldEndpoint(const json& config, const char* name, const char* variable,
-                           const Environment& environment) {
-  const auto endpoint = endpointIfTold(config, name, variable, environment);
-  if (!endpoint)
-    throw BadConfig(std::string(variable) + " is not set");
-  return *endpoint;
+std::vector<udp::endpoint> readSeedMembers(const json& membership, const Environment& environment) {
+  std::vector<std::string> texts;
+  readField(membership, "seeds", texts);
+  if (const char* variable = environment("GW_SEEDS"))
+    texts = splitAtCommas(variable);
+  std::vector<udp::endpoint> seeds;
+  for (const std::string& text : texts) {
+    try {
+      seeds.push_back(requireIpv4(parseEndpoint(text)));
+    } catch (const std::invalid_argument& error) {
+      throw ConfigError(ConfigErrorCode::malformedValue, "seeds",
+                        std::string("membership seeds: ") + error.what());
+    }
+  }
+  return seeds;
 }
 
-std::optional<MembershipConfig> readMembership(const json& config, const Environment& environment) {
-  const json& part = gateway::part(config, "membership");
-  // Danger: a record holds an IPv4 address; another kind would end a gateway that serves, at SIGHUP.
-  const auto endpoint = [](const tcp::endpoint& e) {
-    if (!e.address().is_v4())
-      throw BadConfig("membership: only IPv4 addresses");
-    return udp::endpoint(e.address(), e.port());
-  };
-  const auto listen = endpointIfTold(part, "listen", "GW_MEMBERSHIP", environment);
+std::optional<MembershipConfig> readMembership(const json& membership, const Environment& environment) {
+  const OverridableObject addresses(membership, environment);
+  const auto listen = addresses.endpoint("listen", "GW_MEMBERSHIP");
   if (!listen)
     return std::nullopt;
-  MembershipConfig m;
-  m.listen = endpoint(*listen);
-  if (const auto advertise = endpointIfTold(part, "advertise", "GW_MEMBERSHIP_ADVERTISE", environment))
-    m.advertise = endpoint(*advertise);
-  read(part, "fleet", m.fleet);
-  read(part, "region", m.region);
-  read(part, "periodNs", m.period);
-  if (m.period < std::chrono::milliseconds(10))
-    throw BadConfig("periodNs: must be at least 10 ms");
-  std::vector<std::string> seeds;
-  read(part, "seeds", seeds);
-  if (const char* told = environment("GW_SEEDS")) {
-    seeds.clear();
-    std::istringstream all(told);
-    for (std::string one; std::getline(all, one, ',');)
-      if (!one.empty())
-        seeds.push_back(one);
-  }
-  for (const std::string& seed : seeds)
-    try {
-      m.seeds.push_back(endpoint(parseEndpoint(seed)));
-    } catch (const std::invalid_argument& bad) {
-      throw BadConfig(std::string("membership seeds: ") + bad.what());
-    }
-  return m;
+  MembershipConfig config;
+  config.listen = requireIpv4(*listen);
+  if (const auto advertise = addresses.endpoint("advertise", "GW_MEMBERSHIP_ADVERTISE"))
+    config.advertise = requireIpv4(*advertise);
+  readField(membership, "fleet", config.fleet);
+  readField(membership, "region", config.region);
+  readField(membership, "periodNs", config.period);
+  if (config.period < kMinMembershipPeriod)
+    throw ConfigError(ConfigErrorCode::outOfRange, "periodNs", "periodNs: must be at least 10 ms");
+  config.seeds = readSeedMembers(membership, environment);
+  return config;
 }
 
-// Texts that travel between gateways are short and can be shown.
-void needShort(const char* what, const std::string& text, bool needed) {
-  const bool plain =
-      std::none_of(text.begin(), text.end(), [](unsigned char c) { return c < 0x20 || c == 0x7f; });
-  if (text.size() > membership::kMostText || !plain || (needed && text.empty()))
-    throw BadConfig(std::string(what) + ": for membership it has to be a text of " + (needed ? "1" : "0") +
-                    " to " + std::to_string(membership::kMostText) + " bytes with no control characters");
+// Texts that travel between gateways are short and printable: a datagram carries many of them.
+void requireMembershipText(const char* name, const std::string& text, std::size_t minLength) {
+  const bool hasControlCharacters =
+      std::any_of(text.begin(), text.end(), [](unsigned char c) { return c < 0x20 || c == 0x7f; });
+  if (text.size() >= minLength && text.size() <= membership::kMostText && !hasControlCharacters)
+    return;
+  throw ConfigError(ConfigErrorCode::outOfRange, name,
+                    std::string(name) + ": for membership it has to be a text of " +
+                        std::to_string(minLength) + " to " + std::to_string(membership::kMostText) +
+                        " bytes with no control characters");
 }
 
-// What a file may leave out though the running one had it: WIRE says so, or it counts at a start only.
-bool optional(const std::string& key) {
-  for (const char* name : {"aimStretch", "staysIn", "boundTo", "passesDeadline", "warmKeys", "known", "seed",
-                           "name", "management", "log", "membership"})
-    if (key == name)
-      return true;
-  return false;
+void checkMembershipTexts(const Config& config) {
+  if (!config.membership)
+    return;
+  requireMembershipText("name", config.name, 1);
+  requireMembershipText("zone", config.module.zone, 0);
+  requireMembershipText("region", config.membership->region, 0);
+  requireMembershipText("fleet", config.membership->fleet, 1);
 }
 
-// The keys that all classes have.
-json commonKeys(const json& grades) {
-  if (grades.empty())
-    return json::object();
-  json common = grades.front();
-  for (const json& grade : grades)
-    for (const auto& [key, value] : grades.front().items())
-      if (!grade.contains(key))
-        common.erase(key);
-  return common;
+void readAddresses(const json& root, const Environment& environment, Config& config) {
+  const OverridableObject addresses(root, environment);
+  config.name = addresses.text("name", "GW_NAME");
+  config.listen = addresses.requiredEndpoint("listen", "GW_LISTEN");
+  config.discovery = addresses.requiredEndpoint("discovery", "GW_DISCOVERY");
+  config.management = addresses.endpoint("management", "GW_MANAGEMENT");
+  const char* tmp = environment("TMPDIR");
+  if (tmp && *tmp)
+    config.tmp = tmp;
+}
+
+void readSeed(const json& root, Config& config) {
+  std::string seed;
+  readField(root, "seed", seed);
+  if (!seed.empty())
+    config.module.seed = parseSeed(seed);
+}
+
+Duration readConnectTimeout(const json& ceilings) {
+  Duration timeout = kDefaultConnectTimeout;
+  readField(ceilings, "connectTimeoutNs", timeout);
+  if (timeout <= Duration{})
+    throw ConfigError(ConfigErrorCode::outOfRange, "connectTimeoutNs", "connectTimeoutNs: must be above 0");
+  return timeout;
+}
+
+std::optional<EndpointList> readCachedEndpoints(const json& root) {
+  const json* known = findField(root, "known");
+  if (!known)
+    return std::nullopt;
+  try {
+    return parseHostList(*known);
+  } catch (const std::invalid_argument& error) {
+    throw ConfigError(ConfigErrorCode::malformedValue, "known", std::string("known: ") + error.what());
+  }
+}
+
+// The decision module checks its own settings when it is made.
+void checkBalancerSettings(const balancer::Settings& settings) {
+  try {
+    balancer::Balancer probe(settings, Duration{});
+  } catch (const std::invalid_argument& error) {
+    throw ConfigError(ConfigErrorCode::rejected, "settings", error.what());
+  }
 }
 
-// Every needed key of `running` must be there, and no null, in objects within it too. Danger: what is missing
-// would quietly fall back to a default, on a gateway that serves.
-void needKeys(const json& running, const json& given) {
-  if (!given.is_object())
-    throw BadConfig("an entry is no object");
-  for (const auto& [key, value] : running.items()) {
-    if (optional(key) || value.is_null())
-      continue;
-    const auto it = given.find(key);
-    if (it == given.end() || it->is_null())
-      throw BadConfig(key + ": missing");
-    if (value.is_object())
-      needKeys(value, *it);
-    if (key != "grades")
-      continue;
-    if (!it->is_array() || it->empty())
-      throw BadConfig("grades: no class");
-    const json needed = commonKeys(value);
-    for (const json& grade : *it)
-      needKeys(needed, grade);
+void requireNoErrors(const ParsedConfigFile& file) {
+  if (file.errors.empty())
+    return;
+  std::string message;
+  for (const Diagnostic& error : file.errors)
+    message += (message.empty() ? "" : "; ") + error.text();
+  const Diagnostic& first = file.errors.front();
+  throw ConfigError(first.code, first.key, message, first.location);
+}
+
+Config parseFile(const ParsedConfigFile& file, const std::string& path, const Environment& environment,
+                 const Config* running) {
+  requireNoErrors(file);
+  try {
+    return parseConfig(file.json, environment, running);
+  } catch (const ConfigError& error) {
+    throw ConfigError(error.code(), error.key(), error.what(), path);
   }
 }
 
 }  // namespace
 
-Config parseConfig(const json& json, const Environment& environment, const Config* running) {
-  if (!json.is_object())
-    throw BadConfig("the configuration is no object");
+Config parseConfig(const json& root, const Environment& environment, const Config* running) {
+  if (!root.is_object())
+    throw ConfigError(ConfigErrorCode::wrongType, "", "the configuration is no object");
   if (running)
-    needKeys(*running->source, json);
+    requireRunningKeys(*running->source, root);
   Config config;
-  config.source = std::make_shared<const nlohmann::json>(json);
-  config.name = told(json, "name", "GW_NAME", environment);
-  config.listen = toldEndpoint(json, "listen", "GW_LISTEN", environment);
-  config.discovery = toldEndpoint(json, "discovery", "GW_DISCOVERY", environment);
-  config.management = endpointIfTold(json, "management", "GW_MANAGEMENT", environment);
-  if (const char* tmp = environment("TMPDIR"); tmp && *tmp)
-    config.tmp = tmp;
-  config.module = readSettings(part(json, "settings"));
-  config.log = readLog(part(json, "log"));
-  config.membership = readMembership(json, environment);
-  if (config.membership) {
-    needShort("name", config.name, true);
-    needShort("zone", config.module.zone, false);
-    needShort("region", config.membership->region, false);
-    needShort("fleet", config.membership->fleet, true);
-  }
-  std::string seed;
-  read(json, "seed", seed);
-  if (!seed.empty())
-    config.module.seed = readSeed(seed);
-  readLimits(part(json, "limits"), config);
-  config.connectTimeout = std::chrono::milliseconds(250);
-  read(part(part(json, "settings"), "ceilings"), "connectTimeoutNs", config.connectTimeout);
-  if (config.connectTimeout <= Duration{})
-    throw BadConfig("connectTimeoutNs: must be above 0");
-  if (json.contains("known") && !json.at("known").is_null())
-    try {
-      config.known = parseHostList(json.at("known"));
-    } catch (const std::invalid_argument& bad) {
-      throw BadConfig(std::string("known: ") + bad.what());
-    }
-  try {  // the module judges its own settings
-    balancer::Balancer probe(config.module, Duration{});
-  } catch (const std::invalid_argument& bad) {
-    throw BadConfig(bad.what());
-  }
+  config.source = std::make_shared<const json>(root);
+  readAddresses(root, environment, config);
+  const json& settings = objectField(root, "settings");
+  config.module = readBalancerSettings(settings);
+  config.log = readLog(objectField(root, "log"));
+  config.membership = readMembership(objectField(root, "membership"), environment);
+  checkMembershipTexts(config);
+  readSeed(root, config);
+  readLimits(objectField(root, "limits"), config);
+  config.connectTimeout = readConnectTimeout(objectField(settings, "ceilings"));
+  config.cachedEndpoints = readCachedEndpoints(root);
+  checkBalancerSettings(config.module);
   return config;
 }
 
 Config readConfig(const Environment& environment, const Config* running) {
   const char* path = environment("GW_CONFIG");
   if (!path)
-    throw BadConfig("GW_CONFIG is not set");
-  const ParsedConfigFile read = readConfigFile(path);
-  std::string faults;
-  for (const Diagnostic& fault : read.errors)
-    faults += (faults.empty() ? "" : "; ") + fault.text();
-  if (!faults.empty())
-    throw BadConfig(faults);
-  // Once running, the file goes before the variable: that still names where discovery was at the start.
-  const bool moves = running && read.json.contains("discovery");
-  Config config = parseConfig(
-      read.json,
-      [&](const char* name) {
-        return moves && std::string_view(name) == "GW_DISCOVERY" ? nullptr : environment(name);
-      },
-      running);
-  for (const Diagnostic& warning : read.warnings)
+    throw ConfigError(ConfigErrorCode::missingKey, "GW_CONFIG", "GW_CONFIG is not set");
+  const ParsedConfigFile file = readConfigFile(path);
+  // The variable names where discovery was at the start; a reloaded file may name its new address.
+  const bool fileNamesDiscovery = running && file.json.contains("discovery");
+  const Environment overrides = [&](const char* name) -> const char* {
+    if (fileNamesDiscovery && std::string_view(name) == "GW_DISCOVERY")
+      return nullptr;
+    return environment(name);
+  };
+  Config config = parseFile(file, path, overrides, running);
+  for (const Diagnostic& warning : file.warnings)
     config.warnings.push_back(warning.text());
   return config;
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -117,10 +117,11 @@
                 }},
                budget_) {
   take(config.module);
-  if (config.known)
-    discovery_.knows(config.known->version);
+  if (config.cachedEndpoints)
+    discovery_.knows(config.cachedEndpoints->version);
   // The module asks discovery once it was given a list, an empty one too.
-  told(config.known ? *config.known : EndpointList{0, true, {}}, EndpointListKind::cached);
+  told(config.cachedEndpoints ? *config.cachedEndpoints : EndpointList{0, true, {}},
+       EndpointListKind::cached);
   if (config.management) {
     management_.emplace(io, *config.management,
                         Management::Callbacks{[this] { return takesClients(); },
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -39,7 +39,7 @@
     log.set(running.log);
     warn(running, log);
     log.write(LogLevel::info, "configuration", "configuration reloaded");
-  } catch (const std::exception& bad) {  // BadConfig, or what the system refuses
+  } catch (const std::exception& bad) {  // ConfigError, or what the system refuses
     gateway.reloadFailed();
     log.write(LogLevel::error, "configuration", std::string("configuration not reloaded: ") + bad.what());
   }
@@ -79,7 +79,8 @@
 bool good(const Environment& environment, ParsedConfigFile& file) {
   const char* path = environment("GW_CONFIG");
   if (!path)
-    throw BadConfig("no file: name one with --config or GW_CONFIG");
+    throw ConfigError(ConfigErrorCode::missingKey, "GW_CONFIG",
+                      "no file: name one with --config or GW_CONFIG");
   file = readConfigFile(path);
   for (const auto& [key, variable] :
        {std::pair("listen", "GW_LISTEN"), std::pair("discovery", "GW_DISCOVERY")})
@@ -88,7 +89,7 @@
   if (file.errors.empty())
     try {
       parseConfig(file.json, environment);
-    } catch (const BadConfig& bad) {
+    } catch (const ConfigError& bad) {
       file.errors.push_back({path, "configuration", bad.what()});
     }
   for (const Diagnostic& warning : file.warnings)
@@ -180,7 +181,7 @@
     if (command != serve)
       std::signal(SIGHUP, SIG_DFL);
     return command(environment);
-  } catch (const BadConfig& bad) {
+  } catch (const ConfigError& bad) {
     std::cerr << "hollyrun: " << bad.what() << '\n';
     return kWrong;
   } catch (const std::exception& bad) {
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -21,7 +21,7 @@
   try {
     parse(j);
     FAIL() << "taken: " << word;
-  } catch (const BadConfig& bad) {
+  } catch (const ConfigError& bad) {
     const std::string what = bad.what();
     EXPECT_NE(what.find(word), std::string::npos) << what;
     EXPECT_EQ(what.find('\n'), std::string::npos) << "one line: " << what;
@@ -40,9 +40,9 @@
   EXPECT_EQ(c.module.seed, 0x8c1f30d27a5be964u);
   EXPECT_TRUE(c.module.pollDiscovery && c.module.cancel && !c.module.allowHedging);
   EXPECT_EQ(c.module.streamsPerConnection, 1u) << "on sockets a connection carries one request at a time";
-  ASSERT_TRUE(c.known);
-  EXPECT_EQ(c.known->version, 41);
-  EXPECT_EQ(c.known->hosts.at(0).state, HostState::draining);
+  ASSERT_TRUE(c.cachedEndpoints);
+  EXPECT_EQ(c.cachedEndpoints->version, 41);
+  EXPECT_EQ(c.cachedEndpoints->hosts.at(0).state, HostState::draining);
 }
 
 TEST(Config, AVariableGoesBeforeTheFile) {
@@ -97,7 +97,7 @@
   j["settings"]["ceilings"]["idleCloseNs"] = 4e9;
   const Config c = parse(j);
   EXPECT_EQ(c.sockets, 1024u);
-  EXPECT_FALSE(c.known);
+  EXPECT_FALSE(c.cachedEndpoints);
   EXPECT_EQ(c.module.idleTimeout, std::chrono::seconds(4)) << "a whole number, however it is written";
 }
 
@@ -163,11 +163,11 @@
 }
 
 TEST(Config, AMissingOrBrokenFileIsToldToo) {
-  EXPECT_THROW(readConfig([](const char*) { return nullptr; }), BadConfig);
-  EXPECT_THROW(readConfig([](const char*) { return "/nonexistent/config.json"; }), BadConfig);
+  EXPECT_THROW(readConfig([](const char*) { return nullptr; }), ConfigError);
+  EXPECT_THROW(readConfig([](const char*) { return "/nonexistent/config.json"; }), ConfigError);
   const std::string path = ::testing::TempDir() + "broken_config.json";
   std::ofstream(path) << "{";
-  EXPECT_THROW(readConfig([&](const char*) { return path.c_str(); }), BadConfig);
+  EXPECT_THROW(readConfig([&](const char*) { return path.c_str(); }), ConfigError);
   std::remove(path.c_str());
 }
 
@@ -250,7 +250,7 @@
   try {
     readConfig(toml.environment());
     FAIL() << "taken";
-  } catch (const BadConfig& bad) {
+  } catch (const ConfigError& bad) {
     EXPECT_EQ(std::string(bad.what()).find('\n'), std::string::npos) << "one line";
   }
 }
@@ -295,6 +295,31 @@
   EXPECT_EQ(shown["class[0].give_up_ms"].value, "1000.5");
 }
 
+TEST(ConfigError, OfAFileHasCodeKeyAndLocationOfTheFirstError) {
+  TomlFile toml(std::string("fleet.number = 7\n") + "listen = \"nowhere\"\n");
+  try {
+    readConfig(toml.environment());
+    FAIL() << "accepted";
+  } catch (const ConfigError& error) {
+    EXPECT_EQ(error.code(), ConfigErrorCode::malformedValue);
+    EXPECT_EQ(error.key(), "listen");
+    EXPECT_EQ(error.location(), toml.path + ":2");
+  }
+}
+
+TEST(ConfigError, OfASettingHasCodeKeyAndTheFile) {
+  TomlFile toml(std::string("seed = \"xyz\"\n") + kToml);
+  try {
+    readConfig(toml.environment());
+    FAIL() << "accepted";
+  } catch (const ConfigError& error) {
+    EXPECT_EQ(error.code(), ConfigErrorCode::malformedValue);
+    EXPECT_EQ(error.key(), "seed");
+    EXPECT_EQ(error.location(), toml.path);
+    EXPECT_STREQ(error.what(), "seed: 'xyz' is no hexadecimal number");
+  }
+}
+
 TEST(Toml, ANewFileIsTakenWholeOrNotAtAll) {
   TomlFile toml(kToml);
   const Config running = readConfig(toml.environment());
@@ -303,7 +328,7 @@
        {std::string(), whole.substr(0, whole.find("[[class]]")), whole.substr(0, whole.find("give_up_ms")),
         whole + "worth = -1\n", std::string(whole).replace(whole.find("gateways = 3"), 12, "")}) {
     toml.write(bad);
-    EXPECT_THROW(readConfig(toml.environment(), &running), BadConfig) << bad;
+    EXPECT_THROW(readConfig(toml.environment(), &running), ConfigError) << bad;
   }
   toml.write(whole + "worth = 2\n");
   EXPECT_EQ(readConfig(toml.environment(), &running).module.classes[0].priorityWeight, 2);
--- a/tests/management_test.cpp
+++ b/tests/management_test.cpp
@@ -229,7 +229,7 @@
   const auto broken = [&](const char* why, auto change) {
     json file = config;
     change(file);
-    EXPECT_THROW(parseConfig(file, noVariables, &running), BadConfig) << why;
+    EXPECT_THROW(parseConfig(file, noVariables, &running), ConfigError) << why;
   };
   broken("no deadline", [](json& f) { f["settings"]["grades"][1].erase("giveUpNs"); });
   broken("no class", [](json& f) { f["settings"]["grades"] = json::array(); });
--- a/tests/membership_transport_test.cpp
+++ b/tests/membership_transport_test.cpp
@@ -162,16 +162,16 @@
   for (const char* key : {"fleet", "region"}) {
     json c = memberConfig("one", {});
     c["membership"][key] = std::string(10000, 'x');
-    EXPECT_THROW(parsed(c), BadConfig) << key;
+    EXPECT_THROW(parsed(c), ConfigError) << key;
   }
   json c = memberConfig(std::string(10000, 'x'), {});
-  EXPECT_THROW(parsed(c), BadConfig);
+  EXPECT_THROW(parsed(c), ConfigError);
   c = memberConfig("one", {"[::1]:5"});  // a record holds IPv4
-  EXPECT_THROW(parsed(c), BadConfig);
+  EXPECT_THROW(parsed(c), ConfigError);
   c = memberConfig("one", {"nowhere"});
-  EXPECT_THROW(parsed(c), BadConfig);
+  EXPECT_THROW(parsed(c), ConfigError);
   c = memberConfig("", {});
-  EXPECT_THROW(parsed(c), BadConfig);
+  EXPECT_THROW(parsed(c), ConfigError);
 }
 
 TEST_F(FleetLinkTest, AFloodOfDatagramsLeavesItServing) {
--- a/tests/sites_test.cpp
+++ b/tests/sites_test.cpp
@@ -106,8 +106,8 @@
   for (const auto& [what, spoil] : wrong) {
     json bad = config;
     spoil(bad);
-    EXPECT_THROW(parseConfig(bad, noVariables, &running), BadConfig) << what;
-    EXPECT_THROW(parsed(bad), BadConfig) << what << ", at the start";
+    EXPECT_THROW(parseConfig(bad, noVariables, &running), ConfigError) << what;
+    EXPECT_THROW(parsed(bad), ConfigError) << what << ", at the start";
   }
   EXPECT_EQ(ask(text("read")).result_int(), 200u);
 }
