--- a/src/main.cpp
+++ b/src/main.cpp
@@ -15,8 +15,8 @@
 #include <vector>
 
 #include "gateway/config.hpp"
+#include "gateway/config_printer.hpp"
 #include "gateway/gateway.hpp"
-#include "gateway/keys.hpp"
 #include "gateway/ops_client.hpp"
 
 namespace {
@@ -39,7 +39,7 @@
     log.set(running.log);
     warn(running, log);
     log.write(LogLevel::info, "configuration", "configuration reloaded");
-  } catch (const std::exception& bad) {  // BadConfig, or what the system refuses
+  } catch (const std::exception& bad) {  // ConfigError, or what the system refuses
     gateway.reloadFailed();
     log.write(LogLevel::error, "configuration", std::string("configuration not reloaded: ") + bad.what());
   }
@@ -76,30 +76,31 @@
 }
 
 // Prints what is wrong with the file, all of it; the file as read, if nothing is.
-bool good(const Environment& environment, ReadFile& file) {
+bool good(const Environment& environment, ParsedConfigFile& file) {
   const char* path = environment("GW_CONFIG");
   if (!path)
-    throw BadConfig("no file: name one with --config or GW_CONFIG");
-  file = readFile(path);
+    throw ConfigError(ConfigErrorCode::missingKey, "GW_CONFIG",
+                      "no file: name one with --config or GW_CONFIG");
+  file = readConfigFile(path);
   for (const auto& [key, variable] :
        {std::pair("listen", "GW_LISTEN"), std::pair("discovery", "GW_DISCOVERY")})
-    if (file.faults.empty() && !environment(variable) && !file.json.contains(key))
-      file.faults.push_back({path, key, "is missing, and " + std::string(variable) + " is not set"});
-  if (file.faults.empty())
+    if (file.errors.empty() && !environment(variable) && !file.json.contains(key))
+      file.errors.push_back({path, key, "is missing, and " + std::string(variable) + " is not set"});
+  if (file.errors.empty())
     try {
       parseConfig(file.json, environment);
-    } catch (const BadConfig& bad) {
-      file.faults.push_back({path, "configuration", bad.what()});
+    } catch (const ConfigError& bad) {
+      file.errors.push_back({path, "configuration", bad.what()});
     }
-  for (const Remark& warning : file.warnings)
+  for (const Diagnostic& warning : file.warnings)
     std::cerr << "warning: " << warning.text() << '\n';
-  for (const Remark& fault : file.faults)
+  for (const Diagnostic& fault : file.errors)
     std::cerr << fault.text() << '\n';
-  return file.faults.empty();
+  return file.errors.empty();
 }
 
 int check(const Environment& environment) {
-  ReadFile file;
+  ParsedConfigFile file;
   if (!good(environment, file))
     return kWrong;
   std::cout << environment("GW_CONFIG") << ": good\n";
@@ -107,10 +108,10 @@
 }
 
 int showAll(const Environment& environment) {
-  ReadFile file;
+  ParsedConfigFile file;
   if (!good(environment, file))
     return kWrong;
-  std::cout << textOf(show(parseConfig(file.json, environment), file, environment));
+  std::cout << tomlText(effectiveSettings(parseConfig(file.json, environment), file, environment));
   return 0;
 }
 
@@ -180,7 +181,7 @@
     if (command != serve)
       std::signal(SIGHUP, SIG_DFL);
     return command(environment);
-  } catch (const BadConfig& bad) {
+  } catch (const ConfigError& bad) {
     std::cerr << "hollyrun: " << bad.what() << '\n';
     return kWrong;
   } catch (const std::exception& bad) {
