--- a/src/lab/commands/commands.hpp
+++ b/src/lab/commands/commands.hpp
@@ -20,8 +20,8 @@
 std::unique_ptr<Command> addMembersCommand(CLI::App& app);
 /// `commandLine` is kept with the results: runs of the same command line are rounds of one.
 std::unique_ptr<Command> addScaleCommand(CLI::App& app, const std::string& commandLine);
-std::unique_ptr<Command> addHollowServersCommand(CLI::App& app);
-std::unique_ptr<Command> addHollowGatewaysCommand(CLI::App& app);
+std::unique_ptr<Command> addStubServersCommand(CLI::App& app);
+std::unique_ptr<Command> addStubGatewaysCommand(CLI::App& app);
 std::unique_ptr<Command> addSoakCommand(CLI::App& app);
 std::unique_ptr<Command> addCostCommand(CLI::App& app);
 
--- a/src/lab/commands/fleet_command.cpp
+++ b/src/lab/commands/fleet_command.cpp
@@ -6,7 +6,7 @@
 #include "lab/commands/exit_codes.hpp"
 #include "lab/commands/process_options.hpp"
 #include "lab/commands/text_file.hpp"
-#include "lab/rig/fleet.hpp"
+#include "lab/testbed/fleet.hpp"
 
 namespace hollyrun::lab {
 namespace {
--- a/src/lab/commands/load_command.cpp
+++ b/src/lab/commands/load_command.cpp
@@ -14,8 +14,8 @@
 #include "lab/commands/periodic_task.hpp"
 #include "lab/commands/process_options.hpp"
 #include "lab/report/report.hpp"
-#include "lab/rig/load.hpp"
-#include "lab/rig/platform.hpp"
+#include "lab/testbed/load.hpp"
+#include "lab/testbed/platform.hpp"
 
 namespace hollyrun::lab {
 namespace {
--- a/src/lab/commands/scale_command.cpp
+++ b/src/lab/commands/scale_command.cpp
@@ -14,9 +14,9 @@
 #include "lab/commands/commands.hpp"
 #include "lab/commands/exit_codes.hpp"
 #include "lab/report/store.hpp"
-#include "lab/rig/scale.hpp"
-#include "lab/rig/scale_plan.hpp"
-#include "lab/rig/scale_rig.hpp"
+#include "lab/testbed/scale.hpp"
+#include "lab/testbed/scale_plan.hpp"
+#include "lab/testbed/scale_testbed.hpp"
 
 namespace hollyrun::lab {
 namespace {
@@ -24,8 +24,8 @@
 const std::map<Dimension, const char*>& helpOfSizes() {
   static const std::map<Dimension, const char*> all{
       {Dimension::gateways, "real gateways, processes of their own"},
-      {Dimension::hollow, "gateways without clients, 52 to a process"},
-      {Dimension::servers, "hollow servers, each at an address of its own"},
+      {Dimension::stubs, "gateways without clients, 52 to a process"},
+      {Dimension::servers, "stub servers, each at an address of its own"},
       {Dimension::tenants, "tenants of the settings and of the load"},
       {Dimension::classes, "classes of the settings and of the load; 0: the scenario's own"},
       {Dimension::rate, "requests a second at each real gateway"},
@@ -63,7 +63,7 @@
   return all;
 }
 
-/// `scale`: what a gateway costs by the size of its fleet, on processes. It starts the hollow commands.
+/// `scale`: what a gateway costs by the size of its fleet, on processes. It starts the stub commands.
 class ScaleCommand final : public Command {
  public:
   ScaleCommand(CLI::App& app, std::string commandLine);
@@ -108,13 +108,13 @@
   options.add_option("--idle", plan_.idleS, "seconds without requests")->capture_default_str();
   options.add_option("--for", plan_.loadS, "seconds of each load")->capture_default_str();
   options.add_option("--warm", plan_.warmS, "seconds of a load before it")->capture_default_str();
-  options.add_option("--answer-ms", plan_.answerMs, "until a hollow server answers")->capture_default_str();
+  options.add_option("--answer-ms", plan_.answerMs, "until a stub server answers")->capture_default_str();
   options.add_option("--hangups", plan_.hangups, "SIGHUPs a step")->capture_default_str();
 }
 
 void ScaleCommand::addFleetOptions() {
   CLI::App& options = subcommand();
-  options.add_option("--list-changes", plan_.listChanges, "followed to all hollow gateways")
+  options.add_option("--list-changes", plan_.listChanges, "followed to all stub gateways")
       ->capture_default_str();
   options
       .add_option("--outage", plan_.outageS, "seconds of discovery before its watches begin anew; 0: none")
--- a/src/lab/commands/serve_command.cpp
+++ b/src/lab/commands/serve_command.cpp
@@ -12,8 +12,8 @@
 #include "lab/commands/periodic_task.hpp"
 #include "lab/commands/process_options.hpp"
 #include "lab/commands/text_file.hpp"
-#include "lab/rig/fleet.hpp"
-#include "lab/rig/platform.hpp"
+#include "lab/testbed/fleet.hpp"
+#include "lab/testbed/platform.hpp"
 
 namespace hollyrun::lab {
 namespace {
--- a/src/lab/commands/soak_command.cpp
+++ b/src/lab/commands/soak_command.cpp
@@ -27,13 +27,13 @@
   std::printf(
       "seed %llu: %s, %zu requests, %zu served, %zu refused, %zu troubles, loop late %.0f ms at most\n",
       static_cast<unsigned long long>(seed), nameOf(result.verdict), result.requests, result.served,
-      result.refused, result.troubles.size(), result.lagMs);
+      result.refused, result.soakFaults.size(), result.lagMs);
   for (const SoakBreak& one : result.breaks)
     std::printf("  %s %s: %s\n", std::string(lab::nameOf(one.rule)).c_str(), one.request.c_str(),
                 one.text.c_str());
   if (result.verdict == SoakVerdict::broken)
-    for (std::size_t i = 0; i < result.troubles.size(); ++i)
-      std::printf("  trouble %zu: %s\n", i, textOf(result.troubles[i]).c_str());
+    for (std::size_t i = 0; i < result.soakFaults.size(); ++i)
+      std::printf("  trouble %zu: %s\n", i, textOf(result.soakFaults[i]).c_str());
   if (!result.folder.empty())
     std::printf("  logs in %s\n", result.folder.c_str());
   std::fflush(stdout);
@@ -77,15 +77,15 @@
     print(plan_.seed, result);
     broken += result.verdict == SoakVerdict::broken ? 1 : 0;
     voided += result.verdict == SoakVerdict::voided ? 1 : 0;
-    for (const SoakTrouble& trouble : result.troubles)
-      ++kinds[lab::nameOf(trouble.kind)];
-    for (const auto& [pair, count] : overlaps(result.troubles))
+    for (const SoakFault& soakFault : result.soakFaults)
+      ++kinds[lab::nameOf(soakFault.kind)];
+    for (const auto& [pair, count] : overlaps(result.soakFaults))
       pairs[pair] += count;
   }
   for (const auto& [kind, count] : kinds)
     std::printf("%6zu %s\n", count, kind.c_str());
   std::printf("%zu of %zu pairs of kinds overlapped\n", pairs.size(),
-              kTroubleKinds * (kTroubleKinds + 1) / 2);
+              kSoakFaultKinds * (kSoakFaultKinds + 1) / 2);
   std::printf("%llu seeds: %zu broken, %zu void\n", static_cast<unsigned long long>(seeds_), broken, voided);
   return broken > 0 ? kExitRuleBroken : voided > 0 ? kExitVoid : kExitSuccess;
 }
--- a/src/lab/commands/hollow_commands.cpp
+++ b/src/lab/commands/stub_commands.cpp
@@ -1,17 +1,17 @@
 #include <csignal>
 
 #include "lab/commands/commands.hpp"
-#include "lab/rig/hollow_gateway.hpp"
-#include "lab/rig/hollow_server.hpp"
+#include "lab/testbed/stub_gateway.hpp"
+#include "lab/testbed/stub_server.hpp"
 
 namespace hollyrun::lab {
 namespace {
 
-/// `hollow-servers`: the process of servers that `scale` starts.
-class HollowServersCommand final : public Command {
+/// `stub-servers`: the process of servers that `scale` starts.
+class StubServersCommand final : public Command {
  public:
-  explicit HollowServersCommand(CLI::App& app)
-      : Command(app, "hollow-servers", "started by `scale`: servers that do no work") {
+  explicit StubServersCommand(CLI::App& app)
+      : Command(app, "stub-servers", "started by `scale`: servers that do no work") {
     subcommand().add_option("--first-address", plan_.firstAddress)->required();
     subcommand().add_option("--count", plan_.count)->required();
     subcommand().add_option("--answer-ms", plan_.answerMs)->required();
@@ -19,18 +19,18 @@
 
   int run() override {
     std::signal(SIGPIPE, SIG_IGN);  // a peer that left shows as an error of the write
-    return runHollowServers(plan_);
+    return runStubServers(plan_);
   }
 
  private:
-  HollowServerPlan plan_;
+  StubServerPlan plan_;
 };
 
-/// `hollow-gateways`: a process of gateways that `scale` starts.
-class HollowGatewaysCommand final : public Command {
+/// `stub-gateways`: a process of gateways that `scale` starts.
+class StubGatewaysCommand final : public Command {
  public:
-  explicit HollowGatewaysCommand(CLI::App& app)
-      : Command(app, "hollow-gateways", "started by `scale`: gateways without clients") {
+  explicit StubGatewaysCommand(CLI::App& app)
+      : Command(app, "stub-gateways", "started by `scale`: gateways without clients") {
     subcommand().add_option("--first", plan_.first)->required();
     subcommand().add_option("--count", plan_.count)->required();
     subcommand().add_option("--config", plan_.config)->required();
@@ -40,21 +40,21 @@
 
   int run() override {
     std::signal(SIGPIPE, SIG_IGN);  // a peer that left shows as an error of the write
-    return runHollowGateways(plan_);
+    return runStubGateways(plan_);
   }
 
  private:
-  HollowGatewayPlan plan_;
+  StubGatewayPlan plan_;
 };
 
 }  // namespace
 
-std::unique_ptr<Command> addHollowServersCommand(CLI::App& app) {
-  return std::make_unique<HollowServersCommand>(app);
+std::unique_ptr<Command> addStubServersCommand(CLI::App& app) {
+  return std::make_unique<StubServersCommand>(app);
 }
 
-std::unique_ptr<Command> addHollowGatewaysCommand(CLI::App& app) {
-  return std::make_unique<HollowGatewaysCommand>(app);
+std::unique_ptr<Command> addStubGatewaysCommand(CLI::App& app) {
+  return std::make_unique<StubGatewaysCommand>(app);
 }
 
 }  // namespace hollyrun::lab
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -33,8 +33,8 @@
   commands.push_back(addFleetCommand(app));
   commands.push_back(addMembersCommand(app));
   commands.push_back(addScaleCommand(app, commandLine));
-  commands.push_back(addHollowServersCommand(app));
-  commands.push_back(addHollowGatewaysCommand(app));
+  commands.push_back(addStubServersCommand(app));
+  commands.push_back(addStubGatewaysCommand(app));
   commands.push_back(addSoakCommand(app));
   commands.push_back(addCostCommand(app));
   return commands;
--- a/src/lab/report/experiment.hpp
+++ b/src/lab/report/experiment.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "lab/simulation/scenario.hpp"
-#include "lab/simulation/world.hpp"
+#include "lab/simulation/simulation.hpp"
 
 namespace hollyrun::lab {
 
--- a/src/lab/report/report.hpp
+++ b/src/lab/report/report.hpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "lab/report/store.hpp"
-#include "lab/simulation/world.hpp"
+#include "lab/simulation/simulation.hpp"
 
 namespace hollyrun::lab {
 
--- a/src/lab/report/store.hpp
+++ b/src/lab/report/store.hpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "lab/rig/scale_figures.hpp"
-#include "lab/simulation/world.hpp"
+#include "lab/simulation/simulation.hpp"
+#include "lab/testbed/scale_figures.hpp"
 
 struct sqlite3;
 
--- a/src/lab/simulation/checker.hpp
+++ b/src/lab/simulation/checker.hpp
@@ -43,7 +43,7 @@
   void served(std::uint64_t request, Time now = {});
   /// The gateway is gone and owes nothing more.
   void released(std::uint64_t request) { open_.erase(request); }
-  /// The rig ended the process that had taken it, or holds it up: nothing is owed any more, and what that
+  /// The testbed ended the process that had taken it, or holds it up: nothing is owed any more, and what that
   /// process sends for it later, not knowing, is held against nobody.
   void excused(std::uint64_t request);
   /// To be called once the answer's time is over.
--- a/src/lab/simulation/policy.cpp
+++ b/src/lab/simulation/policy.cpp
@@ -41,8 +41,8 @@
 // by a part of their draws, send again while the class permits, and differ in the host that they choose.
 class Plain : public Policy {
  public:
-  Plain(const Settings& settings, const Truth& truth)
-      : set_(settings), truth_(truth), random_(settings.seed, "plain") {}
+  Plain(const Settings& settings, const OmniscientView& view)
+      : set_(settings), view_(view), random_(settings.seed, "plain") {}
 
   void onSettings(Time, const Settings& settings) override { set_ = settings; }
   void onEndpoints(Time, EndpointListKind kind, const std::vector<Endpoint>& entries) override {
@@ -118,7 +118,7 @@
                         Time deadline) = 0;
 
   Settings set_;
-  const Truth& truth_;
+  const OmniscientView& view_;
   Stream random_;
   std::vector<Known> hosts_;
 
@@ -234,7 +234,7 @@
 
 // Sees the true state: the server that would be done first, of those that are not crowded. A jammed one
 // rests. The lesser classes go first: the more a request is worth, the fuller a server may be that takes it.
-class TruthPolicy final : public Plain {
+class OmniscientPolicy final : public Plain {
  public:
   using Plain::Plain;
   HostId choose(Time now, const std::vector<HostId>& from, const ClassSettings& set, Time deadline) override {
@@ -246,7 +246,7 @@
                             std::chrono::duration<double>(set.latencyObjective).count());
     HostId best = kNone;
     for (HostId id : from) {
-      const Truth::State state = truth_.look(hosts_[id].entry.address, kWork);
+      const OmniscientView::State state = view_.look(hosts_[id].entry.address, kWork);
       if (state.jammed || state.held >= full || state.seconds >= first)
         continue;
       first = state.seconds;
@@ -261,20 +261,20 @@
 };
 
 template <class Kind>
-std::unique_ptr<Policy> plain(const Settings& settings, Time, const Truth& truth) {
-  return std::make_unique<Kind>(settings, truth);
+std::unique_ptr<Policy> plain(const Settings& settings, Time, const OmniscientView& view) {
+  return std::make_unique<Kind>(settings, view);
 }
 
 const std::map<std::string, PolicyMaker>& makers() {
   static const std::map<std::string, PolicyMaker> all{
       {"module",
-       [](const Settings& s, Time now, const Truth&) -> std::unique_ptr<Policy> {
+       [](const Settings& s, Time now, const OmniscientView&) -> std::unique_ptr<Policy> {
          return std::make_unique<ModulePolicy>(s, now);
        }},
       {"random", plain<RandomPolicy>},
       {"least", plain<LeastPolicy>},
       {"two", plain<TwoPolicy>},
-      {"truth", plain<TruthPolicy>}};
+      {"truth", plain<OmniscientPolicy>}};
   return all;
 }
 
--- a/src/lab/simulation/policy.hpp
+++ b/src/lab/simulation/policy.hpp
@@ -28,9 +28,9 @@
 };
 
 /// The true state of the servers, for the policy that sees it.
-class Truth {
+class OmniscientView {
  public:
-  virtual ~Truth() = default;
+  virtual ~OmniscientView() = default;
   struct State {
     double seconds = 0;  // until a request sent now would be served; infinite if it would not be
     double held = 0;     // a core
@@ -41,7 +41,7 @@
 };
 
 using PolicyMaker =
-    std::function<std::unique_ptr<Policy>(const balancer::Settings&, balancer::Time, const Truth&)>;
+    std::function<std::unique_ptr<Policy>(const balancer::Settings&, balancer::Time, const OmniscientView&)>;
 
 /// module, random, least, two, truth. Throws std::invalid_argument on another name.
 PolicyMaker policyNamed(const std::string& name);
--- a/src/lab/simulation/scenario.cpp
+++ b/src/lab/simulation/scenario.cpp
@@ -239,9 +239,9 @@
   s.classes.push_back(c);
 }
 
-void readTrouble(const toml::table* table, std::size_t at, Scenario& s, Faults& faults) {
+void readFaultSpec(const toml::table* table, std::size_t at, Scenario& s, Faults& faults) {
   Section in(table, "trouble[" + std::to_string(at) + "].", faults);
-  Trouble t;
+  FaultSpec t;
   in.text("kind", t.kind,
           {"slow", "pauses", "deploy", "zone", "cut", "kill", "silence", "resets", "errors", "lost_answers",
            "settings", "surge", "late_lists"});
@@ -258,7 +258,7 @@
   in.text("effect", t.idempotency, {"safe", "keyed", "unsafe"});
   in.text("class", t.className);
   in.done();
-  s.troubles.push_back(t);
+  s.faultSpecs.push_back(t);
 }
 
 void readFault(const toml::table* table, std::size_t at, Scenario& s, Faults& faults) {
@@ -415,7 +415,7 @@
   };
   list("kind", s.kinds, readKind);
   list("class", s.classes, readClass);
-  list("trouble", s.troubles, readTrouble);
+  list("trouble", s.faultSpecs, readFaultSpec);
   list("fault", s.faults, readFault);
   section("membership", [&](Section& in) {
     in.number("period_ms", s.membershipPeriodMs, 0, 60000);
@@ -452,8 +452,8 @@
     faults.lines.push_back(s.file + ": kind: at least one [[kind]] is needed");
   if (s.classes.empty())
     faults.lines.push_back(s.file + ": class: at least one [[class]] is needed");
-  for (std::size_t i = 0; i < s.troubles.size(); ++i) {
-    const Trouble& t = s.troubles[i];
+  for (std::size_t i = 0; i < s.faultSpecs.size(); ++i) {
+    const FaultSpec& t = s.faultSpecs[i];
     const auto fault = [&](const std::string& key, const std::string& what) {
       faults.lines.push_back(t.place + ": trouble[" + std::to_string(i) + "]." + key + ": " + what);
     };
--- a/src/lab/simulation/scenario.hpp
+++ b/src/lab/simulation/scenario.hpp
@@ -45,7 +45,7 @@
   Range attemptNoise = 0;  // cv between attempts of one request
 };
 
-struct Trouble {
+struct FaultSpec {
   std::string kind;
   Range chance = 1;  // that it happens
   Range atS = 0, lengthS = 0, part = 0, size = 0, everyS = 1;
@@ -53,7 +53,7 @@
   std::string place;                         // file and line
 };
 
-/// What the rig does to real processes, to the platform's servers or to discovery at a time of its day.
+/// What the testbed does to real processes, to the platform's servers or to discovery at a time of its day.
 struct Fault {
   std::string kind;
   double atS = 0, lengthS = 0, size = 1;
@@ -99,7 +99,7 @@
 
   std::vector<MachineKind> kinds;
   std::vector<RequestClass> classes;
-  std::vector<Trouble> troubles;
+  std::vector<FaultSpec> faultSpecs;
 
   std::vector<Fault> faults;      // of `fleet` alone
   double expectGoodput = 0;       // of `fleet`: less is a failed check
--- a/src/lab/simulation/world.cpp
+++ b/src/lab/simulation/simulation.cpp
@@ -1,4 +1,4 @@
-#include "lab/simulation/world.hpp"
+#include "lab/simulation/simulation.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -27,7 +27,7 @@
 constexpr std::size_t kSaidMost = 500;
 constexpr std::uint32_t kNobody = UINT32_MAX;
 
-enum class Happens : std::uint8_t {
+enum class EventKind : std::uint8_t {
   clientTry,   // a: call
   arrive,      // a: try, reaches its gateway
   due,         // a: try, its answer's time is over
@@ -45,7 +45,7 @@
 struct Event {
   Time at;
   std::uint64_t order;
-  Happens what;
+  EventKind what;
   std::uint32_t a, b;
   bool operator>(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
 };
@@ -115,9 +115,9 @@
   Endpoint entry;
 };
 
-class World final : public Truth {
+class Simulation final : public OmniscientView {
  public:
-  World(const Scenario& scenario, std::uint64_t seed, const PolicyMaker& maker)
+  Simulation(const Scenario& scenario, std::uint64_t seed, const PolicyMaker& maker)
       : s_(scenario),
         seed_(seed),
         maker_(maker),
@@ -125,7 +125,7 @@
         fleet_(scenario, seed),
         network_(seed, "network"),
         notices_(seed, "notices"),
-        trouble_(seed, "trouble"),
+        faultSpec_(seed, "trouble"),
         between_(seed, "between"),
         checker_({millis(s_.answerSlackMs), millis(s_.drainGraceMs), s_.secondCopies, {}}) {}
 
@@ -134,16 +134,16 @@
     drawDay();
     drawServers();
     drawGateways();
-    drawTroubles();
+    drawFaults();
     drawArrivals();
-    at(kStart, Happens::sample);
+    at(kStart, EventKind::sample);
     const Time last = kStart + secs(s_.lengthS) + secs(d_.longest + 1);
     while (!events_.empty() && events_.top().at <= last) {
       const Event e = events_.top();
       events_.pop();
       now_ = e.at;
       ++result_.events;
-      happen(e);
+      dispatch(e);
     }
     settle();
     result_.digest = digest_.value();
@@ -168,12 +168,12 @@
   static Duration millis(double ms) { return lab::seconds(ms / 1000); }
   double sinceStart(Time t) const { return inSeconds(t - kStart); }
 
-  void at(Time when, Happens what, std::uint32_t a = 0, std::uint32_t b = 0) {
+  void at(Time when, EventKind what, std::uint32_t a = 0, std::uint32_t b = 0) {
     events_.push({std::max(when, now_), order_++, what, a, b});
   }
   void at(Time when, std::function<void()> call) {
     calls_.push_back(std::move(call));
-    at(when, Happens::call, static_cast<std::uint32_t>(calls_.size() - 1));
+    at(when, EventKind::call, static_cast<std::uint32_t>(calls_.size() - 1));
   }
   /// When a gateway handles what reaches it then: its next tick.
   Time door(Time when) const {
@@ -216,7 +216,7 @@
     kindOf_.push_back(kind);
     machines_.push_back(std::move(m));
     machines_.back().server.advance(now_);
-    at(std::max(now_, kStart) + Duration(kServerTick.count() * (number % 16) / 16), Happens::tick, number);
+    at(std::max(now_, kStart) + Duration(kServerTick.count() * (number % 16) / 16), EventKind::tick, number);
     ServerRecord record;
     record.address = machines_.back().entry.address;
     record.zone = s_.zones[zone];
@@ -259,7 +259,7 @@
       c.value = d_.classes[c.cls].set.priorityWeight * c.work;
       c.left = static_cast<std::uint8_t>(d_.retries);
       clientCalls_.push_back(c);
-      at(c.first, Happens::clientTry, static_cast<std::uint32_t>(clientCalls_.size() - 1));
+      at(c.first, EventKind::clientTry, static_cast<std::uint32_t>(clientCalls_.size() - 1));
     }
     result_.seconds.resize(static_cast<std::size_t>(std::ceil(s_.lengthS)));
   }
@@ -305,7 +305,7 @@
     const Time arrives = door(now_ + secs(d_.clientHop));
     t.deadline = arrives + left;
     tries_.push_back(t);
-    at(arrives, Happens::arrive, static_cast<std::uint32_t>(tries_.size() - 1));
+    at(arrives, EventKind::arrive, static_cast<std::uint32_t>(tries_.size() - 1));
   }
 
   void leave(Call& c, bool refused) {
@@ -322,7 +322,7 @@
     if (!wait)
       return leave(c, refused);
     --c.left;
-    at(now_ + secs(*wait), Happens::clientTry, id);
+    at(now_ + secs(*wait), EventKind::clientTry, id);
   }
 
   std::uint32_t sizeFor(std::uint32_t g) const {
@@ -470,7 +470,7 @@
     const Call& c = clientCalls_[t.call];
     checker_.taken(id + 1, settings_.classes[c.cls], t.deadline);
     w.open.push_back(id);
-    at(t.deadline + millis(s_.answerSlackMs) + Duration(1), Happens::due, id);
+    at(t.deadline + millis(s_.answerSlackMs) + Duration(1), EventKind::due, id);
     Request q;
     q.id = id + 1;
     q.classIndex = c.cls;
@@ -549,7 +549,7 @@
         break;
       }
       case ActionKind::wake:
-        at(door(std::max(a.wakeAt, now_ + Duration(1))), Happens::wake, g, w.life);
+        at(door(std::max(a.wakeAt, now_ + Duration(1))), EventKind::wake, g, w.life);
         break;
       case ActionKind::log:
         if (result_.said.size() < kSaidMost)
@@ -607,7 +607,7 @@
     Attempt& made = attempts_.back();
     if (t.ended || t.attempts > settings_.maxAttempts || action.timeLimit < Duration(0)) {
       made.outcome = Outcome::abandoned;
-      return at(door(now_ + Duration(1)), Happens::atGateway, number);
+      return at(door(now_ + Duration(1)), EventKind::atGateway, number);
     }
     secondOf(now_).attempts += 1;
     ++result_.attempts;
@@ -615,7 +615,7 @@
       crossed_ += gateways_[g].zone != m.zone;
     const Duration limit =
         std::min(action.timeLimit > Duration(0) ? action.timeLimit : t.deadline - now_, t.deadline - now_);
-    at(door(now_ + std::max(limit, Duration(1))), Happens::timeout, number);
+    at(door(now_ + std::max(limit, Duration(1))), EventKind::timeout, number);
     if (server >= w.pools.size())
       w.pools.resize(machines_.size());
     Pool& pool = w.pools[server];
@@ -631,24 +631,24 @@
       made.connected = true;
       pool.idle.pop_back();
       if (reachable(g, m))
-        at(now_ + hop(g, m), Happens::atServer, number);
+        at(now_ + hop(g, m), EventKind::atServer, number);
       return;
     }
     pool.epoch = m.epoch;
     made.fresh = true;
     if (!reachable(g, m)) {
       made.outcome = Outcome::connectFailed;
-      return at(door(now_ + millis(s_.connectTimeoutMs)), Happens::atGateway, number);
+      return at(door(now_ + millis(s_.connectTimeoutMs)), EventKind::atGateway, number);
     }
     const Duration trip = hop(g, m) + hop(g, m);
     if (!m.up || static_cast<double>(m.server.connections) >= m.server.figures().connectionCap) {
       made.outcome = Outcome::connectFailed;
-      return at(door(now_ + trip), Happens::atGateway, number);
+      return at(door(now_ + trip), EventKind::atGateway, number);
     }
     ++result_.connections;
     made.connected = true;
     m.server.connections += 1;
-    at(now_ + secs(inSeconds(trip) * d_.handshakeRtts) + hop(g, m), Happens::atServer, number);
+    at(now_ + secs(inSeconds(trip) * d_.handshakeRtts) + hop(g, m), EventKind::atServer, number);
   }
 
   void respond(std::uint32_t id, Outcome outcome) {
@@ -659,7 +659,7 @@
     if (a.swallowed || !reachable(g, machines_[a.server]))
       return;  // on its way
     a.outcome = outcome;
-    at(door(now_ + hop(g, machines_[a.server])), Happens::atGateway, id);
+    at(door(now_ + hop(g, machines_[a.server])), EventKind::atGateway, id);
   }
 
   void atServer(std::uint32_t id) {
@@ -732,7 +732,7 @@
     Machine& m = machines_[server];
     ++m.turn;
     if (const auto end = m.server.nextEnd())
-      at(std::max(*end, now_), Happens::serverDone, server, m.turn);
+      at(std::max(*end, now_), EventKind::serverDone, server, m.turn);
   }
 
   // The gateway closes the attempt's connection; waiting work may be dropped for it.
@@ -851,7 +851,7 @@
       Time when = now_ + secs(notices_.uniform(0, spread));
       when = door(std::max(when, gateways_[g].lastTold));
       gateways_[g].lastTold = when;
-      at(when, Happens::tell, g, static_cast<std::uint32_t>(changes_.size() - 1));
+      at(when, EventKind::tell, g, static_cast<std::uint32_t>(changes_.size() - 1));
     }
   }
   void publishLater(Duration in, std::uint32_t server, EndpointState state, Time upSince) {
@@ -895,7 +895,7 @@
   std::vector<std::uint32_t> some(double part, const std::vector<std::uint32_t>& from) {
     std::vector<std::uint32_t> all = from;
     for (std::size_t i = all.size(); i > 1; --i)
-      std::swap(all[i - 1], all[trouble_.below(i)]);
+      std::swap(all[i - 1], all[faultSpec_.below(i)]);
     all.resize(std::min<std::size_t>(
         all.size(),
         static_cast<std::size_t>(std::max(1.0, std::round(part * static_cast<double>(from.size()))))));
@@ -924,16 +924,16 @@
       });
   }
 
-  void drawTroubles() {
-    for (const Trouble& t : s_.troubles) {
-      const double from = t.atS.draw(trouble_), length = t.lengthS.draw(trouble_),
-                   part = t.part.draw(trouble_);
-      const double size = t.size.draw(trouble_), every = t.everyS.draw(trouble_);
-      std::uint32_t zone = static_cast<std::uint32_t>(trouble_.below(s_.zones.size()));
+  void drawFaults() {
+    for (const FaultSpec& t : s_.faultSpecs) {
+      const double from = t.atS.draw(faultSpec_), length = t.lengthS.draw(faultSpec_),
+                   part = t.part.draw(faultSpec_);
+      const double size = t.size.draw(faultSpec_), every = t.everyS.draw(faultSpec_);
+      std::uint32_t zone = static_cast<std::uint32_t>(faultSpec_.below(s_.zones.size()));
       for (std::uint32_t z = 0; z < s_.zones.size(); ++z)
         if (s_.zones[z] == t.zone)
           zone = z;
-      const bool happens = trouble_.chance(t.chance.draw(trouble_));
+      const bool happens = faultSpec_.chance(t.chance.draw(faultSpec_));
       if (!happens)
         continue;
       const double to = from + length;
@@ -944,7 +944,7 @@
         });
       } else if (t.kind == "pauses") {
         for (std::uint32_t i : some(part, firstServers()))
-          for (double when = from + every * trouble_.unit(); when < to; when += every) {
+          for (double when = from + every * faultSpec_.unit(); when < to; when += every) {
             pauseAt(i, when, true);
             pauseAt(i, when + size / 1000, false);
           }
@@ -984,14 +984,14 @@
         std::vector<std::uint32_t> all(gateways_.size());
         for (std::uint32_t i = 0; i < all.size(); ++i)
           all[i] = i;
-        const double notice = s_.frontNoticeS.draw(trouble_);
+        const double notice = s_.frontNoticeS.draw(faultSpec_);
         for (std::uint32_t g : some(part, all)) {
           at(kStart + secs(from), [this, g] { killGateway(g); });
           at(kStart + secs(from + notice), [this, g] {
             if (!gateways_[g].up)
               gateways_[g].known = false;
           });
-          at(kStart + secs(from + std::max(length, 0.1) * trouble_.uniform(0.5, 1.5)),
+          at(kStart + secs(from + std::max(length, 0.1) * faultSpec_.uniform(0.5, 1.5)),
              [this, g] { startGateway(g, false); });
         }
         at(kStart + secs(from), [this] { note("gateways killed"); });
@@ -1054,7 +1054,7 @@
     }
   }
 
-  void newSettings(const Trouble& t, double attempts) {
+  void newSettings(const FaultSpec& t, double attempts) {
     if (attempts >= 1)
       settings_.maxAttempts = static_cast<std::uint32_t>(std::min(attempts, 8.0));
     for (std::size_t i = 0; i < settings_.classes.size(); ++i) {
@@ -1073,17 +1073,17 @@
   // --- Clock and books
   // ----------------------------------------------------------------------------------------
 
-  void happen(const Event& e) {
+  void dispatch(const Event& e) {
     switch (e.what) {
-      case Happens::clientTry:
+      case EventKind::clientTry:
         return clientTry(e.a);
-      case Happens::arrive:
+      case EventKind::arrive:
         return arrive(e.a);
-      case Happens::due:
+      case EventKind::due:
         return due(e.a);
-      case Happens::atServer:
+      case EventKind::atServer:
         return atServer(e.a);
-      case Happens::serverDone: {
+      case EventKind::serverDone: {
         Machine& m = machines_[e.a];
         if (e.b != m.turn)
           return;
@@ -1091,33 +1091,33 @@
         collect(e.a);
         return reschedule(e.a);
       }
-      case Happens::tick: {
+      case EventKind::tick: {
         Machine& m = machines_[e.a];
         m.server.advance(now_);
         collect(e.a);
         reschedule(e.a);
         if (m.up || m.server.held() > 0 || !m.draining)
-          at(now_ + kServerTick, Happens::tick, e.a);
+          at(now_ + kServerTick, EventKind::tick, e.a);
         return;
       }
-      case Happens::atGateway:
+      case EventKind::atGateway:
         return finishAttempt(e.a, attempts_[e.a].outcome, false);
-      case Happens::timeout:
+      case EventKind::timeout:
         return finishAttempt(e.a, Outcome::timeout, true);
-      case Happens::wake: {
+      case EventKind::wake: {
         Gateway& w = gateways_[e.a];
         if (!w.up || w.life != e.b)
           return;
         w.policy->onWake(now_);
         return carryOut(e.a);
       }
-      case Happens::tell:
+      case EventKind::tell:
         return tell(e.a, e.b);
-      case Happens::call: {
+      case EventKind::call: {
         const std::function<void()> call = std::move(calls_[e.a]);
         return call();
       }
-      case Happens::sample:
+      case EventKind::sample:
         return sample();
     }
   }
@@ -1153,7 +1153,7 @@
       secondOf(now_).sheddingThreshold =
           std::max(secondOf(now_).sheddingThreshold, cut / static_cast<double>(up));
     if (now_ + kSample <= kStart + secs(s_.lengthS))
-      at(now_ + kSample, Happens::sample);
+      at(now_ + kSample, EventKind::sample);
   }
 
   void settle() {
@@ -1252,7 +1252,7 @@
   const PolicyMaker& maker_;
   DrawnDay d_;
   DrawnFleet fleet_;
-  Stream network_, notices_, trouble_, between_;
+  Stream network_, notices_, faultSpec_, between_;
   Checker checker_;
   Result result_;
   ActionDigest digest_;
@@ -1308,7 +1308,7 @@
 
 Result play(const Scenario& scenario, std::uint64_t seed, const std::string& policyName,
             const PolicyMaker& policy) {
-  Result result = World(scenario, seed, policy).play();
+  Result result = Simulation(scenario, seed, policy).play();
   result.policy = policyName;
   return result;
 }
--- a/src/lab/soak/troubles.cpp
+++ b/src/lab/soak/fault_schedule.cpp
@@ -1,4 +1,4 @@
-#include "lab/soak/troubles.hpp"
+#include "lab/soak/fault_schedule.hpp"
 
 #include <algorithm>
 #include <array>
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::array<const char*, kTroubleKinds> kNames = {
+constexpr std::array<const char*, kSoakFaultKinds> kNames = {
     "gateway_term", "gateway_kill", "gateway_pause", "gateway_stop",     "gateway_reload",   "bad_reload",
     "clock_step",   "short_calls",  "interrupted",   "accept_fails",     "dial_fails",       "server_drain",
     "server_hang",  "server_reset", "server_refuse", "discovery_silent", "discovery_closed", "clients_leave"};
@@ -34,13 +34,13 @@
   std::uint64_t state_;
 };
 
-std::chrono::milliseconds spanOf(TroubleKind kind, Draws& draws) {
+std::chrono::milliseconds spanOf(SoakFaultKind kind, Draws& draws) {
   switch (kind) {
-    case TroubleKind::gatewayPause:
+    case SoakFaultKind::gatewayPause:
       return draws.between(20ms, 150ms);
-    case TroubleKind::gatewayStop:
+    case SoakFaultKind::gatewayStop:
       return draws.between(300ms, 1500ms);
-    case TroubleKind::serverDrain:
+    case SoakFaultKind::serverDrain:
       return draws.between(1500ms, 4000ms);
     default:
       return draws.between(300ms, 2500ms);
@@ -49,29 +49,29 @@
 
 }  // namespace
 
-const char* nameOf(TroubleKind kind) {
+const char* nameOf(SoakFaultKind kind) {
   return kNames[static_cast<std::size_t>(kind)];
 }
 
-std::vector<SoakTrouble> drawTroubles(std::uint64_t seed, std::chrono::milliseconds length) {
+std::vector<SoakFault> drawSoakFaults(std::uint64_t seed, std::chrono::milliseconds length) {
   Draws draws(seed);
-  std::vector<SoakTrouble> all;
+  std::vector<SoakFault> all;
   const auto end = length - kQuietEnd;
   for (auto at = draws.between(500ms, 1000ms); at < end; at += draws.between(0ms, 2 * kMeanBetween)) {
-    SoakTrouble trouble;
-    trouble.kind = static_cast<TroubleKind>(draws.next() % kTroubleKinds);
-    trouble.whom = draws.next() % 1'000'000;
-    trouble.at = at;
-    trouble.span = std::min(spanOf(trouble.kind, draws), end - at);
-    trouble.draw = draws.next();
-    all.push_back(trouble);
+    SoakFault soakFault;
+    soakFault.kind = static_cast<SoakFaultKind>(draws.next() % kSoakFaultKinds);
+    soakFault.whom = draws.next() % 1'000'000;
+    soakFault.at = at;
+    soakFault.span = std::min(spanOf(soakFault.kind, draws), end - at);
+    soakFault.draw = draws.next();
+    all.push_back(soakFault);
   }
   return all;
 }
 
-std::string textOf(const SoakTrouble& trouble) {
-  return std::string(nameOf(trouble.kind)) + " of " + std::to_string(trouble.whom) + " at " +
-         std::to_string(trouble.at.count()) + " ms for " + std::to_string(trouble.span.count()) + " ms";
+std::string textOf(const SoakFault& soakFault) {
+  return std::string(nameOf(soakFault.kind)) + " of " + std::to_string(soakFault.whom) + " at " +
+         std::to_string(soakFault.at.count()) + " ms for " + std::to_string(soakFault.span.count()) + " ms";
 }
 
 }  // namespace hollyrun::lab
--- a/src/lab/soak/troubles.hpp
+++ b/src/lab/soak/fault_schedule.hpp
@@ -8,7 +8,7 @@
 
 namespace hollyrun::lab {
 
-enum class TroubleKind : std::uint8_t {
+enum class SoakFaultKind : std::uint8_t {
   gatewayTerm,       ///< SIGTERM, and a new process after its end
   gatewayKill,       ///< SIGKILL, and a new process
   gatewayPause,      ///< SIGSTOP for up to 0.15 s
@@ -29,11 +29,11 @@
   clientsLeave,      ///< clients leave early, in three ways
   count
 };
-inline constexpr std::size_t kTroubleKinds = static_cast<std::size_t>(TroubleKind::count);
-const char* nameOf(TroubleKind kind);
+inline constexpr std::size_t kSoakFaultKinds = static_cast<std::size_t>(SoakFaultKind::count);
+const char* nameOf(SoakFaultKind kind);
 
-struct SoakTrouble {
-  TroubleKind kind{};
+struct SoakFault {
+  SoakFaultKind kind{};
   std::size_t whom = 0;              ///< the number of a gateway or a server, modulo how many there are
   std::chrono::milliseconds at{};    ///< from the soak's start
   std::chrono::milliseconds span{};  ///< until it is undone
@@ -41,7 +41,7 @@
 };
 
 /// In the order of their starts; about two begin each second.
-std::vector<SoakTrouble> drawTroubles(std::uint64_t seed, std::chrono::milliseconds length);
-std::string textOf(const SoakTrouble& trouble);
+std::vector<SoakFault> drawSoakFaults(std::uint64_t seed, std::chrono::milliseconds length);
+std::string textOf(const SoakFault& soakFault);
 
 }  // namespace hollyrun::lab
--- a/src/lab/soak/ledger.cpp
+++ b/src/lab/soak/oracle.cpp
@@ -1,4 +1,4 @@
-#include "lab/soak/ledger.hpp"
+#include "lab/soak/oracle.hpp"
 
 #include <algorithm>
 #include <array>
@@ -29,12 +29,12 @@
   return kNames[static_cast<std::size_t>(rule)];
 }
 
-void SoakLedger::add(SoakRule rule, const std::string& id, std::string text) {
+void SoakOracle::add(SoakRule rule, const std::string& id, std::string text) {
   breaks_.push_back({rule, id, std::move(text)});
 }
 
 // How long the soak itself kept the process from running in this time.
-SoakTime SoakLedger::heldSince(std::size_t gateway, SoakTime from, SoakTime until) const {
+SoakTime SoakOracle::heldSince(std::size_t gateway, SoakTime from, SoakTime until) const {
   SoakTime held{};
   for (const HoldUp& one : heldUp_)
     if (one.gateway == gateway)
@@ -42,24 +42,24 @@
   return held;
 }
 
-bool SoakLedger::killedSince(std::size_t gateway, SoakTime from) const {
+bool SoakOracle::killedSince(std::size_t gateway, SoakTime from) const {
   const auto it = killed_.find(gateway);
   return it != killed_.end() && it->second >= from;
 }
 
-void SoakLedger::sent(const std::string& id, const SoakClass& cls, std::size_t gateway, SoakTime now,
+void SoakOracle::sent(const std::string& id, const SoakClass& cls, std::size_t gateway, SoakTime now,
                       SoakTime wait) {
   requests_[id] = {
       .cls = cls, .gateway = gateway, .sent = now, .wait = wait, .left = {}, .over = false, .runs = {}};
 }
 
-void SoakLedger::left(const std::string& id, SoakTime now) {
+void SoakOracle::left(const std::string& id, SoakTime now) {
   Request& request = requests_.at(id);
   request.left = now;
   request.over = true;
 }
 
-void SoakLedger::answered(const std::string& id, unsigned status, std::string_view body, SoakTime now) {
+void SoakOracle::answered(const std::string& id, unsigned status, std::string_view body, SoakTime now) {
   Request& request = requests_.at(id);
   request.over = true;
   ++statuses_[status];
@@ -75,7 +75,7 @@
     add(SoakRule::unanswered, id, "answered only " + inMs(now - request.sent) + " after it was sent");
 }
 
-void SoakLedger::closedUnanswered(const std::string& id, SoakTime now) {
+void SoakOracle::closedUnanswered(const std::string& id, SoakTime now) {
   Request& request = requests_.at(id);
   request.over = true;
   if (!killedSince(request.gateway, request.sent))
@@ -84,7 +84,7 @@
             inMs(now - request.sent) + " with no answer");
 }
 
-void SoakLedger::arrived(const std::string& id, std::size_t server, std::optional<SoakTime> told,
+void SoakOracle::arrived(const std::string& id, std::size_t server, std::optional<SoakTime> told,
                          SoakTime now) {
   const auto it = requests_.find(id);
   if (it == requests_.end())
@@ -109,7 +109,7 @@
   judgeCold(server, now);
 }
 
-void SoakLedger::ran(const std::string& id, SoakTime now) {
+void SoakOracle::ran(const std::string& id, SoakTime now) {
   const auto it = requests_.find(id);
   if (it == requests_.end())
     return;
@@ -122,7 +122,7 @@
   request.runs.push_back({now});
 }
 
-void SoakLedger::judgeCold(std::size_t server, SoakTime now) {
+void SoakOracle::judgeCold(std::size_t server, SoakTime now) {
   const auto it = starts_.find(server);
   if (it == starts_.end() || now - it->second.at > it->second.budget.window)
     return;
@@ -139,33 +139,33 @@
           " are allowed");
 }
 
-void SoakLedger::toldNotServing(std::size_t gateway, std::size_t server, SoakTime now) {
+void SoakOracle::toldNotServing(std::size_t gateway, std::size_t server, SoakTime now) {
   notServingSince_.emplace(std::pair(gateway, server), now);
 }
 
-void SoakLedger::toldServing(std::size_t gateway, std::size_t server) {
+void SoakOracle::toldServing(std::size_t gateway, std::size_t server) {
   notServingSince_.erase({gateway, server});
 }
 
-void SoakLedger::serverStarted(std::size_t server, const ColdBudget& budget, SoakTime now) {
+void SoakOracle::serverStarted(std::size_t server, const ColdBudget& budget, SoakTime now) {
   starts_[server] = {.at = now, .budget = budget};
 }
 
-void SoakLedger::killed(std::size_t gateway, SoakTime now) {
+void SoakOracle::killed(std::size_t gateway, SoakTime now) {
   killed_[gateway] = now;
 }
 
-void SoakLedger::heldUp(std::size_t gateway, SoakTime from, SoakTime until) {
+void SoakOracle::heldUp(std::size_t gateway, SoakTime from, SoakTime until) {
   heldUp_.push_back({gateway, from, until});
 }
 
-void SoakLedger::finish(SoakTime now) {
+void SoakOracle::finish(SoakTime now) {
   for (const auto& [id, request] : requests_)
     if (!request.over && !killedSince(request.gateway, request.sent))
       add(SoakRule::unanswered, id, "no answer " + inMs(now - request.sent) + " after it was sent");
 }
 
-std::size_t SoakLedger::count(unsigned status) const {
+std::size_t SoakOracle::count(unsigned status) const {
   const auto it = statuses_.find(status);
   return it == statuses_.end() ? 0 : it->second;
 }
--- a/src/lab/soak/ledger.hpp
+++ b/src/lab/soak/oracle.hpp
@@ -50,10 +50,10 @@
   double requests = 0;  ///< N; the rule's own slack comes on top
 };
 
-class SoakLedger {
+class SoakOracle {
  public:
   /// `slack`: how much later than it happened something may have been seen.
-  explicit SoakLedger(SoakTime slack) : slack_(slack) {}
+  explicit SoakOracle(SoakTime slack) : slack_(slack) {}
 
   // What clients saw.
   void sent(const std::string& id, const SoakClass& cls, std::size_t gateway, SoakTime now, SoakTime wait);
--- a/src/lab/soak/peers.cpp
+++ b/src/lab/soak/peers.cpp
@@ -110,10 +110,10 @@
 
 // --- Record servers --------------------------------------------------------------------------------------
 
-SoakServer::SoakServer(asio::io_context& io, std::size_t number, SoakLedger& ledger)
+SoakServer::SoakServer(asio::io_context& io, std::size_t number, SoakOracle& oracle)
     : io_(io),
       number_(number),
-      ledger_(ledger),
+      oracle_(oracle),
       listener_(
           io, [this](const auto& connection, const SoakRequest& request) { handle(connection, request); }) {}
 
@@ -124,10 +124,10 @@
   if (request.count("X-Deadline-Ms"))
     told = std::chrono::milliseconds(std::stoll(request["X-Deadline-Ms"].to_string()));
   ++arrivals_;
-  ledger_.arrived(id, number_, told, soakNow());
+  oracle_.arrived(id, number_, told, soakNow());
   if (mode_ == Mode::refusing)
     return connection->reply(503, "X-Not-Run: 1\r\n", "");
-  ledger_.ran(id, soakNow());
+  oracle_.ran(id, soakNow());
   if (mode_ == Mode::hanging)
     return;
   if (mode_ == Mode::resetting)
@@ -141,8 +141,8 @@
 
 // --- Discovery -------------------------------------------------------------------------------------------
 
-SoakDiscovery::SoakDiscovery(asio::io_context& io, std::size_t gateways, SoakLedger& ledger)
-    : io_(io), ledger_(ledger), agents_(gateways) {
+SoakDiscovery::SoakDiscovery(asio::io_context& io, std::size_t gateways, SoakOracle& oracle)
+    : io_(io), oracle_(oracle), agents_(gateways) {
   for (std::size_t i = 0; i < gateways; ++i)
     agents_[i].listener = std::make_unique<SoakListener>(
         io,
@@ -232,9 +232,9 @@
     if (entry.version <= since)
       continue;
     if (entry.state == State::serving)
-      ledger_.toldServing(gateway, i);
+      oracle_.toldServing(gateway, i);
     else
-      ledger_.toldNotServing(gateway, i, soakNow());
+      oracle_.toldNotServing(gateway, i, soakNow());
     if (since == 0 && entry.state == State::gone)
       continue;  // what a whole list does not name is gone
     targets.push_back({{"uid", "s-" + std::to_string(i)},
@@ -262,7 +262,7 @@
     socket_.async_connect(to_, [self = shared_from_this()](error_code ec) {
       if (ec) {  // nobody listens: nothing was taken
         if (self->again_)
-          self->all_.ledger_.notTaken(self->call_.id);
+          self->all_.oracle_.notTaken(self->call_.id);
         return;
       }
       error_code ignored;
@@ -275,7 +275,7 @@
  private:
   void send() {
     if (!again_)
-      all_.ledger_.sent(call_.id, call_.cls, call_.gateway, soakNow(), call_.wait);
+      all_.oracle_.sent(call_.id, call_.cls, call_.gateway, soakNow(), call_.wait);
     ++all_.open_;
     text_ = call_.head + call_.body;
     asio::async_write(socket_, asio::buffer(text_), [self = shared_from_this()](error_code, std::size_t) {});
@@ -296,7 +296,7 @@
       return;
     over_ = true;
     --all_.open_;
-    all_.ledger_.left(call_.id, soakNow());
+    all_.oracle_.left(call_.id, soakNow());
     error_code ignored;
     if (call_.leaving == SoakLeaving::halfClose)
       socket_.shutdown(tcp::socket::shutdown_send, ignored);
@@ -312,7 +312,7 @@
     if (ec)
       return broken();
     const auto& answer = parser_->get();
-    all_.ledger_.answered(call_.id, answer.result_int(), answer.body(), soakNow());
+    all_.oracle_.answered(call_.id, answer.result_int(), answer.body(), soakNow());
     auto& idle = all_.idle_[call_.gateway];
     if (!answer.keep_alive() || idle.size() >= kKeptConnections)
       return closeSocket(socket_, false);
@@ -325,7 +325,7 @@
   void broken() {
     closeSocket(socket_, false);
     if (!kept_ || parser_->got_some())
-      return all_.ledger_.closedUnanswered(call_.id, soakNow());
+      return all_.oracle_.closedUnanswered(call_.id, soakNow());
     const auto next = std::make_shared<Client>(all_, to_);
     next->again_ = true;
     call_.leaving = SoakLeaving::none;
@@ -343,8 +343,8 @@
   bool kept_ = false, over_ = false, again_ = false;
 };
 
-SoakClients::SoakClients(asio::io_context& io, SoakLedger& ledger, std::size_t gateways)
-    : io_(io), ledger_(ledger), idle_(gateways) {}
+SoakClients::SoakClients(asio::io_context& io, SoakOracle& oracle, std::size_t gateways)
+    : io_(io), oracle_(oracle), idle_(gateways) {}
 
 SoakClients::~SoakClients() = default;
 
--- a/src/lab/soak/peers.hpp
+++ b/src/lab/soak/peers.hpp
@@ -14,7 +14,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "lab/soak/ledger.hpp"
+#include "lab/soak/oracle.hpp"
 
 namespace hollyrun::lab {
 
@@ -61,7 +61,7 @@
  public:
   enum class Mode { serving, refusing, hanging, resetting };
 
-  SoakServer(boost::asio::io_context& io, std::size_t number, SoakLedger& ledger);
+  SoakServer(boost::asio::io_context& io, std::size_t number, SoakOracle& oracle);
   boost::asio::ip::tcp::endpoint endpoint() const { return listener_.endpoint(); }
   void become(Mode mode) { mode_ = mode; }
   void restart() { listener_.closeAll(true); }
@@ -71,7 +71,7 @@
   void handle(const std::shared_ptr<SoakListener::Connection>& connection, const SoakRequest& request);
   boost::asio::io_context& io_;
   std::size_t number_, arrivals_ = 0;
-  SoakLedger& ledger_;
+  SoakOracle& oracle_;
   Mode mode_ = Mode::serving;
   SoakListener listener_;
 };
@@ -81,7 +81,7 @@
  public:
   enum class State { serving, draining, gone };
 
-  SoakDiscovery(boost::asio::io_context& io, std::size_t gateways, SoakLedger& ledger);
+  SoakDiscovery(boost::asio::io_context& io, std::size_t gateways, SoakOracle& oracle);
   ~SoakDiscovery();
   void add(std::size_t server, const boost::asio::ip::tcp::endpoint& endpoint);
   void change(std::size_t server, State state, std::int64_t bootMs);
@@ -115,7 +115,7 @@
   std::string text(std::size_t gateway, std::int64_t since);
 
   boost::asio::io_context& io_;
-  SoakLedger& ledger_;
+  SoakOracle& oracle_;
   std::int64_t version_ = 1;
   std::vector<Entry> entries_;
   std::vector<Agent> agents_;
@@ -137,7 +137,7 @@
 
 class SoakClients {
  public:
-  SoakClients(boost::asio::io_context& io, SoakLedger& ledger, std::size_t gateways);
+  SoakClients(boost::asio::io_context& io, SoakOracle& oracle, std::size_t gateways);
   ~SoakClients();
   void ask(const boost::asio::ip::tcp::endpoint& to, SoakCall call);
   std::size_t open() const { return open_; }
@@ -146,7 +146,7 @@
   class Client;
   friend class Client;
   boost::asio::io_context& io_;
-  SoakLedger& ledger_;
+  SoakOracle& oracle_;
   std::vector<std::vector<std::shared_ptr<Client>>> idle_;  // by gateway
   std::size_t open_ = 0;
 };
--- a/src/lab/soak/soak.cpp
+++ b/src/lab/soak/soak.cpp
@@ -16,11 +16,11 @@
 #include <utility>
 
 #include "lab/faults/fault_file.hpp"
-#include "lab/rig/lag_meter.hpp"
-#include "lab/rig/platform.hpp"
-#include "lab/rig/process.hpp"
-#include "lab/rig/process_usage.hpp"
 #include "lab/soak/peers.hpp"
+#include "lab/testbed/lag_meter.hpp"
+#include "lab/testbed/platform.hpp"
+#include "lab/testbed/process.hpp"
+#include "lab/testbed/process_usage.hpp"
 
 namespace hollyrun::lab {
 namespace {
@@ -99,12 +99,12 @@
   void nextRequest();
   SoakCall drawCall();
 
-  void begin(const SoakTrouble& trouble);
-  void undo(const SoakTrouble& trouble);
-  void beginAtGateway(const SoakTrouble& trouble, std::size_t number);
-  void beginAtServer(const SoakTrouble& trouble, std::size_t number);
-  void undoAtGateway(const SoakTrouble& trouble, std::size_t number);
-  void undoAtServer(const SoakTrouble& trouble, std::size_t number);
+  void begin(const SoakFault& soakFault);
+  void undo(const SoakFault& soakFault);
+  void beginAtGateway(const SoakFault& soakFault, std::size_t number);
+  void beginAtServer(const SoakFault& soakFault, std::size_t number);
+  void undoAtGateway(const SoakFault& soakFault, std::size_t number);
+  void undoAtServer(const SoakFault& soakFault, std::size_t number);
   void fault(Gateway& gateway, FaultyCall call, std::uint32_t oneIn, int error, std::uint32_t atMost = 0);
   void signal(std::size_t number, int signal);
   void resume(std::size_t number);
@@ -119,7 +119,7 @@
   asio::io_context io_;
   std::mt19937_64 draw_;
   std::string folder_;
-  SoakLedger ledger_{kSlack};
+  SoakOracle oracle_{kSlack};
   SoakDiscovery discovery_;
   std::vector<std::unique_ptr<SoakServer>> servers_;
   std::vector<char> serverBusy_;
@@ -131,7 +131,7 @@
   SoakTime startedAt_{};
   std::uint64_t serial_ = 0;
   bool leaving_ = false, closing_ = false;
-  std::vector<SoakTrouble> played_;
+  std::vector<SoakFault> played_;
 };
 
 std::int64_t unixNowMs() {
@@ -144,13 +144,13 @@
       folder_((fs::temp_directory_path() /
                ("hollyrun-soak-" + std::to_string(::getpid()) + "-" + std::to_string(plan.seed)))
                   .string()),
-      discovery_(io_, plan.gateways, ledger_),
+      discovery_(io_, plan.gateways, oracle_),
       serverBusy_(plan.servers),
       gateways_(plan.gateways),
-      clients_(io_, ledger_, plan.gateways) {
+      clients_(io_, oracle_, plan.gateways) {
   fs::create_directories(folder_);
   for (std::size_t i = 0; i < plan.servers; ++i) {
-    servers_.push_back(std::make_unique<SoakServer>(io_, i, ledger_));
+    servers_.push_back(std::make_unique<SoakServer>(io_, i, oracle_));
     discovery_.add(i, servers_.back()->endpoint());
   }
   for (std::size_t i = 0; i < plan.gateways; ++i) {
@@ -241,7 +241,7 @@
       return;
     }
     if (soakNow() - now.startedAt > kReadyWithin)
-      return ledger_.broke(SoakRule::notReady, asked->name);
+      return oracle_.broke(SoakRule::notReady, asked->name);
     after(50ms, [this, number] { probeReady(number); });
   });
 }
@@ -263,7 +263,7 @@
     if (::waitpid(gateway.process->pid, &status, WNOHANG) == gateway.process->pid)
       ended(i, status);
     else if (gateway.toldToEnd > 0ns && soakNow() - gateway.toldToEnd > kEndWithin)
-      ledger_.broke(SoakRule::crashed, gateway.process->name + " did not end after SIGTERM"),
+      oracle_.broke(SoakRule::crashed, gateway.process->name + " did not end after SIGTERM"),
           gateway.toldToEnd = {};
   }
   looks_.expires_after(kLook);
@@ -279,7 +279,7 @@
   const bool well = process.asked && (!WIFEXITED(status) || WEXITSTATUS(status) == 0) &&
                     (!WIFSIGNALED(status) || WTERMSIG(status) == SIGKILL || WTERMSIG(status) == SIGTERM);
   if (!well)
-    ledger_.broke(SoakRule::crashed,
+    oracle_.broke(SoakRule::crashed,
                   process.name + " ended with " +
                       (WIFSIGNALED(status) ? "signal " + std::to_string(WTERMSIG(status))
                                            : "code " + std::to_string(WEXITSTATUS(status))) +
@@ -300,7 +300,7 @@
       continue;  // it has just ended
     }
     if (descriptors > kSockets || memory > kMemoryMb)
-      ledger_.broke(SoakRule::overLimit, gateway.process->name + ": " + std::to_string(descriptors) +
+      oracle_.broke(SoakRule::overLimit, gateway.process->name + ": " + std::to_string(descriptors) +
                                              " descriptors, " + std::to_string(memory) + " MB");
   }
   usage_.expires_after(kUsageEvery);
@@ -361,7 +361,7 @@
   if (!std::exchange(gateway.stopped, false))
     return;
   signal(number, SIGCONT);
-  ledger_.heldUp(number, gateway.stoppedAt, soakNow());
+  oracle_.heldUp(number, gateway.stoppedAt, soakNow());
 }
 
 void Soak::fault(Gateway& gateway, FaultyCall call, std::uint32_t oneIn, int error, std::uint32_t atMost) {
@@ -377,109 +377,109 @@
   return {kFallWindow, kFallMultiple * kColdShare * capacity * seconds};
 }
 
-void Soak::begin(const SoakTrouble& trouble) {
-  if (trouble.kind == TroubleKind::clientsLeave)
+void Soak::begin(const SoakFault& soakFault) {
+  if (soakFault.kind == SoakFaultKind::clientsLeave)
     leaving_ = true;
-  else if (trouble.kind >= TroubleKind::serverDrain && trouble.kind <= TroubleKind::serverRefuse)
-    beginAtServer(trouble, trouble.whom % servers_.size());
+  else if (soakFault.kind >= SoakFaultKind::serverDrain && soakFault.kind <= SoakFaultKind::serverRefuse)
+    beginAtServer(soakFault, soakFault.whom % servers_.size());
   else
-    beginAtGateway(trouble, trouble.whom % gateways_.size());
+    beginAtGateway(soakFault, soakFault.whom % gateways_.size());
 }
 
-void Soak::beginAtGateway(const SoakTrouble& trouble, std::size_t number) {
+void Soak::beginAtGateway(const SoakFault& soakFault, std::size_t number) {
   Gateway& gateway = gateways_[number];
   if (busy(gateway))
     return;
-  switch (trouble.kind) {
-    case TroubleKind::gatewayTerm:
+  switch (soakFault.kind) {
+    case SoakFaultKind::gatewayTerm:
       gateway.process->asked = true;
       gateway.ready = false;
       gateway.toldToEnd = soakNow();
       return signal(number, SIGTERM);
-    case TroubleKind::gatewayKill:
+    case SoakFaultKind::gatewayKill:
       gateway.process->asked = true;
       gateway.ready = false;
-      ledger_.killed(number, soakNow());
+      oracle_.killed(number, soakNow());
       return signal(number, SIGKILL);
-    case TroubleKind::gatewayPause:
-    case TroubleKind::gatewayStop:
+    case SoakFaultKind::gatewayPause:
+    case SoakFaultKind::gatewayStop:
       if (std::exchange(gateway.stopped, true))
         return;
       gateway.stoppedAt = soakNow();
       return signal(number, SIGSTOP);
-    case TroubleKind::gatewayReload:
-    case TroubleKind::gatewayBadReload:
-      writeConfig(number, trouble.kind == TroubleKind::gatewayReload);
+    case SoakFaultKind::gatewayReload:
+    case SoakFaultKind::gatewayBadReload:
+      writeConfig(number, soakFault.kind == SoakFaultKind::gatewayReload);
       return signal(number, SIGHUP);
-    case TroubleKind::clockStep: {
+    case SoakFaultKind::clockStep: {
       static constexpr SoakTime kSteps[] = {-3600s, -5s, 5s, 3600s};
-      (*gateway.faults)->wallClockOffsetNs = kSteps[trouble.draw % std::size(kSteps)].count();
+      (*gateway.faults)->wallClockOffsetNs = kSteps[soakFault.draw % std::size(kSteps)].count();
       return;
     }
-    case TroubleKind::shortCalls:
-      fault(gateway, FaultyCall::send, 2, 0, 1 + trouble.draw % 100);
-      return fault(gateway, FaultyCall::receive, 2, 0, 1 + trouble.draw % 100);
-    case TroubleKind::interruptedCalls:
+    case SoakFaultKind::shortCalls:
+      fault(gateway, FaultyCall::send, 2, 0, 1 + soakFault.draw % 100);
+      return fault(gateway, FaultyCall::receive, 2, 0, 1 + soakFault.draw % 100);
+    case SoakFaultKind::interruptedCalls:
       fault(gateway, FaultyCall::receive, 10, EINTR);
       fault(gateway, FaultyCall::poll, 10, EINTR);
       return fault(gateway, FaultyCall::wait, 10, EINTR);
-    case TroubleKind::acceptFails: {
+    case SoakFaultKind::acceptFails: {
       static constexpr int kErrors[] = {ECONNABORTED, ENFILE, EMFILE, ENOBUFS, ENOMEM, EPROTO};
-      return fault(gateway, FaultyCall::accept, 3, kErrors[trouble.draw % std::size(kErrors)]);
+      return fault(gateway, FaultyCall::accept, 3, kErrors[soakFault.draw % std::size(kErrors)]);
     }
-    case TroubleKind::dialFails: {
+    case SoakFaultKind::dialFails: {
       static constexpr int kErrors[] = {EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, ECONNREFUSED, ETIMEDOUT};
       fault(gateway, FaultyCall::socket, 10, ENFILE);
-      return fault(gateway, FaultyCall::connect, 5, kErrors[trouble.draw % std::size(kErrors)]);
+      return fault(gateway, FaultyCall::connect, 5, kErrors[soakFault.draw % std::size(kErrors)]);
     }
-    case TroubleKind::discoverySilent:
+    case SoakFaultKind::discoverySilent:
       return discovery_.silence(number, true);
-    case TroubleKind::discoveryClosed:
+    case SoakFaultKind::discoveryClosed:
       return discovery_.closeWatches(number);
     default:
       return;
   }
 }
 
-void Soak::beginAtServer(const SoakTrouble& trouble, std::size_t number) {
+void Soak::beginAtServer(const SoakFault& soakFault, std::size_t number) {
   // Half of the servers stay as they are, so that a request can always be served.
   if (static_cast<std::size_t>(std::ranges::count(serverBusy_, 1)) >= servers_.size() / 2)
     return;
   if (std::exchange(serverBusy_[number], 1))
     return;
-  switch (trouble.kind) {
-    case TroubleKind::serverDrain:
+  switch (soakFault.kind) {
+    case SoakFaultKind::serverDrain:
       return discovery_.change(number, SoakDiscovery::State::draining, 0);
-    case TroubleKind::serverHang:
+    case SoakFaultKind::serverHang:
       return servers_[number]->become(SoakServer::Mode::hanging);
-    case TroubleKind::serverReset:
+    case SoakFaultKind::serverReset:
       return servers_[number]->become(SoakServer::Mode::resetting);
     default:
       return servers_[number]->become(SoakServer::Mode::refusing);
   }
 }
 
-void Soak::undo(const SoakTrouble& trouble) {
-  if (trouble.kind == TroubleKind::clientsLeave)
+void Soak::undo(const SoakFault& soakFault) {
+  if (soakFault.kind == SoakFaultKind::clientsLeave)
     leaving_ = false;
-  else if (trouble.kind >= TroubleKind::serverDrain && trouble.kind <= TroubleKind::serverRefuse)
-    undoAtServer(trouble, trouble.whom % servers_.size());
+  else if (soakFault.kind >= SoakFaultKind::serverDrain && soakFault.kind <= SoakFaultKind::serverRefuse)
+    undoAtServer(soakFault, soakFault.whom % servers_.size());
   else
-    undoAtGateway(trouble, trouble.whom % gateways_.size());
+    undoAtGateway(soakFault, soakFault.whom % gateways_.size());
 }
 
-void Soak::undoAtGateway(const SoakTrouble& trouble, std::size_t number) {
+void Soak::undoAtGateway(const SoakFault& soakFault, std::size_t number) {
   Gateway& gateway = gateways_[number];
-  switch (trouble.kind) {
-    case TroubleKind::gatewayPause:
-    case TroubleKind::gatewayStop:
+  switch (soakFault.kind) {
+    case SoakFaultKind::gatewayPause:
+    case SoakFaultKind::gatewayStop:
       return resume(number);
-    case TroubleKind::gatewayBadReload:
+    case SoakFaultKind::gatewayBadReload:
       return writeConfig(number, true);
-    case TroubleKind::clockStep:
+    case SoakFaultKind::clockStep:
       (*gateway.faults)->wallClockOffsetNs = 0;
       return;
-    case TroubleKind::discoverySilent:
+    case SoakFaultKind::discoverySilent:
       return discovery_.silence(number, false);
     default:
       for (CallFault& one : (*gateway.faults)->calls)
@@ -487,18 +487,18 @@
   }
 }
 
-void Soak::undoAtServer(const SoakTrouble& trouble, std::size_t number) {
+void Soak::undoAtServer(const SoakFault& soakFault, std::size_t number) {
   if (!serverBusy_[number])
     return;
   servers_[number]->become(SoakServer::Mode::serving);
-  if (trouble.kind != TroubleKind::serverDrain) {
+  if (soakFault.kind != SoakFaultKind::serverDrain) {
     serverBusy_[number] = 0;
     return;
   }
   discovery_.change(number, SoakDiscovery::State::gone, 0);
   after(200ms, [this, number] {
     servers_[number]->restart();
-    ledger_.serverStarted(number, coldBudget(), soakNow());
+    oracle_.serverStarted(number, coldBudget(), soakNow());
     discovery_.change(number, SoakDiscovery::State::serving, unixNowMs());
     serverBusy_[number] = 0;
   });
@@ -507,12 +507,12 @@
 // --- The run ---------------------------------------------------------------------------------------------
 
 void Soak::lastLook() {
-  ledger_.finish(soakNow());
+  oracle_.finish(soakNow());
   for (std::size_t i = 0; i < gateways_.size(); ++i) {
     resume(i);
     ask(io_, gateways_[i].port->endpoint(), "/up", 2s, [this, i](int status, const std::string&) {
       if (status != 200)
-        ledger_.broke(SoakRule::servesNobody,
+        oracle_.broke(SoakRule::servesNobody,
                       "g" + std::to_string(i) + " answers /up with " + std::to_string(status));
     });
   }
@@ -522,17 +522,17 @@
   for (std::size_t i = 0; i < gateways_.size(); ++i)
     startGateway(i);
   lookAtProcesses();
-  while (!std::ranges::all_of(gateways_, &Gateway::ready) && ledger_.breaks().empty())
+  while (!std::ranges::all_of(gateways_, &Gateway::ready) && oracle_.breaks().empty())
     io_.run_one();
   lag_.reset();
   startedAt_ = soakNow();
-  const std::vector<SoakTrouble> drawn = drawTroubles(plan_.seed, plan_.length);
+  const std::vector<SoakFault> drawn = drawSoakFaults(plan_.seed, plan_.length);
   for (std::size_t i = 0; i < drawn.size(); ++i) {
     if (!plan_.only.empty() && std::ranges::find(plan_.only, i) == plan_.only.end())
       continue;
     played_.push_back(drawn[i]);
-    after(drawn[i].at, [this, trouble = drawn[i]] { begin(trouble); });
-    after(drawn[i].at + drawn[i].span, [this, trouble = drawn[i]] { undo(trouble); });
+    after(drawn[i].at, [this, soakFault = drawn[i]] { begin(soakFault); });
+    after(drawn[i].at + drawn[i].span, [this, soakFault = drawn[i]] { undo(soakFault); });
   }
   lookAtUsage();
   nextRequest();
@@ -544,11 +544,11 @@
   closing_ = true;
 
   SoakResult result;
-  result.troubles = played_;
-  result.breaks = ledger_.breaks();
-  result.requests = ledger_.requests();
-  result.served = ledger_.count(200);
-  result.refused = ledger_.count(503);
+  result.soakFaults = played_;
+  result.breaks = oracle_.breaks();
+  result.requests = oracle_.requests();
+  result.served = oracle_.count(200);
+  result.refused = oracle_.count(503);
   result.lagMs = lag_.mostMs();
   result.folder = plan_.keepLogs ? folder_ : "";
   const bool late = result.lagMs > std::chrono::duration<double, std::milli>(kSlack).count();
@@ -565,11 +565,11 @@
   return soak.play();
 }
 
-std::map<std::string, std::size_t> overlaps(const std::vector<SoakTrouble>& troubles) {
+std::map<std::string, std::size_t> overlaps(const std::vector<SoakFault>& soakFaults) {
   std::map<std::string, std::size_t> pairs;
-  for (std::size_t i = 0; i < troubles.size(); ++i)
-    for (std::size_t j = i + 1; j < troubles.size(); ++j) {
-      const SoakTrouble &a = troubles[i], &b = troubles[j];
+  for (std::size_t i = 0; i < soakFaults.size(); ++i)
+    for (std::size_t j = i + 1; j < soakFaults.size(); ++j) {
+      const SoakFault &a = soakFaults[i], &b = soakFaults[j];
       if (a.at >= b.at + b.span || b.at >= a.at + a.span)
         continue;
       const auto names = std::minmax({std::string(nameOf(a.kind)), std::string(nameOf(b.kind))});
--- a/src/lab/soak/soak.hpp
+++ b/src/lab/soak/soak.hpp
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "lab/soak/ledger.hpp"
-#include "lab/soak/troubles.hpp"
+#include "lab/soak/fault_schedule.hpp"
+#include "lab/soak/oracle.hpp"
 
 namespace hollyrun::lab {
 
@@ -28,7 +28,7 @@
 
 struct SoakResult {
   SoakVerdict verdict = SoakVerdict::pass;
-  std::vector<SoakTrouble> troubles;  ///< as played, in order
+  std::vector<SoakFault> soakFaults;  ///< as played, in order
   std::vector<SoakBreak> breaks;
   std::size_t requests = 0, served = 0, refused = 0;
   double lagMs = 0;  ///< the longest that the soak's own loop was late
@@ -40,6 +40,6 @@
 SoakResult playSoak(const SoakPlan& plan);
 
 /// Which pairs of kinds were on at one time, and how often.
-std::map<std::string, std::size_t> overlaps(const std::vector<SoakTrouble>& troubles);
+std::map<std::string, std::size_t> overlaps(const std::vector<SoakFault>& soakFaults);
 
 }  // namespace hollyrun::lab
--- a/src/lab/rig/fleet.cpp
+++ b/src/lab/testbed/fleet.cpp
@@ -1,4 +1,4 @@
-#include "lab/rig/fleet.hpp"
+#include "lab/testbed/fleet.hpp"
 
 #include <signal.h>
 #include <spdlog/fmt/fmt.h>
@@ -17,8 +17,8 @@
 #include <stdexcept>
 
 #include "lab/report/report.hpp"
-#include "lab/rig/process.hpp"
-#include "lab/rig/relay.hpp"
+#include "lab/testbed/process.hpp"
+#include "lab/testbed/relay.hpp"
 
 namespace hollyrun::lab {
 namespace {
@@ -50,18 +50,18 @@
   bool held = false;  // by SIGSTOP
 };
 
-class Rig {
+class FleetTestbed {
  public:
-  Rig(const Scenario& scenario, const FleetPlan& plan)
+  FleetTestbed(const Scenario& scenario, const FleetPlan& plan)
       : s_(scenario),
         plan_(plan),
         day_(scenario, plan.seed),
-        platform_(io_, scenario, plan.seed, &witness_),
+        platform_(io_, scenario, plan.seed, &observer_),
         signals_(io_, SIGINT, SIGTERM),
         children_(io_, SIGCHLD),
         lag_(io_),
         relay_(io_, plan.seed) {
-    for (const Trouble& t : scenario.troubles)
+    for (const FaultSpec& t : scenario.faultSpecs)
       if (t.kind != "surge")
         throw std::runtime_error(t.place + ": trouble '" + t.kind +
                                  "' is for virtual time; on processes use [[fault]]");
@@ -81,7 +81,7 @@
       ownDir_ = true;
     }
   }
-  ~Rig() {
+  ~FleetTestbed() {
     killAll();
     std::error_code ignored;
     if (ownDir_)
@@ -106,7 +106,7 @@
     }
     load_ = std::make_unique<Load>(io_, s_, plan_.seed, LoadPlan{plan_.rate, s_.lengthS, {}},
                                    platform_.capacity(), std::move(targets));
-    witness_.load = load_.get();
+    observer_.load = load_.get();
     for (auto& m : members_)
       start(*m, [this] { began(); });
     io_.run();
@@ -116,7 +116,7 @@
 
  private:
   // The platform is there before the load that can tell it who sent what.
-  struct Forward final : Witness {
+  struct Forward final : AttemptObserver {
     Load* load = nullptr;
     const OnTheWire* find(std::uint64_t id) const override { return load ? load->find(id) : nullptr; }
     Checker& checker() override { return load ? load->checker() : early; }
@@ -272,9 +272,9 @@
     watchLag(clockNow() + kLagLook);
     load_->start([this] { end(); });
     for (const Fault& f : s_.faults)
-      later(f.atS, [this, &f] { befall(f); });
+      later(f.atS, [this, &f] { injectFault(f); });
     later(s_.lengthS - 0.1, [this] { lastLook(); });
-    // Danger: a load that never settles would keep the rig; past every deadline nothing is open.
+    // Danger: a load that never settles would keep the testbed; past every deadline nothing is open.
     later(s_.lengthS + day_.longest + 3, [this] { end(); });
   }
   void watchLag(Time due) {
@@ -431,7 +431,7 @@
         all.push_back(i);
     return all;
   }
-  void befall(const Fault& f) {
+  void injectFault(const Fault& f) {
     if (stopping_)
       return;
     std::string whom = f.zone.empty() ? "" : " zone " + f.zone;
@@ -606,7 +606,7 @@
   const FleetPlan& plan_;
   DrawnDay day_;
   asio::io_context io_{1};
-  Forward witness_;
+  Forward observer_;
   Platform platform_;
   std::unique_ptr<Load> load_;
   asio::signal_set signals_, children_;
@@ -631,7 +631,7 @@
     case Verdict::interrupted:
       return "interrupted";
     case Verdict::voided:
-      return "void: the rig itself was late";
+      return "void: the testbed itself was late";
   }
   return "?";
 }
@@ -675,7 +675,7 @@
 }
 
 FleetResult playFleet(const Scenario& scenario, const FleetPlan& plan) {
-  return Rig(scenario, plan).play();
+  return FleetTestbed(scenario, plan).play();
 }
 
 std::string textOf(const FleetResult& f) {
@@ -690,9 +690,9 @@
       "goodput {:.3f}, worst class {:.3f}, refused {:.3f}, failed {:.3f}; p50 {:.1f} ms, p99 "
       "{:.1f} ms; {} calls\n",
       r.whole, r.worstClass, r.refusedShare, r.failedShare, r.p50, r.p99, r.calls);
-  text +=
-      fmt::format("processes: {:.2f} s of processor time, {:.1f} MB at most; the rig's own lag {:.0f} ms\n",
-                  f.cpuS, f.memoryMb, f.lagMs);
+  text += fmt::format(
+      "processes: {:.2f} s of processor time, {:.1f} MB at most; the testbed's own lag {:.0f} ms\n", f.cpuS,
+      f.memoryMb, f.lagMs);
   for (const Breach& b : r.breaches)
     text += lineOf(b) + "\n";
   return text + "verdict: " + wordOf(f.verdict) + "\n";
--- a/src/lab/rig/fleet.hpp
+++ b/src/lab/testbed/fleet.hpp
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-#include "lab/rig/load.hpp"
-#include "lab/rig/platform.hpp"
+#include "lab/testbed/load.hpp"
+#include "lab/testbed/platform.hpp"
 
 namespace hollyrun::lab {
 
@@ -29,7 +29,7 @@
   Verdict verdict = Verdict::fail;
   Result result;
   std::vector<std::string> line;  ///< faults and the processes' own lines on one time line
-  double lagMs = 0;               ///< the rig's own: the longest that its loop was late
+  double lagMs = 0;               ///< the testbed's own: the longest that its loop was late
   double cpuS = 0;                ///< processor time of all the processes
   double memoryMb = 0;            ///< the most that one of them held
 };
--- a/src/lab/rig/load.cpp
+++ b/src/lab/testbed/load.cpp
@@ -1,4 +1,4 @@
-#include "lab/rig/load.hpp"
+#include "lab/testbed/load.hpp"
 
 #include <algorithm>
 #include <boost/asio/write.hpp>
@@ -153,7 +153,7 @@
       c.share = c.set.name == plan.cls ? 1 : 0;
   }
   std::vector<Surge> surges;
-  for (const Trouble& t : scenario.troubles)
+  for (const FaultSpec& t : scenario.faultSpecs)
     if (t.kind == "surge")
       surges.push_back({t.atS.low, t.atS.low + t.lengthS.low, t.size.low});
   const double base = plan.rate > 0 ? plan.rate : day_.level * capacity / day_.meanWork;
--- a/src/lab/rig/load.hpp
+++ b/src/lab/testbed/load.hpp
@@ -10,9 +10,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lab/rig/platform.hpp"
 #include "lab/simulation/latencies.hpp"
-#include "lab/simulation/world.hpp"
+#include "lab/simulation/simulation.hpp"
+#include "lab/testbed/platform.hpp"
 
 namespace hollyrun::lab {
 
@@ -34,7 +34,7 @@
 /// The name of a tenant by its number, in a load and in the settings of a gateway for it.
 std::string tenantName(std::size_t number);
 
-class Load final : public Witness {
+class Load final : public AttemptObserver {
  public:
   static constexpr double kLongest = 3600;         // seconds
   static constexpr std::size_t kMost = 2'000'000;  // first tries
@@ -47,9 +47,9 @@
   void start(std::function<void()> done);
   void stop();  ///< no further arrivals; what is open ends by itself
   Target& target(std::size_t i) { return targets_[i]; }
-  /// The rig has ended this process at once: it owes nothing any more.
+  /// The testbed has ended this process at once: it owes nothing any more.
   void released(std::uint32_t gateway);
-  /// The rig holds this process up, or lets it go on: what it owes meanwhile is not held against it.
+  /// The testbed holds this process up, or lets it go on: what it owes meanwhile is not held against it.
   void heldUp(std::uint32_t gateway, bool on);
 
   const OnTheWire* find(std::uint64_t id) const override;
--- a/src/lab/rig/platform.cpp
+++ b/src/lab/testbed/platform.cpp
@@ -1,4 +1,4 @@
-#include "lab/rig/platform.hpp"
+#include "lab/testbed/platform.hpp"
 
 #include <sys/socket.h>
 
@@ -189,8 +189,8 @@
     entry.upSince = clockNow();
     listen();
   }
-  // Danger: while this machine is silent the kernel would still accept for it. A queue of one that the rig
-  // itself keeps full makes new connections hang as they do with a machine that is away.
+  // Danger: while this machine is silent the kernel would still accept for it. A queue of one that the
+  // testbed itself keeps full makes new connections hang as they do with a machine that is away.
   void cut(bool on) {
     silent = on;
     if (!acceptor_.is_open())
@@ -310,9 +310,9 @@
         cls = &c;
     Job job;
     job.deadline = now + deadlineOf(request);
-    if (platform_.witness_) {
-      const OnTheWire* known = platform_.witness_->find(id);
-      Checker& checker = platform_.witness_->checker();
+    if (platform_.observer_) {
+      const OnTheWire* known = platform_.observer_->find(id);
+      Checker& checker = platform_.observer_->checker();
       if (!known) {
         checker.breach(Rule::duplicate, now, id, entry.address, "no client sent this request");
         return session.reply(response(400, "{\"error\":\"no such request\"}"));
@@ -336,8 +336,8 @@
     double informed = 0;
     if (server.overdriven(now, job.work, true, platform_.scenario_.overloadMultiple,
                           platform_.scenario_.fallMs / 1000, informed)) {
-      if (platform_.witness_)
-        platform_.witness_->checker().fell(now, entry.address, informed);
+      if (platform_.observer_)
+        platform_.observer_->checker().fell(now, entry.address, informed);
       platform_.kill(number_);
       return;
     }
@@ -384,8 +384,8 @@
     const auto it = jobs_.find(attempt);
     if (it == jobs_.end())
       return;
-    if (platform_.witness_)
-      platform_.witness_->checker().outcome(it->second.id, it->second.number, outcome);
+    if (platform_.observer_)
+      platform_.observer_->checker().outcome(it->second.id, it->second.number, outcome);
     jobs_.erase(it);
   }
   void tick() {
@@ -539,10 +539,10 @@
     }
     const json body{{"rev", rev_}, {"all", all}, {"targets", std::move(targets)}};
     session->reply(response(200, body.dump()), [this, told] {
-      if (!platform_.witness_)
+      if (!platform_.observer_)
         return;
       for (const auto& [server, state] : told)
-        platform_.witness_->checker().told(clockNow(), number_, server, state);
+        platform_.observer_->checker().told(clockNow(), number_, server, state);
     });
   }
 
@@ -559,11 +559,12 @@
 
 // --- The whole -------------------------------------------------------------------------------------------
 
-Platform::Platform(asio::io_context& io, const Scenario& scenario, std::uint64_t seed, Witness* witness)
+Platform::Platform(asio::io_context& io, const Scenario& scenario, std::uint64_t seed,
+                   AttemptObserver* observer)
     : io_(io),
       scenario_(scenario),
       seed_(seed),
-      witness_(witness),
+      observer_(observer),
       day_(scenario, seed),
       fleet_(scenario, seed),
       notices_(seed, "notices") {
--- a/src/lab/rig/platform.hpp
+++ b/src/lab/testbed/platform.hpp
@@ -21,7 +21,7 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-/// The rig's clock: nanoseconds that never go back, well above zero, for zero reads as "long past".
+/// The testbed's clock: nanoseconds that never go back, well above zero, for zero reads as "long past".
 Time clockNow();
 using gateway::textOf;
 /// A request's id as it stands on the wire: 16 hexadecimal digits.
@@ -39,7 +39,8 @@
   tcp::endpoint endpoint_;
 };
 
-/// What is known of a request by its id on the wire, 16 hexadecimal digits. The rig's clients put it there.
+/// What is known of a request by its id on the wire, 16 hexadecimal digits. The testbed's clients put it
+/// there.
 struct OnTheWire {
   std::uint32_t gateway = 0, cls = 0;
   double work = 0;  // seconds on a core of speed 1
@@ -47,9 +48,9 @@
 };
 
 /// Ground truth for a checked run: who sent what. Without one every request is served (`serve`, for curl).
-class Witness {
+class AttemptObserver {
  public:
-  virtual ~Witness() = default;
+  virtual ~AttemptObserver() = default;
   /// Null: no client sent such a request.
   virtual const OnTheWire* find(std::uint64_t id) const = 0;
   virtual Checker& checker() = 0;
@@ -60,7 +61,7 @@
 
 class Platform {
  public:
-  Platform(asio::io_context& io, const Scenario& scenario, std::uint64_t seed, Witness* witness);
+  Platform(asio::io_context& io, const Scenario& scenario, std::uint64_t seed, AttemptObserver* observer);
   ~Platform();
   Platform(const Platform&) = delete;
   Platform& operator=(const Platform&) = delete;
@@ -97,7 +98,7 @@
   asio::io_context& io_;
   const Scenario& scenario_;
   std::uint64_t seed_;
-  Witness* witness_;
+  AttemptObserver* observer_;
   DrawnDay day_;
   DrawnFleet fleet_;
   Stream notices_;
--- a/src/lab/rig/process.cpp
+++ b/src/lab/testbed/process.cpp
@@ -1,4 +1,4 @@
-#include "lab/rig/process.hpp"
+#include "lab/testbed/process.hpp"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -38,10 +38,10 @@
   if (pid == 0) {
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (::getppid() != parent)
-      ::_exit(127);  // the rig went in between
+      ::_exit(127);  // the testbed went in between
     ::dup2(ends[1], 1);
     ::dup2(ends[1], 2);
-    // Danger: a process that inherits the rig's sockets keeps a dead server's port listening.
+    // Danger: a process that inherits the testbed's sockets keeps a dead server's port listening.
     ::close_range(3, ~0U, 0);
     ::execve(program.c_str(), argv.data(), env.data());
     ::_exit(127);
--- a/src/lab/rig/process.hpp
+++ b/src/lab/testbed/process.hpp
@@ -1,4 +1,4 @@
-// A program that the rig started: its output line by line, its end, and that it dies with the rig.
+// A program that the testbed started: its output line by line, its end, and that it dies with the testbed.
 #pragma once
 
 #include <sys/types.h>
@@ -13,8 +13,8 @@
 
 namespace hollyrun::lab {
 
-/// A process of the program. Its output and standard error are read line by line; it dies with the rig, also
-/// if that is killed (PR_SET_PDEATHSIG).
+/// A process of the program. Its output and standard error are read line by line; it dies with the testbed,
+/// also if that is killed (PR_SET_PDEATHSIG).
 struct Process : std::enable_shared_from_this<Process> {
   Process(boost::asio::io_context& io, std::string named) : name(std::move(named)), pipe(io) {}
 
@@ -25,7 +25,7 @@
 
   std::string name, lastLine;
   pid_t pid = -1;
-  bool asked = false, ended = false, ready = false;  // asked: the rig wanted it to end
+  bool asked = false, ended = false, ready = false;  // asked: the testbed wanted it to end
   int code = 0;
   std::function<void(const std::string&)> said;
   std::function<void()> over;
--- a/src/lab/rig/process_usage.cpp
+++ b/src/lab/testbed/process_usage.cpp
@@ -1,4 +1,4 @@
-#include "lab/rig/process_usage.hpp"
+#include "lab/testbed/process_usage.hpp"
 
 #include <unistd.h>
 
--- a/src/lab/rig/relay.cpp
+++ b/src/lab/testbed/relay.cpp
@@ -1,4 +1,4 @@
-#include "lab/rig/relay.hpp"
+#include "lab/testbed/relay.hpp"
 
 #include <unistd.h>
 
@@ -22,8 +22,8 @@
 
 }  // namespace
 
-struct Relay::Door {
-  explicit Door(asio::io_context& io) : socket(io, udp::endpoint(asio::ip::address_v4::loopback(), 0)) {
+struct Relay::RelayPort {
+  explicit RelayPort(asio::io_context& io) : socket(io, udp::endpoint(asio::ip::address_v4::loopback(), 0)) {
     socket.non_blocking(true);
   }
   std::size_t member = 0;
@@ -35,31 +35,31 @@
 Relay::Relay(asio::io_context& io, std::uint64_t seed) : io_(io), seed_(seed), base_(baseOf(::getpid())) {}
 
 Relay::~Relay() {
-  for (const auto& door : doors_) {
+  for (const auto& port : ports_) {
     error_code ignored;
-    door->socket.close(ignored);
+    port->socket.close(ignored);
   }
 }
 
 std::size_t Relay::add() {
-  auto door = std::make_shared<Door>(io_);
-  door->member = doors_.size();
+  auto port = std::make_shared<RelayPort>(io_);
+  port->member = ports_.size();
   // A port that the kernel gives at an address that nobody else uses stays free until the process takes it.
-  const asio::ip::address_v4 own(base_ + 1 + static_cast<std::uint32_t>(doors_.size()));
-  door->process = udp::socket(io_, udp::endpoint(own, 0)).local_endpoint();
-  doors_.push_back(door);
+  const asio::ip::address_v4 own(base_ + 1 + static_cast<std::uint32_t>(ports_.size()));
+  port->process = udp::socket(io_, udp::endpoint(own, 0)).local_endpoint();
+  ports_.push_back(port);
   for (auto& row : paths_)
-    row.resize(doors_.size());
-  paths_.emplace_back(doors_.size());
-  read(door);
-  return door->member;
+    row.resize(ports_.size());
+  paths_.emplace_back(ports_.size());
+  read(port);
+  return port->member;
 }
 
 udp::endpoint Relay::listen(std::size_t member) const {
-  return doors_.at(member)->process;
+  return ports_.at(member)->process;
 }
 udp::endpoint Relay::advertised(std::size_t member) const {
-  return doors_.at(member)->socket.local_endpoint();
+  return ports_.at(member)->socket.local_endpoint();
 }
 
 Relay::Path& Relay::path(std::size_t from, std::size_t to) {
@@ -76,20 +76,20 @@
   path(from, to).cut = on;
 }
 
-void Relay::read(std::shared_ptr<Door> door) {
-  door->socket.async_receive_from(
-      asio::buffer(door->buffer), door->from, [this, door](error_code ec, std::size_t n) {
-        if (ec == asio::error::operation_aborted || !door->socket.is_open())
+void Relay::read(std::shared_ptr<RelayPort> port) {
+  port->socket.async_receive_from(
+      asio::buffer(port->buffer), port->from, [this, port](error_code ec, std::size_t n) {
+        if (ec == asio::error::operation_aborted || !port->socket.is_open())
           return;
         if (!ec) {
-          const auto from = std::find_if(doors_.begin(), doors_.end(),
-                                         [&](const auto& d) { return d->process == door->from; });
-          if (from == doors_.end())
+          const auto from = std::find_if(ports_.begin(), ports_.end(),
+                                         [&](const auto& d) { return d->process == port->from; });
+          if (from == ports_.end())
             ++counts_.strange;
           else
-            pass((*from)->member, door->member, std::string(door->buffer.data(), n));
+            pass((*from)->member, port->member, std::string(port->buffer.data(), n));
         }
-        read(door);
+        read(port);
       });
 }
 
@@ -123,7 +123,7 @@
 
 void Relay::deliver(std::size_t from, std::size_t to, const std::string& bytes) {
   error_code ignored;  // a process that is gone refuses it
-  doors_[from]->socket.send_to(asio::buffer(bytes), doors_[to]->process, 0, ignored);
+  ports_[from]->socket.send_to(asio::buffer(bytes), ports_[to]->process, 0, ignored);
   ++counts_.passed;
   counts_.bytes += bytes.size();
 }
--- a/src/lab/rig/relay.hpp
+++ b/src/lab/testbed/relay.hpp
@@ -42,21 +42,21 @@
   const Counts& counts() const { return counts_; }
 
  private:
-  struct Door;
+  struct RelayPort;
   struct Path {
     Weather weather;
     bool cut = false;
     std::unique_ptr<Stream> draw;
   };
   Path& path(std::size_t from, std::size_t to);
-  void read(std::shared_ptr<Door> door);
+  void read(std::shared_ptr<RelayPort> port);
   void pass(std::size_t from, std::size_t to, std::string bytes);
   void deliver(std::size_t from, std::size_t to, const std::string& bytes);
 
   boost::asio::io_context& io_;
   std::uint64_t seed_;
   std::uint32_t base_;  // first of the members' addresses
-  std::vector<std::shared_ptr<Door>> doors_;
+  std::vector<std::shared_ptr<RelayPort>> ports_;
   std::vector<std::vector<Path>> paths_;
   Counts counts_;
 };
--- a/src/lab/rig/scale.cpp
+++ b/src/lab/testbed/scale.cpp
@@ -1,11 +1,11 @@
-#include "lab/rig/scale.hpp"
+#include "lab/testbed/scale.hpp"
 
 #include <unistd.h>
 
 #include <algorithm>
 #include <stdexcept>
 
-#include "lab/rig/scale_step.hpp"
+#include "lab/testbed/scale_step.hpp"
 
 namespace hollyrun::lab {
 namespace {
--- a/src/lab/rig/scale.hpp
+++ b/src/lab/testbed/scale.hpp
@@ -3,8 +3,8 @@
 
 #include <functional>
 
-#include "lab/rig/scale_figures.hpp"
-#include "lab/rig/scale_plan.hpp"
+#include "lab/testbed/scale_figures.hpp"
+#include "lab/testbed/scale_plan.hpp"
 
 namespace hollyrun::lab {
 
--- a/src/lab/rig/scale_figures.cpp
+++ b/src/lab/testbed/scale_figures.cpp
@@ -1,4 +1,4 @@
-#include "lab/rig/scale_figures.hpp"
+#include "lab/testbed/scale_figures.hpp"
 
 #include <spdlog/fmt/fmt.h>
 
@@ -28,13 +28,13 @@
     {"hangup_ms", "processor time of a SIGHUP, ms", 1},
     {"stall_ms", "longest stall at a SIGHUP, ms", 1},
     {"join_ms", "until all members see all, ms", 0},
-    {"change_ms", "a list change at all hollow ones, ms", 1},
+    {"change_ms", "a list change at all stub ones, ms", 1},
     {"resume_ms", "watches anew after a cut, ms", 0},
     {"resume_kb", "sent for it, kB", 0},
     {"relist_ms", "whole lists to all, ms", 0},
     {"relist_kb", "sent for it, kB", 0},
-    {"lag_ms", "the rig's own lag, ms", 1},
-    {"busiest_share", "busiest process of the rig, of a core", 2},
+    {"lag_ms", "the testbed's own lag, ms", 1},
+    {"busiest_share", "busiest process of the testbed, of a core", 2},
 }};
 
 struct Point {
--- a/src/lab/rig/scale_figures.hpp
+++ b/src/lab/testbed/scale_figures.hpp
@@ -28,13 +28,13 @@
   hangupMs,         ///< processor time of a SIGHUP
   stallMs,          ///< the longest that its loop answered nothing at one
   joinMs,           ///< until all members see all
-  changeMs,         ///< from a change of the list until all hollow gateways hold it, the worst
+  changeMs,         ///< from a change of the list until all stub gateways hold it, the worst
   resumeMs,         ///< from discovery's return until they hold what changed meanwhile
   resumeKb,         ///< sent by discovery for it
   relistMs,         ///< from its return without its revisions until all have the whole list
   relistKb,
-  lagMs,         ///< the longest that the rig's own loop, or that of hollow processes, was late
-  busiestShare,  ///< of a core: the busiest of the rig's own processes under the load
+  lagMs,         ///< the longest that the testbed's own loop, or that of stub processes, was late
+  busiestShare,  ///< of a core: the busiest of the testbed's own processes under the load
 };
 inline constexpr std::size_t kFigures = static_cast<std::size_t>(Figure::busiestShare) + 1;
 
--- a/src/lab/rig/scale_plan.cpp
+++ b/src/lab/testbed/scale_plan.cpp
@@ -1,4 +1,4 @@
-#include "lab/rig/scale_plan.hpp"
+#include "lab/testbed/scale_plan.hpp"
 
 #include <spdlog/fmt/fmt.h>
 
@@ -9,8 +9,8 @@
 namespace hollyrun::lab {
 namespace {
 
-// Of one run on one machine: below a few hundred processes, and each hollow server takes a descriptor.
-constexpr std::size_t kGatewaysMost = 64, kHollowMost = 1000, kServersMost = 10000;
+// Of one run on one machine: below a few hundred processes, and each stub server takes a descriptor.
+constexpr std::size_t kGatewaysMost = 64, kMaxStubs = 1000, kServersMost = 10000;
 constexpr std::size_t kTenantsMost = 100000, kClassesMost = 5000;
 constexpr double kRateMost = 20000, kChangesMost = 100;
 constexpr double kWindowMostS = 120;
@@ -27,7 +27,7 @@
   if (size.gateways < 1 || size.servers < 1)
     throw std::invalid_argument("a scale run has one gateway and one server at least");
   needUpTo("gateways", static_cast<double>(size.gateways), kGatewaysMost);
-  needUpTo("hollow gateways", static_cast<double>(size.hollow), kHollowMost);
+  needUpTo("stub gateways", static_cast<double>(size.stubs), kMaxStubs);
   needUpTo("servers", static_cast<double>(size.servers), kServersMost);
   needUpTo("tenants", static_cast<double>(size.tenants), kTenantsMost);
   needUpTo("classes", static_cast<double>(size.classes), kClassesMost);
@@ -41,8 +41,8 @@
   switch (dimension) {
     case Dimension::gateways:
       return "gateways";
-    case Dimension::hollow:
-      return "hollow";
+    case Dimension::stubs:
+      return "stub";
     case Dimension::servers:
       return "servers";
     case Dimension::tenants:
@@ -63,8 +63,8 @@
     case Dimension::gateways:
       gateways = count;
       return;
-    case Dimension::hollow:
-      hollow = count;
+    case Dimension::stubs:
+      stubs = count;
       return;
     case Dimension::servers:
       servers = count;
@@ -88,8 +88,8 @@
   switch (dimension) {
     case Dimension::gateways:
       return static_cast<double>(gateways);
-    case Dimension::hollow:
-      return static_cast<double>(hollow);
+    case Dimension::stubs:
+      return static_cast<double>(stubs);
     case Dimension::servers:
       return static_cast<double>(servers);
     case Dimension::tenants:
@@ -121,7 +121,7 @@
   Scenario s = plan.scenario;
   s.shape = "flat";
   s.swing = s.zoneSkew = s.chokeShare = s.retries = 0;
-  s.troubles.clear();
+  s.faultSpecs.clear();
   s.faults.clear();
   if (size.classes == 0)
     return s;
--- a/src/lab/rig/scale_plan.hpp
+++ b/src/lab/testbed/scale_plan.hpp
@@ -10,16 +10,16 @@
 namespace hollyrun::lab {
 
 /// The dimension that a scale run steps through.
-enum class Dimension { gateways, hollow, servers, tenants, classes, rate, changes };
+enum class Dimension { gateways, stubs, servers, tenants, classes, rate, changes };
 
-inline constexpr Dimension kDimensions[] = {Dimension::gateways, Dimension::hollow,  Dimension::servers,
+inline constexpr Dimension kDimensions[] = {Dimension::gateways, Dimension::stubs,   Dimension::servers,
                                             Dimension::tenants,  Dimension::classes, Dimension::rate,
                                             Dimension::changes};
 const char* nameOf(Dimension dimension);
 
 struct ScaleSize {
   std::size_t gateways = 1;  ///< real processes
-  std::size_t hollow = 0;    ///< gateways without clients, many to a process
+  std::size_t stubs = 0;     ///< gateways without clients, many to a process
   std::size_t servers = 200;
   std::size_t tenants = 0;
   std::size_t classes = 0;  ///< 0: the scenario's own
@@ -33,22 +33,23 @@
 struct ScalePlan {
   Scenario scenario;    ///< classes, keys and zones of the load
   std::string program;  ///< the built hollyrun
-  std::string lab;      ///< the built hollyrun-lab, for the hollow processes
+  std::string lab;      ///< the built hollyrun-lab, for the stub processes
   ScaleSize size;       ///< of all steps, but for the dimension
   Dimension dimension = Dimension::servers;
   std::vector<double> values;  ///< of the dimension, one a step
   unsigned rounds = 1;         ///< of all the steps
   unsigned voidTries = 3;      ///< a step that is void is played so often
   double idleS = 5, loadS = 8, warmS = 2;
-  double answerMs = 2;            ///< until a hollow server answers
+  double answerMs = 2;            ///< until a stub server answers
   unsigned hangups = 3;           ///< SIGHUPs measured a step
-  unsigned listChanges = 5;       ///< followed to all hollow gateways
+  unsigned listChanges = 5;       ///< followed to all stub gateways
   double outageS = 2;             ///< of discovery, before its watches begin anew; 0: none is played
   std::size_t configured = 410;   ///< fleet.gateways of the settings, or all of the size if those are more
   double membershipPeriodMs = 0;  ///< 0: no membership
   double joinMostS = 60;          ///< waited for until all members see all
-  // Beyond these a step is void: the rig would show as latency of the gateway, or be itself what is measured.
-  double lagMostMs = 100;   ///< that the loop of one of the rig's processes was late under a load
+  // Beyond these a step is void: the testbed would show as latency of the gateway, or be itself what is
+  // measured.
+  double lagMostMs = 100;   ///< that the loop of one of the testbed's processes was late under a load
   double shareMost = 0.85;  ///< of a core that one of them took under a load
   std::uint64_t seed = 1;
 };
--- a/src/lab/rig/scale_step.cpp
+++ b/src/lab/testbed/scale_step.cpp
@@ -1,4 +1,4 @@
-#include "lab/rig/scale_step.hpp"
+#include "lab/testbed/scale_step.hpp"
 
 #include <signal.h>
 #include <spdlog/fmt/fmt.h>
@@ -7,7 +7,7 @@
 #include <cstdlib>
 #include <nlohmann/json.hpp>
 
-#include "lab/rig/scale_rig.hpp"
+#include "lab/testbed/scale_testbed.hpp"
 
 namespace hollyrun::lab {
 namespace {
@@ -28,16 +28,16 @@
 
 class Step {
  public:
-  Step(const ScalePlan& plan, const ScaleSize& size) : plan_(plan), size_(size), rig_(plan, size) {}
+  Step(const ScalePlan& plan, const ScaleSize& size) : plan_(plan), size_(size), testbed_(plan, size) {}
 
   StepResult measure() {
     waitForMembers();
     measureStart();
-    rig_.changeRegularly(true);
-    rig_.play(gatewayTargets(), std::max(plan_.warmS, 0.1));
+    testbed_.changeRegularly(true);
+    testbed_.play(gatewayTargets(), std::max(plan_.warmS, 0.1));
     measureIdle();
     measureLoad();
-    rig_.changeRegularly(false);
+    testbed_.changeRegularly(false);
     measureHangups();
     measureListChanges();
     measureOutages();
@@ -47,26 +47,26 @@
  private:
   std::vector<Target> gatewayTargets() const {
     std::vector<Target> all;
-    for (const auto& gateway : rig_.gateways())
+    for (const auto& gateway : testbed_.gateways())
       all.push_back({gateway->name, gateway->port.endpoint(), 0, true});
     return all;
   }
   std::vector<Target> serverTargets() const {
     std::vector<Target> all;
     for (std::size_t i = 0; i < std::min(kDirectServers, size_.servers); ++i)
-      all.push_back({fmt::format("server-{}", i), rig_.serverEndpoint(i), 0, true});
+      all.push_back({fmt::format("server-{}", i), testbed_.serverEndpoint(i), 0, true});
     return all;
   }
 
   GatewayCounts counts() {
     GatewayCounts sum;
-    const double share = 1 / static_cast<double>(rig_.gateways().size());
-    for (const auto& gateway : rig_.gateways()) {
-      const auto& discovery = rig_.discovery().counts(gateway->discovery);
+    const double share = 1 / static_cast<double>(testbed_.gateways().size());
+    for (const auto& gateway : testbed_.gateways()) {
+      const auto& discovery = testbed_.discovery().counts(gateway->discovery);
       sum.discoveryBytes += share * static_cast<double>(discovery.bytesIn + discovery.bytesOut);
       sum.membershipBytes += share * membershipBytes(*gateway);
     }
-    for (const auto& gateway : rig_.gateways()) {  // what was asked above is not to be counted within
+    for (const auto& gateway : testbed_.gateways()) {  // what was asked above is not to be counted within
       const ProcessUsage usage = usageOf(gateway->process->pid);
       sum.processorS += share * usage.processorS;
       sum.residentMb += share * usage.residentMb;
@@ -77,27 +77,27 @@
   double membershipBytes(const RealGateway& gateway) {
     if (gateway.membership.empty())
       return 0;
-    const auto view = nlohmann::json::parse(rig_.ask(gateway, "/ops/fleet"));
+    const auto view = nlohmann::json::parse(testbed_.ask(gateway, "/ops/fleet"));
     const auto& counters = view.at("counters");
     return counters.at("bytes_in").get<double>() + counters.at("bytes_out").get<double>();
   }
   double processorSeconds() const {
     double sum = 0;
-    for (const auto& gateway : rig_.gateways())
+    for (const auto& gateway : testbed_.gateways())
       sum += usageOf(gateway->process->pid).processorS;
-    return sum / static_cast<double>(rig_.gateways().size());
+    return sum / static_cast<double>(testbed_.gateways().size());
   }
 
   // --- Whether this machine kept up ---
 
   void beginWatch() {
-    rig_.resetLag();
+    testbed_.resetLag();
     watchFrom_ = clockNow();
-    helpers_ = rig_.helperUsage();
+    helpers_ = testbed_.helperUsage();
   }
   void endWatch(const char* window) {
     const double passed = inSeconds(clockNow() - watchFrom_);
-    const auto now = rig_.helperUsage();
+    const auto now = testbed_.helperUsage();
     for (std::size_t i = 0; i < now.size(); ++i) {
       const double share = (now[i].second.processorS - helpers_[i].second.processorS) / passed;
       if (passed < kShareOverS)
@@ -106,9 +106,9 @@
       if (share > plan_.shareMost)
         voidFor(fmt::format("{}: {} took {:.2f} of a core", window, now[i].first, share));
     }
-    raise(Figure::lagMs, rig_.lagMs());
-    if (rig_.lagMs() > plan_.lagMostMs)
-      voidFor(fmt::format("{}: the rig was {:.0f} ms late", window, rig_.lagMs()));
+    raise(Figure::lagMs, testbed_.lagMs());
+    if (testbed_.lagMs() > plan_.lagMostMs)
+      voidFor(fmt::format("{}: the testbed was {:.0f} ms late", window, testbed_.lagMs()));
   }
   void raise(Figure figure, double value) { result_[figure] = std::max(result_[figure].value_or(0), value); }
   void voidFor(const std::string& why) { result_.voided += (result_.voided.empty() ? "" : "; ") + why; }
@@ -116,27 +116,27 @@
   // --- Measures ---
 
   void waitForMembers() {
-    if (plan_.membershipPeriodMs <= 0 || size_.hollow == 0)
-      return rig_.playFor(kSettleS);
-    const auto all = static_cast<std::uint32_t>(size_.gateways + size_.hollow);
+    if (plan_.membershipPeriodMs <= 0 || size_.stubs == 0)
+      return testbed_.playFor(kSettleS);
+    const auto all = static_cast<std::uint32_t>(size_.gateways + size_.stubs);
     const Time from = clockNow();
-    if (rig_.playUntil([&] { return rig_.hollowMembersSeen() >= all; }, plan_.joinMostS))
+    if (testbed_.playUntil([&] { return testbed_.stubMembersSeen() >= all; }, plan_.joinMostS))
       result_[Figure::joinMs] = inSeconds(clockNow() - from) * kMs;
-    rig_.playFor(kSettleS);
+    testbed_.playFor(kSettleS);
   }
 
   void measureStart() {
     double sum = 0;
-    for (const auto& gateway : rig_.gateways())
+    for (const auto& gateway : testbed_.gateways())
       sum += gateway->startProcessorS;
-    result_[Figure::startMs] = sum / static_cast<double>(rig_.gateways().size()) * kMs;
+    result_[Figure::startMs] = sum / static_cast<double>(testbed_.gateways().size()) * kMs;
   }
 
   void measureIdle() {
     if (plan_.idleS <= 0)
       return;
     const GatewayCounts before = counts();
-    rig_.playFor(plan_.idleS);
+    testbed_.playFor(plan_.idleS);
     const double processorS = processorSeconds() - before.processorS;
     const double passed = inSeconds(clockNow() - before.at);
     const GatewayCounts after = counts();
@@ -153,7 +153,7 @@
     beginWatch();
     const double before = processorSeconds();
     const Time from = clockNow();
-    const Load& through = rig_.play(gatewayTargets(), plan_.loadS);
+    const Load& through = testbed_.play(gatewayTargets(), plan_.loadS);
     const double used = processorSeconds() - before, passed = inSeconds(clockNow() - from);
     endWatch("the load");
     const Result r = through.result();
@@ -162,7 +162,7 @@
     result_[Figure::unservedPercent] = (r.refusedShare + r.failedShare) * kPercent;
     result_[Figure::residentMb] = counts().residentMb;
     beginWatch();
-    const Load& direct = rig_.play(serverTargets(), plan_.loadS);
+    const Load& direct = testbed_.play(serverTargets(), plan_.loadS);
     endWatch("the direct load");
     latency(through.latencies(), direct.latencies(), 0.5, Figure::directP50, Figure::addedP50);
     latency(through.latencies(), direct.latencies(), 0.99, Figure::directP99, Figure::addedP99);
@@ -197,7 +197,7 @@
   // The statistics: how many SIGHUPs it has taken, and how long it took to say so.
   Asked askStatistics(const RealGateway& gateway) {
     const Time from = clockNow();
-    const std::string body = rig_.ask(gateway, "/ops/stats");
+    const std::string body = testbed_.ask(gateway, "/ops/stats");
     const double ms = inSeconds(clockNow() - from) * kMs;
     const std::string name = ".reconfig_ok=";
     const std::size_t at = body.find(name);
@@ -207,8 +207,8 @@
   }
   // One that it is asked again and again until it has taken the settings; what asking costs is taken off.
   Hangup hangUp(unsigned version) {
-    const RealGateway& gateway = *rig_.gateways().front();
-    rig_.writeChangedConfig(gateway, version);
+    const RealGateway& gateway = *testbed_.gateways().front();
+    testbed_.writeChangedConfig(gateway, version);
     const auto used = [&] { return usageOf(gateway.process->pid).processorS; };
     const double before = used();
     Asked last;
@@ -233,25 +233,25 @@
     return {std::max(0.0, used() - from - asks * askS), std::max(0.0, longest - usualMs)};
   }
 
-  // --- The list at the hollow gateways ---
+  // --- The list at the stub gateways ---
 
   void measureListChanges() {
-    if (size_.hollow == 0)
+    if (size_.stubs == 0)
       return;
     beginWatch();
     for (unsigned i = 0; i < plan_.listChanges; ++i) {
       const Time from = clockNow();
-      const std::int64_t revision = rig_.discovery().change(i % size_.servers);
-      if (!rig_.playUntil([&] { return rig_.hollowRevision() >= revision; }, kChangeMostS))
-        throw std::runtime_error("a change of the list does not reach all hollow gateways");
-      raise(Figure::changeMs, inSeconds(rig_.hollowChangedAt() - from) * kMs);
+      const std::int64_t revision = testbed_.discovery().change(i % size_.servers);
+      if (!testbed_.playUntil([&] { return testbed_.stubRevision() >= revision; }, kChangeMostS))
+        throw std::runtime_error("a change of the list does not reach all stub gateways");
+      raise(Figure::changeMs, inSeconds(testbed_.stubChangedAt() - from) * kMs);
     }
     if (plan_.listChanges > 0)
       endWatch("list changes");
   }
 
   void measureOutages() {
-    if (size_.hollow == 0 || plan_.outageS <= 0)
+    if (size_.stubs == 0 || plan_.outageS <= 0)
       return;
     const Return cut = outage(false);
     result_[Figure::resumeMs] = cut.ms;
@@ -265,27 +265,27 @@
   };
   // Discovery is away for a while, as with regions apart, and all ask it anew once it is back.
   Return outage(bool anew) {
-    HollowDiscovery& discovery = rig_.discovery();
+    StubDiscovery& discovery = testbed_.discovery();
     discovery.suspend();
-    rig_.playFor(plan_.outageS);
+    testbed_.playFor(plan_.outageS);
     const std::int64_t revision = discovery.change(0);
-    const std::uint64_t lists = rig_.hollowWholeLists();
-    const auto& counts = discovery.counts(rig_.hollowDiscovery());
+    const std::uint64_t lists = testbed_.stubSnapshots();
+    const auto& counts = discovery.counts(testbed_.stubDiscovery());
     const std::uint64_t sent = counts.bytesOut;
     const Time from = clockNow();
     discovery.resume(anew);
     const auto back = [&] {
-      return anew ? rig_.hollowWholeLists() > lists : rig_.hollowRevision() >= revision;
+      return anew ? testbed_.stubSnapshots() > lists : testbed_.stubRevision() >= revision;
     };
-    if (!rig_.playUntil(back, kOutageMostS))
-      throw std::runtime_error("the hollow gateways do not watch again");
-    return {inSeconds(rig_.hollowChangedAt() - from) * kMs,
+    if (!testbed_.playUntil(back, kOutageMostS))
+      throw std::runtime_error("the stub gateways do not watch again");
+    return {inSeconds(testbed_.stubChangedAt() - from) * kMs,
             static_cast<double>(counts.bytesOut - sent) / kKilobyte};
   }
 
   const ScalePlan& plan_;
   ScaleSize size_;
-  ScaleRig rig_;
+  ScaleTestbed testbed_;
   StepResult result_;
   double idleShare_ = 0;
   Time watchFrom_{};
--- a/src/lab/rig/scale_step.hpp
+++ b/src/lab/testbed/scale_step.hpp
@@ -1,8 +1,8 @@
 // One step of a scale run: starts its processes, measures, and ends them.
 #pragma once
 
-#include "lab/rig/scale_figures.hpp"
-#include "lab/rig/scale_plan.hpp"
+#include "lab/testbed/scale_figures.hpp"
+#include "lab/testbed/scale_plan.hpp"
 
 namespace hollyrun::lab {
 
--- a/src/lab/rig/scale_rig.cpp
+++ b/src/lab/testbed/scale_testbed.cpp
@@ -1,4 +1,4 @@
-#include "lab/rig/scale_rig.hpp"
+#include "lab/testbed/scale_testbed.hpp"
 
 #include <signal.h>
 #include <spdlog/fmt/fmt.h>
@@ -10,8 +10,8 @@
 #include <boost/asio/ip/udp.hpp>
 #include <fstream>
 
-#include "lab/rig/fleet.hpp"
-#include "lab/rig/hollow_server.hpp"
+#include "lab/testbed/fleet.hpp"
+#include "lab/testbed/stub_server.hpp"
 
 namespace hollyrun::lab {
 
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr std::size_t kHollowInOne = 52;  // gateways of a process: 410 in eight
+constexpr std::size_t kStubsPerProcess = 52;  // gateways of a process: 410 in eight
 constexpr std::size_t kSeeds = 3;
 constexpr std::size_t kCell = 6;  // servers of one
 constexpr double kReadyMostS = 30, kAnswerMostS = 10;
@@ -41,7 +41,7 @@
 }
 
 fs::path makeFolder() {
-  // Danger: files that are renamed over others are written to a disk at once, which holds the rig up.
+  // Danger: files that are renamed over others are written to a disk at once, which holds the testbed up.
   const fs::path memory = "/dev/shm";
   const fs::path base = ::access(memory.c_str(), W_OK) == 0 ? memory : fs::temp_directory_path();
   std::string pattern = (base / "hollyrun-scale-XXXXXX").string();
@@ -61,7 +61,7 @@
 RealGateway::RealGateway(asio::io_context& io, std::size_t n)
     : number(n), name("gateway-" + std::to_string(n)), port(io), management(io) {}
 
-ScaleRig::ScaleRig(const ScalePlan& plan, const ScaleSize& size)
+ScaleTestbed::ScaleTestbed(const ScalePlan& plan, const ScaleSize& size)
     : plan_(plan),
       size_(size),
       scenario_(scenarioOf(plan, size)),
@@ -83,13 +83,13 @@
   }
 }
 
-ScaleRig::~ScaleRig() {
+ScaleTestbed::~ScaleTestbed() {
   killAll();
 }
 
 // --- The loop ---------------------------------------------------------------------------------------------
 
-bool ScaleRig::playUntil(const std::function<bool()>& holds, double mostS) {
+bool ScaleTestbed::playUntil(const std::function<bool()>& holds, double mostS) {
   const Time most = clockNow() + seconds(mostS);
   while (!holds()) {
     if (interrupted_)
@@ -103,12 +103,12 @@
   return true;
 }
 
-void ScaleRig::playFor(double s) {
+void ScaleTestbed::playFor(double s) {
   playUntil([] { return false; }, s);
   checkMemory();
 }
 
-ScaleRig::OpsAnswer ScaleRig::answerOf(const RealGateway& gateway, const std::string& target) {
+ScaleTestbed::OpsAnswer ScaleTestbed::answerOf(const RealGateway& gateway, const std::string& target) {
   const auto answer = std::make_shared<OpsAnswer>();
   lab::ask(io_, gateway.management.endpoint(), target, seconds(kAnswerMostS),
            [answer](int status, const std::string& body) {
@@ -118,14 +118,14 @@
   return *answer;
 }
 
-std::string ScaleRig::ask(const RealGateway& gateway, const std::string& target) {
+std::string ScaleTestbed::ask(const RealGateway& gateway, const std::string& target) {
   const OpsAnswer answer = answerOf(gateway, target);
   if (answer.status != 200)
     throw std::runtime_error(gateway.name + " does not answer " + target);
   return answer.body;
 }
 
-void ScaleRig::checkMemory() const {
+void ScaleTestbed::checkMemory() const {
   double sum = usageOf(::getpid()).residentMb;
   for (const auto& process : processes_)
     if (!process->ended)
@@ -136,7 +136,7 @@
 
 // --- Processes --------------------------------------------------------------------------------------------
 
-void ScaleRig::watchChildren() {
+void ScaleTestbed::watchChildren() {
   children_.async_wait([this](error_code ec, int) {
     if (ec)
       return;
@@ -145,7 +145,7 @@
   });
 }
 
-void ScaleRig::reap() {
+void ScaleTestbed::reap() {
   for (const auto& process : processes_) {
     int status = 0;
     if (process->ended || ::waitpid(process->pid, &status, WNOHANG) != process->pid)
@@ -159,7 +159,7 @@
   }
 }
 
-void ScaleRig::killAll() {
+void ScaleTestbed::killAll() {
   for (const auto& process : processes_) {
     if (process->ended)
       continue;
@@ -171,12 +171,12 @@
   fs::remove_all(dir_, ignored);
 }
 
-ScaleRig::Helper& ScaleRig::startHelper(const std::string& name, std::vector<std::string> arguments) {
-  hollow_.push_back(std::make_unique<Helper>());
-  Helper& helper = *hollow_.back();
+ScaleTestbed::Helper& ScaleTestbed::startHelper(const std::string& name, std::vector<std::string> arguments) {
+  stubs_.push_back(std::make_unique<Helper>());
+  Helper& helper = *stubs_.back();
   helper.process = std::make_shared<Process>(io_, name);
   helper.process->said = [&helper](const std::string& line) {
-    const auto report = parseHollowReport(line);
+    const auto report = parseStubReport(line);
     if (!report)
       return;
     helper.report = *report;
@@ -187,27 +187,26 @@
   return helper;
 }
 
-void ScaleRig::startServers() {
+void ScaleTestbed::startServers() {
   const std::uint32_t first = firstServerAddress();
-  startHelper("hollow servers",
-              {"hollow-servers", "--first-address", std::to_string(first), "--count",
-               std::to_string(size_.servers), "--answer-ms", std::to_string(plan_.answerMs)});
-  servers_ = std::move(hollow_.back());
-  hollow_.pop_back();
+  startHelper("stub servers", {"stub-servers", "--first-address", std::to_string(first), "--count",
+                               std::to_string(size_.servers), "--answer-ms", std::to_string(plan_.answerMs)});
+  servers_ = std::move(stubs_.back());
+  stubs_.pop_back();
   if (!playUntil([this] { return servers_->report.port != 0; }, kReadyMostS))
-    throw std::runtime_error("the hollow servers do not listen");
+    throw std::runtime_error("the stub servers do not listen");
   std::vector<ListedServer> listed;
   for (std::size_t i = 0; i < size_.servers; ++i)
     listed.push_back({fmt::format("server-{}", i), scenario_.zones[i % scenario_.zones.size()],
                       serverEndpoint(i), static_cast<std::int64_t>(i / kCell)});
-  discovery_ = std::make_unique<HollowDiscovery>(io_, listed);
+  discovery_ = std::make_unique<StubDiscovery>(io_, listed);
 }
 
-tcp::endpoint ScaleRig::serverEndpoint(std::size_t number) const {
-  return hollowServerEndpoint(firstServerAddress(), number, servers_->report.port);
+tcp::endpoint ScaleTestbed::serverEndpoint(std::size_t number) const {
+  return stubServerEndpoint(firstServerAddress(), number, servers_->report.port);
 }
 
-std::string ScaleRig::seeds() const {
+std::string ScaleTestbed::seeds() const {
   std::string all;
   for (std::size_t i = 0; i < std::min(kSeeds, gateways_.size()); ++i)
     if (!gateways_[i]->membership.empty())
@@ -215,7 +214,7 @@
   return all;
 }
 
-void ScaleRig::startGateways() {
+void ScaleTestbed::startGateways() {
   for (std::size_t i = 0; i < size_.gateways; ++i) {
     gateways_.push_back(std::make_unique<RealGateway>(io_, i));
     RealGateway& gateway = *gateways_.back();
@@ -224,7 +223,7 @@
     if (plan_.membershipPeriodMs > 0)
       gateway.membership = freeMembershipAddress(io_);
   }
-  hollowAddress_ = discovery_->addAddress();
+  stubAddress_ = discovery_->addAddress();
   for (const auto& gateway : gateways_)
     startGateway(*gateway, seeds());
   for (const auto& gateway : gateways_) {
@@ -233,10 +232,10 @@
       throw std::runtime_error(gateway->name + " is not ready");
     gateway->startProcessorS = usageOf(gateway->process->pid).processorS;
   }
-  startHollowGateways(seeds());
+  startStubGateways(seeds());
 }
 
-void ScaleRig::startGateway(RealGateway& gateway, const std::string& seeds) {
+void ScaleTestbed::startGateway(RealGateway& gateway, const std::string& seeds) {
   const fs::path own = dir_ / (gateway.name + ".tmp");
   fs::create_directories(own);
   write(gateway.config, configOf(gateway, seeds, 0));
@@ -245,36 +244,36 @@
   processes_.push_back(gateway.process);
 }
 
-void ScaleRig::startHollowGateways(const std::string& seeds) {
-  const fs::path config = dir_ / "hollow.toml";
-  write(config, hollowConfig());
-  for (std::size_t first = 0; first < size_.hollow; first += kHollowInOne) {
-    std::vector<std::string> arguments{"hollow-gateways",
+void ScaleTestbed::startStubGateways(const std::string& seeds) {
+  const fs::path config = dir_ / "stub.toml";
+  write(config, stubConfig());
+  for (std::size_t first = 0; first < size_.stubs; first += kStubsPerProcess) {
+    std::vector<std::string> arguments{"stub-gateways",
                                        "--first",
                                        std::to_string(size_.gateways + first),
                                        "--count",
-                                       std::to_string(std::min(kHollowInOne, size_.hollow - first)),
+                                       std::to_string(std::min(kStubsPerProcess, size_.stubs - first)),
                                        "--config",
                                        config.string(),
                                        "--discovery",
-                                       textOf(discovery_->endpoint(hollowAddress_))};
+                                       textOf(discovery_->endpoint(stubAddress_))};
     if (!seeds.empty())
       arguments.insert(arguments.end(), {"--seeds", seeds});
-    startHelper("hollow gateways " + std::to_string(first), arguments);
+    startHelper("stub gateways " + std::to_string(first), arguments);
   }
-  if (!playUntil([this] { return hollow_.empty() || hollowRevision() >= discovery_->revision(); },
-                 kReadyMostS))
-    throw std::runtime_error("the hollow gateways have no list");
+  if (!playUntil([this] { return stubs_.empty() || stubRevision() >= discovery_->revision(); }, kReadyMostS))
+    throw std::runtime_error("the stub gateways have no list");
 }
 
 // --- Settings ---------------------------------------------------------------------------------------------
 
 // The settings allow no number of a gateway beyond it.
-std::uint32_t ScaleRig::configuredGateways() const {
-  return static_cast<std::uint32_t>(std::max(plan_.configured, size_.gateways + size_.hollow));
+std::uint32_t ScaleTestbed::configuredGateways() const {
+  return static_cast<std::uint32_t>(std::max(plan_.configured, size_.gateways + size_.stubs));
 }
 
-std::string ScaleRig::configOf(const RealGateway& gateway, const std::string& seeds, unsigned version) const {
+std::string ScaleTestbed::configOf(const RealGateway& gateway, const std::string& seeds,
+                                   unsigned version) const {
   std::string membership;
   if (!gateway.membership.empty()) {
     std::string quoted;
@@ -298,7 +297,7 @@
   return text;
 }
 
-std::string ScaleRig::hollowConfig() const {
+std::string ScaleTestbed::stubConfig() const {
   ScaleSize own = size_;
   own.classes = 0;
   const Scenario scenario = scenarioOf(plan_, own);
@@ -311,13 +310,13 @@
                        nowhere, membership);
 }
 
-void ScaleRig::writeChangedConfig(const RealGateway& gateway, unsigned version) {
+void ScaleTestbed::writeChangedConfig(const RealGateway& gateway, unsigned version) {
   write(gateway.config, configOf(gateway, seeds(), version));
 }
 
 // --- Load and changes -------------------------------------------------------------------------------------
 
-const Load& ScaleRig::play(std::vector<Target> targets, double s) {
+const Load& ScaleTestbed::play(std::vector<Target> targets, double s) {
   const double rate = size_.rate * static_cast<double>(size_.gateways);
   loads_.push_back(std::make_unique<Load>(io_, scenario_, ++loadSeed_, LoadPlan{rate, s, {}, size_.tenants},
                                           0, std::move(targets)));
@@ -330,7 +329,7 @@
   return load;
 }
 
-void ScaleRig::changeRegularly(bool on) {
+void ScaleTestbed::changeRegularly(bool on) {
   changes_.cancel();
   if (!on || size_.changes <= 0)
     return;
@@ -344,61 +343,61 @@
 }
 
 // One after another, from the last on: the first servers are asked directly.
-void ScaleRig::changeOne() {
+void ScaleTestbed::changeOne() {
   discovery_->change(size_.servers - 1 - changed_++ % size_.servers);
 }
 
-// --- Hollow processes
+// --- Stub processes
 // ---------------------------------------------------------------------------------------
 
-std::int64_t ScaleRig::hollowRevision() const {
+std::int64_t ScaleTestbed::stubRevision() const {
   std::int64_t least = discovery_->revision();
-  for (const auto& helper : hollow_)
+  for (const auto& helper : stubs_)
     least = std::min(least, helper->report.revision);
   return least;
 }
 
-std::uint64_t ScaleRig::hollowWholeLists() const {
+std::uint64_t ScaleTestbed::stubSnapshots() const {
   std::uint64_t least = UINT64_MAX;
-  for (const auto& helper : hollow_)
+  for (const auto& helper : stubs_)
     least = std::min(least, helper->report.wholeLists);
   return least;
 }
 
-std::uint32_t ScaleRig::hollowMembersSeen() const {
+std::uint32_t ScaleTestbed::stubMembersSeen() const {
   std::uint32_t least = UINT32_MAX;
-  for (const auto& helper : hollow_)
+  for (const auto& helper : stubs_)
     least = std::min(least, helper->report.membersSeen);
   return least;
 }
 
-Time ScaleRig::hollowChangedAt() const {
+Time ScaleTestbed::stubChangedAt() const {
   std::int64_t latest = 0;
-  for (const auto& helper : hollow_)
+  for (const auto& helper : stubs_)
     latest = std::max(latest, helper->report.changedAtNs);
   const Duration offset = clockNow() - std::chrono::steady_clock::now().time_since_epoch();
   return std::chrono::nanoseconds(latest) + offset;
 }
 
-std::vector<std::pair<std::string, ProcessUsage>> ScaleRig::helperUsage() const {
-  std::vector<std::pair<std::string, ProcessUsage>> all{{"the rig", usageOf(::getpid())}};
+std::vector<std::pair<std::string, ProcessUsage>> ScaleTestbed::helperUsage() const {
+  std::vector<std::pair<std::string, ProcessUsage>> all{{"the testbed", usageOf(::getpid())}};
   all.emplace_back(servers_->process->name, usageOf(servers_->process->pid));
-  for (const auto& helper : hollow_)
+  for (const auto& helper : stubs_)
     all.emplace_back(helper->process->name, usageOf(helper->process->pid));
   return all;
 }
 
-double ScaleRig::lagMs() const {
+double ScaleTestbed::lagMs() const {
   double most = std::max(lag_.mostMs(), servers_->lagMs);
-  for (const auto& helper : hollow_)
+  for (const auto& helper : stubs_)
     most = std::max(most, helper->lagMs);
   return most;
 }
 
-void ScaleRig::resetLag() {
+void ScaleTestbed::resetLag() {
   lag_.reset();
   servers_->lagMs = 0;
-  for (const auto& helper : hollow_)
+  for (const auto& helper : stubs_)
     helper->lagMs = 0;
 }
 
--- a/src/lab/rig/scale_rig.hpp
+++ b/src/lab/testbed/scale_testbed.hpp
@@ -1,5 +1,5 @@
-// The processes of one step of a scale run: real gateways, hollow gateways and hollow servers, with an
-// emulated discovery in the rig itself. All of them end with it.
+// The processes of one step of a scale run: real gateways, stub gateways and stub servers, with an
+// emulated discovery in the testbed itself. All of them end with it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,13 +13,13 @@
 #include <utility>
 #include <vector>
 
-#include "lab/rig/hollow_discovery.hpp"
-#include "lab/rig/hollow_report.hpp"
-#include "lab/rig/lag_meter.hpp"
-#include "lab/rig/load.hpp"
-#include "lab/rig/process.hpp"
-#include "lab/rig/process_usage.hpp"
-#include "lab/rig/scale_plan.hpp"
+#include "lab/testbed/lag_meter.hpp"
+#include "lab/testbed/load.hpp"
+#include "lab/testbed/process.hpp"
+#include "lab/testbed/process_usage.hpp"
+#include "lab/testbed/scale_plan.hpp"
+#include "lab/testbed/stub_discovery.hpp"
+#include "lab/testbed/stub_report.hpp"
 
 namespace hollyrun::lab {
 
@@ -41,13 +41,13 @@
   double startProcessorS = 0;  ///< until it was ready
 };
 
-class ScaleRig {
+class ScaleTestbed {
  public:
   /// Throws std::runtime_error if a process does not start.
-  ScaleRig(const ScalePlan& plan, const ScaleSize& size);
-  ~ScaleRig();
-  ScaleRig(const ScaleRig&) = delete;
-  ScaleRig& operator=(const ScaleRig&) = delete;
+  ScaleTestbed(const ScalePlan& plan, const ScaleSize& size);
+  ~ScaleTestbed();
+  ScaleTestbed(const ScaleTestbed&) = delete;
+  ScaleTestbed& operator=(const ScaleTestbed&) = delete;
 
   /// Plays on until the condition holds; false if it did not in that time. Throws ScaleInterrupted, and
   /// std::runtime_error if a process ended or the memory of all is beyond the bound.
@@ -57,8 +57,8 @@
   std::string ask(const RealGateway& gateway, const std::string& target);
 
   const std::vector<std::unique_ptr<RealGateway>>& gateways() const { return gateways_; }
-  HollowDiscovery& discovery() { return *discovery_; }
-  std::size_t hollowDiscovery() const { return hollowAddress_; }  ///< address of the hollow gateways there
+  StubDiscovery& discovery() { return *discovery_; }
+  std::size_t stubDiscovery() const { return stubAddress_; }  ///< address of the stub gateways there
   tcp::endpoint serverEndpoint(std::size_t number) const;
 
   /// A load on these targets; its results once it has ended.
@@ -69,13 +69,13 @@
   /// Other text with the same meaning for most, to be taken at a SIGHUP.
   void writeChangedConfig(const RealGateway& gateway, unsigned version);
 
-  /// What all hollow processes have come to.
-  std::int64_t hollowRevision() const;
-  std::uint64_t hollowWholeLists() const;
-  std::uint32_t hollowMembersSeen() const;
-  Time hollowChangedAt() const;  ///< clock of clockNow()
+  /// What all stub processes have come to.
+  std::int64_t stubRevision() const;
+  std::uint64_t stubSnapshots() const;
+  std::uint32_t stubMembersSeen() const;
+  Time stubChangedAt() const;  ///< clock of clockNow()
 
-  /// Of the rig and of its helper processes, to judge whether they were fast enough.
+  /// Of the testbed and of its helper processes, to judge whether they were fast enough.
   std::vector<std::pair<std::string, ProcessUsage>> helperUsage() const;
   double lagMs() const;
   void resetLag();
@@ -83,14 +83,14 @@
  private:
   struct Helper {
     std::shared_ptr<Process> process;
-    HollowReport report;
+    StubReport report;
     double lagMs = 0;  // the most since the last reset
   };
 
   void startServers();
   void startGateways();
   void startGateway(RealGateway& gateway, const std::string& seeds);
-  void startHollowGateways(const std::string& seeds);
+  void startStubGateways(const std::string& seeds);
   Helper& startHelper(const std::string& name, std::vector<std::string> arguments);
   std::string seeds() const;
   struct OpsAnswer {
@@ -99,7 +99,7 @@
   };
   OpsAnswer answerOf(const RealGateway& gateway, const std::string& target);
   std::string configOf(const RealGateway& gateway, const std::string& seeds, unsigned version) const;
-  std::string hollowConfig() const;
+  std::string stubConfig() const;
   std::uint32_t configuredGateways() const;
   void changeOne();
   void watchChildren();
@@ -117,10 +117,10 @@
   asio::steady_timer changes_;
   std::filesystem::path dir_;
   std::vector<std::shared_ptr<Process>> processes_;
-  std::vector<std::unique_ptr<Helper>> hollow_;
+  std::vector<std::unique_ptr<Helper>> stubs_;
   std::unique_ptr<Helper> servers_;
-  std::unique_ptr<HollowDiscovery> discovery_;
-  std::size_t hollowAddress_ = 0, changed_ = 0;
+  std::unique_ptr<StubDiscovery> discovery_;
+  std::size_t stubAddress_ = 0, changed_ = 0;
   std::vector<std::unique_ptr<RealGateway>> gateways_;
   std::vector<std::unique_ptr<Load>> loads_;  // their connections stay with the loop
   std::uint64_t loadSeed_;
--- a/src/lab/rig/hollow_discovery.cpp
+++ b/src/lab/testbed/stub_discovery.cpp
@@ -1,4 +1,4 @@
-#include "lab/rig/hollow_discovery.hpp"
+#include "lab/testbed/stub_discovery.hpp"
 
 #include <algorithm>
 #include <boost/asio/steady_timer.hpp>
@@ -48,13 +48,13 @@
 
 }  // namespace
 
-struct HollowDiscovery::Entry {
+struct StubDiscovery::Entry {
   json target;
   bool draining = false;
   std::int64_t revision = 1;
 };
 
-struct HollowDiscovery::Address {
+struct StubDiscovery::Address {
   explicit Address(asio::io_context& io) : acceptor(io) {}
   tcp::acceptor acceptor;
   tcp::endpoint endpoint;
@@ -63,9 +63,9 @@
 };
 
 // A client's connection: one call at a time, of which the last may be a watch.
-class HollowDiscovery::Connection : public std::enable_shared_from_this<Connection> {
+class StubDiscovery::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(HollowDiscovery& owner, Address& at, tcp::socket socket)
+  Connection(StubDiscovery& owner, Address& at, tcp::socket socket)
       : owner_(owner), address_(at), socket_(std::move(socket)), timer_(owner.io_) {
     error_code ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
@@ -120,7 +120,7 @@
   Counts& counts() { return address_.counts; }
 
  private:
-  HollowDiscovery& owner_;
+  StubDiscovery& owner_;
   Address& address_;
   tcp::socket socket_;
   asio::steady_timer timer_;
@@ -130,7 +130,7 @@
   bool open_ = true;
 };
 
-HollowDiscovery::HollowDiscovery(asio::io_context& io, const std::vector<ListedServer>& servers) : io_(io) {
+StubDiscovery::StubDiscovery(asio::io_context& io, const std::vector<ListedServer>& servers) : io_(io) {
   for (const ListedServer& server : servers) {
     Entry& entry = entries_.emplace_back();
     entry.target = {{"uid", server.uid},        {"endpoint", gateway::textOf(server.endpoint)},
@@ -140,26 +140,26 @@
   }
 }
 
-HollowDiscovery::~HollowDiscovery() {
+StubDiscovery::~StubDiscovery() {
   suspend();
 }
 
-std::size_t HollowDiscovery::addAddress() {
+std::size_t StubDiscovery::addAddress() {
   Address& address = *addresses_.emplace_back(std::make_unique<Address>(io_));
   address.endpoint = {asio::ip::address_v4::loopback(), 0};
   listen(address);
   return addresses_.size() - 1;
 }
 
-tcp::endpoint HollowDiscovery::endpoint(std::size_t address) const {
+tcp::endpoint StubDiscovery::endpoint(std::size_t address) const {
   return addresses_.at(address)->endpoint;
 }
 
-const HollowDiscovery::Counts& HollowDiscovery::counts(std::size_t address) const {
+const StubDiscovery::Counts& StubDiscovery::counts(std::size_t address) const {
   return addresses_.at(address)->counts;
 }
 
-void HollowDiscovery::listen(Address& address) {
+void StubDiscovery::listen(Address& address) {
   address.acceptor.open(tcp::v4());
   address.acceptor.set_option(tcp::acceptor::reuse_address(true));
   address.acceptor.bind(address.endpoint);
@@ -168,7 +168,7 @@
   accept(address);
 }
 
-void HollowDiscovery::accept(Address& address) {
+void StubDiscovery::accept(Address& address) {
   address.acceptor.async_accept([this, &address](error_code ec, tcp::socket socket) {
     if (ec == asio::error::operation_aborted || suspended_)
       return;
@@ -181,7 +181,7 @@
   });
 }
 
-std::int64_t HollowDiscovery::change(std::size_t server) {
+std::int64_t StubDiscovery::change(std::size_t server) {
   Entry& entry = entries_.at(server);
   entry.draining = !entry.draining;
   entry.target["state"] = entry.draining ? "DRAINING" : "SERVING";
@@ -190,7 +190,7 @@
   return revision_;
 }
 
-void HollowDiscovery::suspend() {
+void StubDiscovery::suspend() {
   suspended_ = true;
   for (const auto& address : addresses_) {
     error_code ignored;
@@ -201,7 +201,7 @@
   }
 }
 
-void HollowDiscovery::resume(bool anew) {
+void StubDiscovery::resume(bool anew) {
   if (anew) {
     revision_ = 1;
     wholeAt_ = -1;
@@ -213,7 +213,7 @@
     listen(*address);
 }
 
-void HollowDiscovery::answer(Connection& connection, const std::string& target) {
+void StubDiscovery::answer(Connection& connection, const std::string& target) {
   if (!target.starts_with(kPath))
     return connection.write(answerWith("404 Not Found", "{}"));
   const auto since = parameter(target, "since");
@@ -229,7 +229,7 @@
   connection.watch(*since, std::chrono::milliseconds(wait));
 }
 
-void HollowDiscovery::tellWatches() {
+void StubDiscovery::tellWatches() {
   std::shared_ptr<const std::string> text;
   std::int64_t textSince = -1;
   for (const auto& connection : std::exchange(watches_, {})) {
@@ -239,7 +239,7 @@
   }
 }
 
-std::shared_ptr<const std::string> HollowDiscovery::wholeList() {
+std::shared_ptr<const std::string> StubDiscovery::wholeList() {
   if (wholeAt_ == revision_)
     return whole_;
   json targets = json::array();
@@ -250,7 +250,7 @@
   return whole_;
 }
 
-std::shared_ptr<const std::string> HollowDiscovery::changesSince(std::int64_t revision) {
+std::shared_ptr<const std::string> StubDiscovery::changesSince(std::int64_t revision) {
   json targets = json::array();
   for (const Entry& entry : entries_)
     if (entry.revision > revision)
--- a/src/lab/rig/hollow_discovery.hpp
+++ b/src/lab/testbed/stub_discovery.hpp
@@ -1,4 +1,4 @@
-// An emulated discovery for thousands of hollow servers: one list with revisions, whole lists and watches by
+// An emulated discovery for thousands of stub servers: one list with revisions, whole lists and watches by
 // the published protocol, and a count of what each of its addresses sent.
 #pragma once
 
@@ -17,16 +17,16 @@
   std::int64_t cell = 0;
 };
 
-class HollowDiscovery {
+class StubDiscovery {
  public:
   struct Counts {
     std::uint64_t calls = 0, wholeLists = 0, bytesIn = 0, bytesOut = 0;
   };
 
-  HollowDiscovery(boost::asio::io_context& io, const std::vector<ListedServer>& servers);
-  ~HollowDiscovery();
-  HollowDiscovery(const HollowDiscovery&) = delete;
-  HollowDiscovery& operator=(const HollowDiscovery&) = delete;
+  StubDiscovery(boost::asio::io_context& io, const std::vector<ListedServer>& servers);
+  ~StubDiscovery();
+  StubDiscovery(const StubDiscovery&) = delete;
+  StubDiscovery& operator=(const StubDiscovery&) = delete;
 
   /// A further address of it, with counts of its own; its number, from 0.
   std::size_t addAddress();
--- a/src/lab/rig/hollow_gateway.cpp
+++ b/src/lab/testbed/stub_gateway.cpp
@@ -1,4 +1,4 @@
-#include "lab/rig/hollow_gateway.hpp"
+#include "lab/testbed/stub_gateway.hpp"
 
 #include <algorithm>
 #include <boost/asio/signal_set.hpp>
@@ -9,9 +9,9 @@
 #include <utility>
 #include <vector>
 
-#include "lab/rig/hollow_report.hpp"
-#include "lab/rig/lag_meter.hpp"
-#include "lab/rig/platform.hpp"
+#include "lab/testbed/lag_meter.hpp"
+#include "lab/testbed/platform.hpp"
+#include "lab/testbed/stub_report.hpp"
 
 namespace hollyrun::lab {
 
@@ -31,8 +31,8 @@
 
 }  // namespace
 
-HollowGateway::HollowGateway(asio::io_context& io, const HollowGatewayPlan& plan, std::size_t number,
-                             std::function<void()> changed)
+StubGateway::StubGateway(asio::io_context& io, const StubGatewayPlan& plan, std::size_t number,
+                         std::function<void()> changed)
     : config_(configOf(plan, number)),
       log_(config_.name, config_.log),
       balancer_(config_.module, now()),
@@ -46,12 +46,12 @@
   carryOut();
 }
 
-HollowGateway::~HollowGateway() {
+StubGateway::~StubGateway() {
   discovery_.stop();
 }
 
-Config HollowGateway::configOf(const HollowGatewayPlan& plan, std::size_t number) {
-  const std::string name = "hollow-" + std::to_string(number);
+Config StubGateway::configOf(const StubGatewayPlan& plan, std::size_t number) {
+  const std::string name = "stub-" + std::to_string(number);
   const auto environment = [&](const char* variable) -> const char* {
     const std::string_view asked = variable;
     if (asked == "GW_CONFIG")
@@ -77,11 +77,11 @@
   return config;
 }
 
-balancer::Time HollowGateway::now() {
+balancer::Time StubGateway::now() {
   return clockNow();
 }
 
-void HollowGateway::told(const EndpointList& list) {
+void StubGateway::told(const EndpointList& list) {
   revision_ = list.version;
   if (list.full)
     ++wholeLists_;
@@ -90,13 +90,13 @@
   changed_();
 }
 
-void HollowGateway::unavailable() {
+void StubGateway::unavailable() {
   balancer_.onEndpoints(now(), EndpointListKind::unavailable, {});
   carryOut();
 }
 
 // As in a gateway: what the whole fleet may do is divided by its members.
-void HollowGateway::divide() {
+void StubGateway::divide() {
   const std::uint32_t size = std::max(config_.module.replicaCount, fleet_ ? fleet_->holders() : 1);
   if (size == config_.module.replicaCount)
     return;
@@ -105,7 +105,7 @@
   carryOut();
 }
 
-void HollowGateway::carryOut() {
+void StubGateway::carryOut() {
   for (const balancer::Action& action : std::exchange(balancer_.actions(), {})) {
     if (action.kind == ActionKind::pollDiscovery)
       discovery_.watch();
@@ -115,7 +115,7 @@
 }
 
 // Only the earliest counts: the module asks anew at each event.
-void HollowGateway::wakeAt(balancer::Time at) {
+void StubGateway::wakeAt(balancer::Time at) {
   if (wakeAt_ > balancer::Time{} && wakeAt_ <= at)
     return;
   wakeAt_ = at;
@@ -132,11 +132,11 @@
 namespace {
 
 // The gateways of one process, and what they have come to together.
-class HollowGateways {
+class StubGateways {
  public:
-  HollowGateways(asio::io_context& io, const HollowGatewayPlan& plan) : lag_(io), timer_(io) {
+  StubGateways(asio::io_context& io, const StubGatewayPlan& plan) : lag_(io), timer_(io) {
     for (std::size_t i = 0; i < plan.count; ++i)
-      gateways_.push_back(std::make_unique<HollowGateway>(io, plan, plan.first + i, [this] { changed(); }));
+      gateways_.push_back(std::make_unique<StubGateway>(io, plan, plan.first + i, [this] { changed(); }));
     reportRegularly();
   }
 
@@ -144,14 +144,14 @@
   void changed() {
     if (gateways_.empty())
       return;
-    HollowReport now = last_;
+    StubReport now = last_;
     sum(now);
     if (now.revision == last_.revision && now.wholeLists == last_.wholeLists)
       return;
     now.changedAtNs = std::chrono::nanoseconds(Clock::now().time_since_epoch()).count();
     say(now);
   }
-  void sum(HollowReport& into) const {
+  void sum(StubReport& into) const {
     into.revision = gateways_.front()->revision();
     into.wholeLists = gateways_.front()->wholeLists();
     into.membersSeen = gateways_.front()->membersSeen();
@@ -161,12 +161,12 @@
       into.membersSeen = std::min(into.membersSeen, gateway->membersSeen());
     }
   }
-  void say(const HollowReport& report) {
+  void say(const StubReport& report) {
     last_ = report;
     std::cout << textOf(report) << std::endl;
   }
   void reportRegularly() {
-    HollowReport now = last_;
+    StubReport now = last_;
     sum(now);
     now.lagMs = lag_.mostMs();
     lag_.reset();
@@ -178,19 +178,19 @@
     });
   }
 
-  std::vector<std::unique_ptr<HollowGateway>> gateways_;
+  std::vector<std::unique_ptr<StubGateway>> gateways_;
   LagMeter lag_;
   asio::steady_timer timer_;
-  HollowReport last_;
+  StubReport last_;
 };
 
 }  // namespace
 
-int runHollowGateways(const HollowGatewayPlan& plan) {
+int runStubGateways(const StubGatewayPlan& plan) {
   asio::io_context io(1);
   asio::signal_set stops(io, SIGTERM, SIGINT);
   stops.async_wait([&io](error_code, int) { io.stop(); });
-  HollowGateways gateways(io, plan);
+  StubGateways gateways(io, plan);
   io.run();
   return 0;
 }
--- a/src/lab/rig/hollow_gateway.hpp
+++ b/src/lab/testbed/stub_gateway.hpp
@@ -1,4 +1,4 @@
-// Hollow gateways: many to a process, each with the gateway's own settings, discovery and membership code on
+// Stub gateways: many to a process, each with the gateway's own settings, discovery and membership code on
 // sockets of its own, and without clients or servers. The decision module holds no servers here; it only says
 // when a watch that broke is asked for anew, as it does in a gateway.
 #pragma once
@@ -18,21 +18,21 @@
 
 namespace hollyrun::lab {
 
-struct HollowGatewayPlan {
+struct StubGatewayPlan {
   std::size_t first = 0, count = 1;  ///< numbers of this process's gateways
   std::string config;                ///< the file that all of them read
   std::string discovery;             ///< address:port
   std::string seeds;                 ///< of membership, with commas between; empty: they are no members
 };
 
-class HollowGateway {
+class StubGateway {
  public:
   /// `changed` is called whenever it has taken a list.
-  HollowGateway(boost::asio::io_context& io, const HollowGatewayPlan& plan, std::size_t number,
-                std::function<void()> changed);
-  ~HollowGateway();
-  HollowGateway(const HollowGateway&) = delete;
-  HollowGateway& operator=(const HollowGateway&) = delete;
+  StubGateway(boost::asio::io_context& io, const StubGatewayPlan& plan, std::size_t number,
+              std::function<void()> changed);
+  ~StubGateway();
+  StubGateway(const StubGateway&) = delete;
+  StubGateway& operator=(const StubGateway&) = delete;
 
   std::int64_t revision() const { return revision_; }  ///< of the list that it holds, -1: none yet
   std::uint64_t wholeLists() const { return wholeLists_; }
@@ -40,7 +40,7 @@
   std::uint32_t membersSeen() const { return fleet_ ? fleet_->holders() : 0; }
 
  private:
-  static gateway::Config configOf(const HollowGatewayPlan& plan, std::size_t number);
+  static gateway::Config configOf(const StubGatewayPlan& plan, std::size_t number);
   static balancer::Time now();
 
   void told(const gateway::EndpointList& list);
@@ -62,6 +62,6 @@
 };
 
 /// Runs them until the process is ended, and reports on its output. Returns an exit code.
-int runHollowGateways(const HollowGatewayPlan& plan);
+int runStubGateways(const StubGatewayPlan& plan);
 
 }  // namespace hollyrun::lab
--- a/src/lab/rig/hollow_report.cpp
+++ b/src/lab/testbed/stub_report.cpp
@@ -1,4 +1,4 @@
-#include "lab/rig/hollow_report.hpp"
+#include "lab/testbed/stub_report.hpp"
 
 #include <nlohmann/json.hpp>
 
@@ -6,7 +6,7 @@
 
 using nlohmann::json;
 
-std::string textOf(const HollowReport& report) {
+std::string textOf(const StubReport& report) {
   const json line{{"port", report.port},
                   {"revision", report.revision},
                   {"whole_lists", report.wholeLists},
@@ -16,12 +16,12 @@
   return line.dump();
 }
 
-std::optional<HollowReport> parseHollowReport(const std::string& line) {
+std::optional<StubReport> parseStubReport(const std::string& line) {
   const json read = json::parse(line, nullptr, false);
   if (!read.is_object())
     return std::nullopt;
   try {
-    HollowReport report;
+    StubReport report;
     read.at("port").get_to(report.port);
     read.at("revision").get_to(report.revision);
     read.at("whole_lists").get_to(report.wholeLists);
--- a/src/lab/rig/hollow_report.hpp
+++ b/src/lab/testbed/stub_report.hpp
@@ -1,4 +1,4 @@
-// What a process that holds hollow servers or gateways tells the rig: one JSON object a line on its output.
+// What a process that holds stub servers or gateways tells the testbed: one JSON object a line on its output.
 #pragma once
 
 #include <cstdint>
@@ -7,9 +7,9 @@
 
 namespace hollyrun::lab {
 
-struct HollowReport {
-  std::uint16_t port = 0;         ///< hollow servers: where all of them listen
-  std::int64_t revision = -1;     ///< hollow gateways: the list that every one of the process holds, -1: none
+struct StubReport {
+  std::uint16_t port = 0;         ///< stub servers: where all of them listen
+  std::int64_t revision = -1;     ///< stub gateways: the list that every one of the process holds, -1: none
   std::uint64_t wholeLists = 0;   ///< whole lists that every one of them has taken since its start
   std::int64_t changedAtNs = 0;   ///< steady clock, one for the machine: when the last of them came that far
   std::uint32_t membersSeen = 0;  ///< the fewest members that one of them counts in its fleet
@@ -17,8 +17,8 @@
 };
 
 /// One line, without its end.
-std::string textOf(const HollowReport& report);
+std::string textOf(const StubReport& report);
 /// None if the line is no report, as with a message of a failing process.
-std::optional<HollowReport> parseHollowReport(const std::string& line);
+std::optional<StubReport> parseStubReport(const std::string& line);
 
 }  // namespace hollyrun::lab
--- a/src/lab/rig/hollow_server.cpp
+++ b/src/lab/testbed/stub_server.cpp
@@ -1,4 +1,4 @@
-#include "lab/rig/hollow_server.hpp"
+#include "lab/testbed/stub_server.hpp"
 
 #include <boost/asio/signal_set.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -9,8 +9,8 @@
 #include <iostream>
 #include <optional>
 
-#include "lab/rig/hollow_report.hpp"
-#include "lab/rig/lag_meter.hpp"
+#include "lab/testbed/lag_meter.hpp"
+#include "lab/testbed/stub_report.hpp"
 
 namespace hollyrun::lab {
 
@@ -31,13 +31,13 @@
 
 }  // namespace
 
-struct HollowServers::Shared {
+struct StubServers::Shared {
   std::chrono::nanoseconds answerAfter{};
   std::uint64_t answered = 0;
 };
 
 // One request at a time, as a gateway sends them.
-class HollowServers::Connection : public std::enable_shared_from_this<Connection> {
+class StubServers::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(tcp::socket socket, std::shared_ptr<Shared> shared)
       : socket_(std::move(socket)), timer_(socket_.get_executor()), shared_(std::move(shared)) {
@@ -86,43 +86,43 @@
   http::response<http::string_body> answer_;
 };
 
-HollowServers::HollowServers(asio::io_context& io, const HollowServerPlan& plan)
+StubServers::StubServers(asio::io_context& io, const StubServerPlan& plan)
     : io_(io), shared_(std::make_shared<Shared>()) {
   shared_->answerAfter = std::chrono::nanoseconds(static_cast<std::int64_t>(plan.answerMs * 1e6));
   bool free = false;
   for (int i = 0; i < kPortsTried && !free; ++i)
     free = listenAt(freePort(io, plan.firstAddress), plan);
   if (!free)
-    throw boost::system::system_error(make_error_code(boost::system::errc::address_in_use), "hollow servers");
+    throw boost::system::system_error(make_error_code(boost::system::errc::address_in_use), "stub servers");
   for (tcp::acceptor& acceptor : acceptors_)
     accept(acceptor);
 }
 
-HollowServers::~HollowServers() = default;
+StubServers::~StubServers() = default;
 
-std::uint64_t HollowServers::answered() const {
+std::uint64_t StubServers::answered() const {
   return shared_->answered;
 }
 
-bool HollowServers::listenAt(std::uint16_t port, const HollowServerPlan& plan) {
+bool StubServers::listenAt(std::uint16_t port, const StubServerPlan& plan) {
   acceptors_.clear();
   acceptors_.reserve(plan.count);
   for (std::size_t i = 0; i < plan.count; ++i) {
     tcp::acceptor& acceptor = acceptors_.emplace_back(io_, tcp::v4());
     acceptor.set_option(tcp::acceptor::reuse_address(true));
     error_code ec;
-    acceptor.bind(hollowServerEndpoint(plan.firstAddress, i, port), ec);
+    acceptor.bind(stubServerEndpoint(plan.firstAddress, i, port), ec);
     if (ec == asio::error::address_in_use)
       return false;
     if (ec)
-      throw boost::system::system_error(ec, "hollow servers");
+      throw boost::system::system_error(ec, "stub servers");
     acceptor.listen();
   }
   port_ = port;
   return true;
 }
 
-void HollowServers::accept(tcp::acceptor& acceptor) {
+void StubServers::accept(tcp::acceptor& acceptor) {
   acceptor.async_accept([this, &acceptor](error_code ec, tcp::socket socket) {
     if (ec == asio::error::operation_aborted)
       return;
@@ -132,19 +132,19 @@
   });
 }
 
-tcp::endpoint hollowServerEndpoint(std::uint32_t firstAddress, std::size_t number, std::uint16_t port) {
+tcp::endpoint stubServerEndpoint(std::uint32_t firstAddress, std::size_t number, std::uint16_t port) {
   return {asio::ip::address_v4(firstAddress + static_cast<std::uint32_t>(number)), port};
 }
 
-int runHollowServers(const HollowServerPlan& plan) {
+int runStubServers(const StubServerPlan& plan) {
   asio::io_context io(1);
-  HollowServers servers(io, plan);
+  StubServers servers(io, plan);
   asio::signal_set stops(io, SIGTERM, SIGINT);
   stops.async_wait([&io](error_code, int) { io.stop(); });
   LagMeter lag(io);
   asio::steady_timer timer(io);
   std::function<void()> report = [&] {
-    HollowReport now;
+    StubReport now;
     now.port = servers.port();
     now.lagMs = lag.mostMs();
     lag.reset();
--- a/src/lab/rig/hollow_server.hpp
+++ b/src/lab/testbed/stub_server.hpp
@@ -1,4 +1,4 @@
-// Hollow record servers: thousands of loopback addresses, each with a listening socket of its own, answered
+// Stub record servers: thousands of loopback addresses, each with a listening socket of its own, answered
 // by one process. They do no work; every request is answered after the same time with 200 and its own id.
 #pragma once
 
@@ -10,19 +10,19 @@
 
 namespace hollyrun::lab {
 
-struct HollowServerPlan {
+struct StubServerPlan {
   std::uint32_t firstAddress = 0x7f010001;  ///< 127.1.0.1; the others follow it
   std::size_t count = 1;
   double answerMs = 2;  ///< from a request's last byte to its answer
 };
 
-class HollowServers {
+class StubServers {
  public:
   /// Throws boost::system::system_error if no port is free at all of the addresses.
-  HollowServers(boost::asio::io_context& io, const HollowServerPlan& plan);
-  ~HollowServers();
-  HollowServers(const HollowServers&) = delete;
-  HollowServers& operator=(const HollowServers&) = delete;
+  StubServers(boost::asio::io_context& io, const StubServerPlan& plan);
+  ~StubServers();
+  StubServers(const StubServers&) = delete;
+  StubServers& operator=(const StubServers&) = delete;
 
   std::uint16_t port() const { return port_; }  ///< the same at every address
   std::uint64_t answered() const;
@@ -31,7 +31,7 @@
   class Connection;
   struct Shared;
 
-  bool listenAt(std::uint16_t port, const HollowServerPlan& plan);
+  bool listenAt(std::uint16_t port, const StubServerPlan& plan);
   void accept(boost::asio::ip::tcp::acceptor& acceptor);
 
   boost::asio::io_context& io_;
@@ -41,10 +41,10 @@
 };
 
 /// The endpoint of the server of that number, from 0.
-boost::asio::ip::tcp::endpoint hollowServerEndpoint(std::uint32_t firstAddress, std::size_t number,
-                                                    std::uint16_t port);
+boost::asio::ip::tcp::endpoint stubServerEndpoint(std::uint32_t firstAddress, std::size_t number,
+                                                  std::uint16_t port);
 
 /// Serves until the process is ended, and reports on its output. Returns an exit code.
-int runHollowServers(const HollowServerPlan& plan);
+int runStubServers(const StubServerPlan& plan);
 
 }  // namespace hollyrun::lab
--- a/tests/rogue_gateway.cpp
+++ b/tests/faulty_gateway.cpp
@@ -1,4 +1,4 @@
-// A gateway that breaks a rule on purpose, for the rig's own test: FAULT is lose, twice, drain or none.
+// A gateway that breaks a rule on purpose, for the testbed's own test: FAULT is lose, twice, drain or none.
 #include <unistd.h>
 
 #include <atomic>
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,6 +1,6 @@
-// The rig: several real processes with faults between them, and a checker that has to catch a gateway that
-// breaks a rule. The programs' paths are the arguments: the gateway, then the rogues by name.
-#include "lab/rig/fleet.hpp"
+// The testbed: several real processes with faults between them, and a checker that has to catch a gateway
+// that breaks a rule. The programs' paths are the arguments: the gateway, then the faulty_gateways by name.
+#include "lab/testbed/fleet.hpp"
 
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -106,7 +106,7 @@
 TEST(FleetTest, AProcessThatNeitherEndsNorAnswersIsNamedAndEnded) {
   const std::string stop = "[[fault]]\nkind = \"stop\"\nat_s = 0.2\nlength_s = 2\ngateways = [1]\n";
   const FleetResult f = play(scenarioOf(kSmall + stop), "hollyrun");
-  EXPECT_EQ(f.verdict, Verdict::pass) << "held up by the rig, it owes nothing: " << textOf(f);
+  EXPECT_EQ(f.verdict, Verdict::pass) << "held up by the testbed, it owes nothing: " << textOf(f);
 }
 
 const char* const kMembers =
@@ -138,20 +138,20 @@
   EXPECT_THROW(playFleet(scenarioOf(kSmall), {"/nonexistent/hollyrun", {}, 1, 0}), std::runtime_error);
 }
 
-TEST(FleetTest, AnInterruptedRigLeavesNoProcess) {
+TEST(FleetTest, AnInterruptedTestbedLeavesNoProcess) {
   const Scenario s = scenarioOf(kSmall);
   const std::string dir = ::testing::TempDir() + "rig_" + std::to_string(::getpid());
   std::filesystem::create_directories(dir);
-  const pid_t rig = ::fork();
-  if (rig == 0) {
+  const pid_t testbed = ::fork();
+  if (testbed == 0) {
     const FleetResult f = playFleet(s, {programs.at("hollyrun"), dir, 1, 0});
     ::_exit(f.verdict == Verdict::interrupted ? 130 : 0);
   }
   while (processesOf(dir) < 2)
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
-  ::kill(rig, SIGINT);
+  ::kill(testbed, SIGINT);
   int status = 0;
-  ASSERT_EQ(::waitpid(rig, &status, 0), rig);
+  ASSERT_EQ(::waitpid(testbed, &status, 0), testbed);
   EXPECT_EQ(WEXITSTATUS(status), 130);
   EXPECT_EQ(processesOf(dir), 0u);
   std::filesystem::remove_all(dir);
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -356,8 +356,9 @@
 
 Result playFaulty(Faulty::Fault fault) {
   const Scenario s = readScenario(shortScenario("release"), {"load.level=0.4"});
-  return play(s, 3, "faulty",
-              [fault](const Settings&, Time, const Truth&) { return std::make_unique<Faulty>(fault); });
+  return play(s, 3, "faulty", [fault](const Settings&, Time, const OmniscientView&) {
+    return std::make_unique<Faulty>(fault);
+  });
 }
 
 TEST(CheckedDayTest, EachBrokenRuleIsFoundAndNoOther) {
@@ -436,12 +437,12 @@
 
 TEST(DayTest, WhoSeesTheTrueStateServesMoreThanWhoDrawsAtRandom) {
   const Scenario s = readScenario(shortScenario("calm"), {"load.level=0.8"});
-  double truth = 0, random = 0;
+  double view = 0, random = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    truth += play(s, seed, "truth", policyNamed("truth")).whole;
+    view += play(s, seed, "truth", policyNamed("truth")).whole;
     random += play(s, seed, "random", policyNamed("random")).whole;
   }
-  EXPECT_GT(truth, random + 0.1);
+  EXPECT_GT(view, random + 0.1);
 }
 
 // --- Results --------------------------------------------------------------------------------------------
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,6 +1,6 @@
-// The scale run: its figures and bounds, the hollow parts against the gateway's own code, and small runs on
+// The scale run: its figures and bounds, the stub parts against the gateway's own code, and small runs on
 // processes. The programs' paths are the arguments: the gateway and the lab.
-#include "lab/rig/scale.hpp"
+#include "lab/testbed/scale.hpp"
 
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -15,10 +15,10 @@
 
 #include "gateway/discovery.hpp"
 #include "lab/report/store.hpp"
-#include "lab/rig/hollow_discovery.hpp"
-#include "lab/rig/hollow_report.hpp"
-#include "lab/rig/hollow_server.hpp"
-#include "lab/rig/platform.hpp"
+#include "lab/testbed/platform.hpp"
+#include "lab/testbed/stub_discovery.hpp"
+#include "lab/testbed/stub_report.hpp"
+#include "lab/testbed/stub_server.hpp"
 
 namespace hollyrun::lab {
 namespace {
@@ -27,7 +27,7 @@
 using gateway::EndpointList;
 using gateway::HostState;
 
-constexpr std::uint32_t kTestAddresses = 0x7f3c0001;  // 127.60.0.1, where no rig has its servers
+constexpr std::uint32_t kTestAddresses = 0x7f3c0001;  // 127.60.0.1, where no testbed has its servers
 std::string program, lab;                             // set once, by main
 
 ScaleRun runOf(const std::vector<std::pair<double, double>>& points) {
@@ -71,7 +71,7 @@
 
 TEST(ScaleFiguresTest, AVoidStepCountsForNothingAndIsShown) {
   ScaleRun run = runOf({{1, 1}, {2, 2}, {3, 99}});
-  run.steps.back().voided = "the rig was late";
+  run.steps.back().voided = "the testbed was late";
   const auto fit = slopeOf(run, Figure::requestUs);
   ASSERT_TRUE(fit);
   EXPECT_NEAR(fit->slope, 1, 1e-9);
@@ -156,17 +156,17 @@
   EXPECT_THROW(checkPlan(plan), std::invalid_argument);
 }
 
-// --- Hollow parts -----------------------------------------------------------------------------------------
+// --- Stub parts -----------------------------------------------------------------------------------------
 
-TEST(HollowReportTest, ALineComesBackAndAnotherTextIsNone) {
-  HollowReport report;
+TEST(StubReportTest, ALineComesBackAndAnotherTextIsNone) {
+  StubReport report;
   report.port = 4711;
   report.revision = 7;
   report.wholeLists = 2;
   report.changedAtNs = 123456789012345;
   report.membersSeen = 411;
   report.lagMs = 1.5;
-  const auto read = parseHollowReport(textOf(report));
+  const auto read = parseStubReport(textOf(report));
   ASSERT_TRUE(read);
   EXPECT_EQ(read->port, 4711);
   EXPECT_EQ(read->revision, 7);
@@ -174,9 +174,9 @@
   EXPECT_EQ(read->changedAtNs, 123456789012345);
   EXPECT_EQ(read->membersSeen, 411u);
   EXPECT_EQ(read->lagMs, 1.5);
-  EXPECT_FALSE(parseHollowReport("hollow servers: Address already in use"));
-  EXPECT_FALSE(parseHollowReport("{\"port\":1}"));
-  EXPECT_FALSE(parseHollowReport(""));
+  EXPECT_FALSE(parseStubReport("stub servers: Address already in use"));
+  EXPECT_FALSE(parseStubReport("{\"port\":1}"));
+  EXPECT_FALSE(parseStubReport(""));
 }
 
 // Plays until the condition holds, for ten seconds at the most.
@@ -191,14 +191,14 @@
 std::vector<ListedServer> listed(std::size_t count) {
   std::vector<ListedServer> all;
   for (std::size_t i = 0; i < count; ++i)
-    all.push_back({"server-" + std::to_string(i), "hall", hollowServerEndpoint(kTestAddresses, i, 80), 0});
+    all.push_back({"server-" + std::to_string(i), "hall", stubServerEndpoint(kTestAddresses, i, 80), 0});
   return all;
 }
 
 // The gateway's own client of discovery against the emulated one.
-class HollowDiscoveryTest : public ::testing::Test {
+class StubDiscoveryTest : public ::testing::Test {
  protected:
-  HollowDiscoveryTest() : discovery(io, listed(30)) {
+  StubDiscoveryTest() : discovery(io, listed(30)) {
     address = discovery.addAddress();
     client.emplace(io, discovery.endpoint(address),
                    Discovery::Callbacks{[this](const EndpointList& list) { told.push_back(list); },
@@ -207,13 +207,13 @@
   }
 
   asio::io_context io;
-  HollowDiscovery discovery;
+  StubDiscovery discovery;
   std::size_t address = 0, failures = 0;
   std::vector<EndpointList> told;
   std::optional<Discovery> client;
 };
 
-TEST_F(HollowDiscoveryTest, AClientTakesTheWholeListAndThenEachChange) {
+TEST_F(StubDiscoveryTest, AClientTakesTheWholeListAndThenEachChange) {
   client->watch();
   ASSERT_TRUE(playUntil(io, [&] { return told.size() == 1; }));
   EXPECT_TRUE(told[0].full);
@@ -234,7 +234,7 @@
   EXPECT_GT(counts.bytesIn, 50u);
 }
 
-TEST_F(HollowDiscoveryTest, AfterACutAClientTakesWhatChangedAndFromOneThatForgotAllTheWholeList) {
+TEST_F(StubDiscoveryTest, AfterACutAClientTakesWhatChangedAndFromOneThatForgotAllTheWholeList) {
   client->watch();
   ASSERT_TRUE(playUntil(io, [&] { return told.size() == 1; }));
   discovery.suspend();
@@ -256,13 +256,13 @@
   EXPECT_EQ(told[2].hosts.size(), 30u);
 }
 
-TEST(HollowServerTest, EachOfManyAddressesAnswers) {
+TEST(StubServerTest, EachOfManyAddressesAnswers) {
   asio::io_context io;
-  HollowServers servers(io, {kTestAddresses, 300, 0.5});
+  StubServers servers(io, {kTestAddresses, 300, 0.5});
   int well = 0, all = 0;
   for (const std::size_t number : {0, 150, 299})
-    ask(io, hollowServerEndpoint(kTestAddresses, number, servers.port()), "/lookup/1",
-        std::chrono::seconds(5), [&](int status, const std::string& body) {
+    ask(io, stubServerEndpoint(kTestAddresses, number, servers.port()), "/lookup/1", std::chrono::seconds(5),
+        [&](int status, const std::string& body) {
           ++all;
           well += status == 200 && body.find("\"id\"") != std::string::npos;
         });
@@ -292,9 +292,9 @@
   return plan;
 }
 
-TEST(ScaleRunTest, RealAndHollowGatewaysGiveAllFigures) {
+TEST(ScaleRunTest, RealAndStubGatewaysReportAllFigures) {
   ScalePlan plan = smallPlan();
-  plan.size.hollow = 6;
+  plan.size.stubs = 6;
   plan.size.tenants = 50;
   plan.size.classes = 9;
   plan.size.changes = 10;
@@ -313,7 +313,7 @@
   EXPECT_GT(*step[Figure::relistKb], 6 * 20 * 0.1) << "each of six took a list of twenty servers";
 }
 
-TEST(ScaleRunTest, AStepForWhichTheRigWasTooSlowIsVoid) {
+TEST(ScaleRunTest, AStepForWhichTheTestbedWasTooSlowIsVoid) {
   ScalePlan plan = smallPlan();
   plan.lagMostMs = 0;  // no loop is never late
   plan.voidTries = 2;
@@ -354,10 +354,10 @@
 
 // Starts a run of its own process, ends that by the signal, and expects its four children to end with it.
 void expectNoneLeftAfter(int signal, int code) {
-  const pid_t rig = ::fork();
-  if (rig == 0) {
+  const pid_t testbed = ::fork();
+  if (testbed == 0) {
     ScalePlan plan = smallPlan();
-    plan.size.hollow = 60;  // two processes
+    plan.size.stubs = 60;  // two processes
     plan.loadS = 100;
     try {
       playScale(plan, [](const StepResult&) {});
@@ -367,13 +367,13 @@
     ::_exit(0);
   }
   std::vector<pid_t> children;
-  while ((children = childrenOf(rig)).size() < 4)
+  while ((children = childrenOf(testbed)).size() < 4)
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
-  ::kill(rig, signal);
+  ::kill(testbed, signal);
   int status = 0;
-  ASSERT_EQ(::waitpid(rig, &status, 0), rig);
+  ASSERT_EQ(::waitpid(testbed, &status, 0), testbed);
   EXPECT_EQ(WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status), code);
-  // The kernel ends them once the rig is gone; the test's own limit of time ends this if it does not.
+  // The kernel ends them once the testbed is gone; the test's own limit of time ends this if it does not.
   for (const pid_t child : children)
     while (lives(child))
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -3,8 +3,8 @@
 
 #include <gtest/gtest.h>
 
-#include "lab/soak/ledger.hpp"
-#include "lab/soak/troubles.hpp"
+#include "lab/soak/fault_schedule.hpp"
+#include "lab/soak/oracle.hpp"
 
 namespace hollyrun::lab {
 namespace {
@@ -12,144 +12,144 @@
 using namespace std::chrono_literals;
 using balancer::Idempotency;
 
-class Ledger : public ::testing::Test {
+class SoakOracleTest : public ::testing::Test {
  protected:
-  SoakLedger ledger{50ms};
+  SoakOracle oracle{50ms};
   const SoakClass read{"read", Idempotency::idempotent, 0ns}, write{"write", Idempotency::none, 0ns},
       put{"put", Idempotency::keyed, 2s};
 
-  void sent(const SoakClass& cls) { ledger.sent("q", cls, 0, 10s, 1s); }
+  void sent(const SoakClass& cls) { oracle.sent("q", cls, 0, 10s, 1s); }
   void expectOnly(SoakRule rule) {
-    ASSERT_EQ(ledger.breaks().size(), 1u);
-    EXPECT_EQ(ledger.breaks()[0].rule, rule) << ledger.breaks()[0].text;
+    ASSERT_EQ(oracle.breaks().size(), 1u);
+    EXPECT_EQ(oracle.breaks()[0].rule, rule) << oracle.breaks()[0].text;
   }
 };
 
-TEST_F(Ledger, FindsNothingInARequestThatIsServed) {
+TEST_F(SoakOracleTest, FindsNothingInARequestThatIsServed) {
   sent(write);
-  ledger.arrived("q", 0, 990ms, 10005ms);
-  ledger.ran("q", 10005ms);
-  ledger.answered("q", 200, "q", 10020ms);
-  ledger.finish(20s);
-  EXPECT_TRUE(ledger.breaks().empty());
-  EXPECT_EQ(ledger.count(200), 1u);
+  oracle.arrived("q", 0, 990ms, 10005ms);
+  oracle.ran("q", 10005ms);
+  oracle.answered("q", 200, "q", 10020ms);
+  oracle.finish(20s);
+  EXPECT_TRUE(oracle.breaks().empty());
+  EXPECT_EQ(oracle.count(200), 1u);
 }
 
-TEST_F(Ledger, CatchesARequestThatIsNeverAnswered) {
+TEST_F(SoakOracleTest, CatchesARequestThatIsNeverAnswered) {
   sent(read);
-  ledger.finish(20s);
+  oracle.finish(20s);
   expectOnly(SoakRule::unanswered);
 }
 
-TEST_F(Ledger, CatchesAConnectionThatIsClosedWithNoAnswer) {
+TEST_F(SoakOracleTest, CatchesAConnectionThatIsClosedWithNoAnswer) {
   sent(read);
-  ledger.closedUnanswered("q", 10010ms);
-  ledger.finish(20s);
+  oracle.closedUnanswered("q", 10010ms);
+  oracle.finish(20s);
   expectOnly(SoakRule::unanswered);
 }
 
-TEST_F(Ledger, ExcusesWhatAKilledProcessHadTaken) {
+TEST_F(SoakOracleTest, ExcusesWhatAKilledProcessHadTaken) {
   sent(read);
-  ledger.killed(0, 10005ms);
-  ledger.closedUnanswered("q", 10010ms);
-  ledger.finish(20s);
-  EXPECT_TRUE(ledger.breaks().empty());
+  oracle.killed(0, 10005ms);
+  oracle.closedUnanswered("q", 10010ms);
+  oracle.finish(20s);
+  EXPECT_TRUE(oracle.breaks().empty());
 }
 
-TEST_F(Ledger, CatchesAnAnswerThatComesTooLate) {
+TEST_F(SoakOracleTest, CatchesAnAnswerThatComesTooLate) {
   sent(read);
-  ledger.ran("q", 10005ms);
-  ledger.answered("q", 200, "q", 11551ms);
+  oracle.ran("q", 10005ms);
+  oracle.answered("q", 200, "q", 11551ms);
   expectOnly(SoakRule::unanswered);
 }
 
-TEST_F(Ledger, ExcusesALateAnswerOfAProcessThatWasStopped) {
+TEST_F(SoakOracleTest, ExcusesALateAnswerOfAProcessThatWasStopped) {
   sent(read);
-  ledger.ran("q", 10005ms);
-  ledger.heldUp(0, 10100ms, 11100ms);
-  ledger.answered("q", 200, "q", 12500ms);
-  EXPECT_TRUE(ledger.breaks().empty());
+  oracle.ran("q", 10005ms);
+  oracle.heldUp(0, 10100ms, 11100ms);
+  oracle.answered("q", 200, "q", 12500ms);
+  EXPECT_TRUE(oracle.breaks().empty());
 }
 
-TEST_F(Ledger, CatchesAnAttemptAfterItsClientLeft) {
+TEST_F(SoakOracleTest, CatchesAnAttemptAfterItsClientLeft) {
   sent(read);
-  ledger.left("q", 10050ms);
-  ledger.arrived("q", 0, 500ms, 10351ms);
+  oracle.left("q", 10050ms);
+  oracle.arrived("q", 0, 500ms, 10351ms);
   expectOnly(SoakRule::afterLeaving);
 }
 
-TEST_F(Ledger, CatchesADeadlineLongerThanTheClientHasLeft) {
+TEST_F(SoakOracleTest, CatchesADeadlineLongerThanTheClientHasLeft) {
   sent(read);
-  ledger.arrived("q", 0, 990ms, 10300ms);
+  oracle.arrived("q", 0, 990ms, 10300ms);
   expectOnly(SoakRule::toldTooMuch);
 }
 
-TEST_F(Ledger, CatchesAnAttemptAtAServerThatDrains) {
+TEST_F(SoakOracleTest, CatchesAnAttemptAtAServerThatDrains) {
   sent(read);
-  ledger.toldNotServing(0, 3, 8700ms);
-  ledger.arrived("q", 3, 500ms, 10000ms);
+  oracle.toldNotServing(0, 3, 8700ms);
+  oracle.arrived("q", 3, 500ms, 10000ms);
   expectOnly(SoakRule::afterDrain);
 }
 
-TEST_F(Ledger, CatchesASecondRunOfAFragileRequest) {
+TEST_F(SoakOracleTest, CatchesASecondRunOfAFragileRequest) {
   sent(write);
-  ledger.ran("q", 10005ms);
-  ledger.ran("q", 10100ms);
+  oracle.ran("q", 10005ms);
+  oracle.ran("q", 10100ms);
   expectOnly(SoakRule::ranTwice);
 }
 
-TEST_F(Ledger, CatchesARefusalOfAFragileRequestThatHasRun) {
+TEST_F(SoakOracleTest, CatchesARefusalOfAFragileRequestThatHasRun) {
   sent(write);
-  ledger.ran("q", 10005ms);
-  ledger.answered("q", 503, "", 10100ms);
+  oracle.ran("q", 10005ms);
+  oracle.answered("q", 503, "", 10100ms);
   expectOnly(SoakRule::ranTwice);
 }
 
-TEST_F(Ledger, CatchesARepeatPastItsWindow) {
+TEST_F(SoakOracleTest, CatchesARepeatPastItsWindow) {
   sent(put);
-  ledger.ran("q", 10005ms);
-  ledger.ran("q", 12200ms);
-  EXPECT_TRUE(ledger.breaks().empty());
-  ledger.ran("q", 12206ms);
+  oracle.ran("q", 10005ms);
+  oracle.ran("q", 12200ms);
+  EXPECT_TRUE(oracle.breaks().empty());
+  oracle.ran("q", 12206ms);
   expectOnly(SoakRule::ranTwice);
 }
 
-TEST_F(Ledger, CatchesARequestThatNobodySent) {
-  ledger.arrived("stray", 0, 500ms, 10s);
+TEST_F(SoakOracleTest, CatchesARequestThatNobodySent) {
+  oracle.arrived("stray", 0, 500ms, 10s);
   expectOnly(SoakRule::nobodysRequest);
 }
 
-TEST_F(Ledger, CatchesTheAnswerToAnotherRequest) {
+TEST_F(SoakOracleTest, CatchesTheAnswerToAnotherRequest) {
   sent(read);
-  ledger.ran("q", 10005ms);
-  ledger.answered("q", 200, "other", 10010ms);
+  oracle.ran("q", 10005ms);
+  oracle.answered("q", 200, "other", 10010ms);
   expectOnly(SoakRule::wrongAnswer);
 }
 
-TEST_F(Ledger, CatchesAServedRequestThatNoServerRan) {
+TEST_F(SoakOracleTest, CatchesAServedRequestThatNoServerRan) {
   sent(read);
-  ledger.answered("q", 200, "q", 10010ms);
+  oracle.answered("q", 200, "q", 10010ms);
   expectOnly(SoakRule::wrongAnswer);
 }
 
-TEST_F(Ledger, CatchesAFloodOfAServerThatHasJustStarted) {
-  ledger.sent("q", read, 0, 10s, 10s);
-  ledger.serverStarted(2, {2s, 36}, 10s);  // 36 + 2 * 6 + 2
+TEST_F(SoakOracleTest, CatchesAFloodOfAServerThatHasJustStarted) {
+  oracle.sent("q", read, 0, 10s, 10s);
+  oracle.serverStarted(2, {2s, 36}, 10s);  // 36 + 2 * 6 + 2
   for (int i = 0; i < 50; ++i)
-    ledger.arrived("q", 2, 500ms, 11s);
-  EXPECT_TRUE(ledger.breaks().empty());
-  ledger.arrived("q", 2, 500ms, 11s);
+    oracle.arrived("q", 2, 500ms, 11s);
+  EXPECT_TRUE(oracle.breaks().empty());
+  oracle.arrived("q", 2, 500ms, 11s);
   expectOnly(SoakRule::coldFlood);
 }
 
-TEST(SoakTroubles, AreTheSameForASeedAndOverlap) {
-  const auto first = drawTroubles(7, 20s), second = drawTroubles(7, 20s);
+TEST(SoakFaults, AreTheSameForASeedAndOverlap) {
+  const auto first = drawSoakFaults(7, 20s), second = drawSoakFaults(7, 20s);
   ASSERT_EQ(first.size(), second.size());
   EXPECT_GT(first.size(), 15u);
   for (std::size_t i = 0; i < first.size(); ++i)
     EXPECT_EQ(textOf(first[i]), textOf(second[i]));
   EXPECT_FALSE(overlaps(first).empty());
-  EXPECT_NE(textOf(drawTroubles(8, 20s)[0]), textOf(first[0]));
+  EXPECT_NE(textOf(drawSoakFaults(8, 20s)[0]), textOf(first[0]));
 }
 
 }  // namespace
