--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -1,16 +1,8 @@
 #include "balancer/retry_policy.hpp"
 
-#include <optional>
-#include <string>
-#include <vector>
-
 namespace hollyrun::balancer {
 namespace {
 
-bool allowsName(const std::optional<std::vector<std::string>>& allowed, const std::string& name) {
-  return !allowed || std::find(allowed->begin(), allowed->end(), name) != allowed->end();
-}
-
 bool sharesDeduplication(DeduplicationScope scope, const Endpoint& first, const Endpoint& second) {
   if (scope != DeduplicationScope::all && first.zone != second.zone)
     return false;
@@ -19,13 +11,9 @@
 
 }  // namespace
 
-bool RetryPolicy::isAllowed(const PendingRequest& request, const Endpoint& endpoint,
-                            const EndpointRegistry& endpoints, Time now) const {
+bool RetryPolicy::isRepeatAllowed(const PendingRequest& request, const Endpoint& endpoint,
+                                  const EndpointRegistry& endpoints, Time now) const {
   const ClassSettings& settings = request.requestClass->settings;
-  if (!allowsName(settings.zones, endpoint.zone))
-    return false;
-  if (!allowsName(settings.machineTypes, endpoint.machineType))
-    return false;
   for (const Attempt& attempt : request.attemptsMade()) {
     if (!attempt.mayHaveExecuted || settings.idempotency == Idempotency::idempotent)
       continue;
--- a/src/balancer/retry_policy.hpp
+++ b/src/balancer/retry_policy.hpp
@@ -3,6 +3,9 @@
 #pragma once
 
 #include <algorithm>
+#include <optional>
+#include <string>
+#include <vector>
 
 #include "balancer/endpoint_registry.hpp"
 #include "balancer/service_time.hpp"
@@ -65,14 +68,27 @@
     return latest;
   }
 
-  /// The class's rules on placement and repeats allow the request at this endpoint now.
+  /// The class's rules on placement and repeats allow the request at this endpoint now. Called for each
+  /// candidate of each request, hence inline.
   bool isAllowed(const PendingRequest& request, const Endpoint& endpoint, const EndpointRegistry& endpoints,
-                 Time now) const;
+                 Time now) const {
+    const ClassSettings& settings = request.requestClass->settings;
+    if (!allowsName(settings.zones, endpoint.zone) ||
+        !allowsName(settings.machineTypes, endpoint.machineType))
+      return false;
+    return request.attemptCount == 0 || isRepeatAllowed(request, endpoint, endpoints, now);
+  }
 
   /// Whether the client may send the request again: a rejection claims so, and needs proof.
   static bool isRetryHarmless(const PendingRequest& request);
 
  private:
+  static bool allowsName(const std::optional<std::vector<std::string>>& allowed, const std::string& name) {
+    return !allowed || std::find(allowed->begin(), allowed->end(), name) != allowed->end();
+  }
+  bool isRepeatAllowed(const PendingRequest& request, const Endpoint& endpoint,
+                       const EndpointRegistry& endpoints, Time now) const;
+
   static constexpr double kBudgetPerRequest = 0.3;  // retries per new request
   static constexpr double kSavedRetries = 3;        // that may be saved, beyond those of a second
   static constexpr double kHedgeExpectedTimes = 2.5;
