--- a/src/balancer/dispatch_guard.cpp
+++ b/src/balancer/dispatch_guard.cpp
@@ -11,11 +11,11 @@
     "client_gone", "out_of_time", "window_over", "not_serving", "restarted",
     "too_many",    "may_repeat",  "other_group", "parallel"};
 
-// The rules grant one second from the moment in which a drain was told. Half of it is left for a process that
-// is held up between its look at the clock and its write.
+// The rules grant one second from the moment at which a drain was listed. Half of it is left for a process
+// that is descheduled between its reading of the clock and its write.
 constexpr Duration kDrainGrace = std::chrono::milliseconds(500);
-// A server that is told less than one millisecond is told nothing.
-constexpr Duration kLeastTold = std::chrono::milliseconds(1);
+// The deadline is sent in whole milliseconds: less than one cannot be expressed.
+constexpr Duration kMinDeadline = std::chrono::milliseconds(1);
 
 }  // namespace
 
@@ -65,7 +65,7 @@
     return DenialReason::attemptsExhausted;
   if (!facts.clientPresent)
     return DenialReason::clientDisconnected;
-  if (facts.left < kLeastTold)
+  if (facts.left < kMinDeadline)
     return DenialReason::deadlineExceeded;
   if (facts.server.state != EndpointState::serving && facts.now - facts.server.stateSince > kDrainGrace)
     return DenialReason::notServing;
@@ -74,7 +74,7 @@
   return checkResend(facts);
 }
 
-// Nothing binds before an attempt may have run.
+// No rule applies before an attempt may have been executed.
 std::optional<DenialReason> DispatchGuard::checkResend(const DispatchFacts& facts) {
   for (const AttemptHistory::Attempt& earlier : facts.history.attempts_) {
     if (earlier.out && !facts.terms.allowHedging)
--- a/src/balancer/dispatch_guard.hpp
+++ b/src/balancer/dispatch_guard.hpp
@@ -1,12 +1,12 @@
-// The last check before an attempt touches a record server. The balancer decides early, and what it decided
-// on may have changed by the time a connection is up; the guard is asked again just before the connection is
-// dialled and before the first byte is written, with the facts read at that moment, and it alone says what
-// deadline the server is told. It holds no sockets and reads no clock.
-//
-// A denial is one of two things. Most are crossings that have to be expected: the client left, the time is
-// over, the server began to drain. The others are decisions that no course of events excuses (a fourth
-// attempt, the repeat of what may not be repeated): violations, which are counted apart and end the process
-// where that is asked for, so that tests and soaks find them.
+/// The last check before an attempt reaches an upstream host. The balancer decides early, and the facts that
+/// it decided on may have changed by the time a connection is up; the guard is asked again just before the
+/// connection is dialled and before the first byte is written, with the facts read at that moment, and it
+/// alone determines the deadline that is sent to the server. It holds no sockets and reads no clock.
+///
+/// A denial is one of two things. Most are races that have to be expected: the client disconnected, the
+/// deadline passed, the server began to drain. The others are decisions that no course of events excuses (a
+/// fourth attempt, the repeat of a request that must not be repeated): violations, which are counted apart
+/// and end the process where that is configured, so that tests and soaks find them.
 #pragma once
 
 #include <array>
@@ -26,7 +26,7 @@
   clientDisconnected,         ///< the client has closed its side, or has its answer
   deadlineExceeded,           ///< nothing is left of the time that the attempt may take
   deduplicationWindowPassed,  ///< a keyed request's repeats are not dropped any more
-  notServing,                 ///< the server was told as draining or gone too long ago
+  notServing,                 ///< the server was listed as draining or removed too long ago
   restarted,  ///< another process runs there than the one that was chosen: its slow start was not asked for
   attemptsExhausted,          ///< violation: more attempts than the settings allow
   notIdempotent,              ///< violation: an earlier attempt may have run, and the class forbids a second
@@ -39,17 +39,17 @@
 std::string_view nameOf(DenialReason reason);
 bool isViolation(DenialReason reason);
 
-/// A record server as the last lists told it.
+/// An upstream host as of the last lists.
 struct EndpointStatus {
   HostId id = kNone;
   std::string zone;
   std::int64_t cell = 0;
   EndpointState state = EndpointState::serving;
-  Time stateSince{};  ///< when this process was first told that it is not serving
+  Time stateSince{};  ///< when a list first said that this process is not serving
   Time upSince{};     ///< its last start; zero = long past
 };
 
-/// What became of a request's attempts, as the sockets showed it.
+/// The attempts of a request, as seen at the sockets.
 class AttemptHistory {
  public:
   void wrote(std::uint32_t attempt, const EndpointStatus& server, Time now);
@@ -69,7 +69,7 @@
   std::vector<Attempt> attempts_;
 };
 
-/// What an attempt was decided under. A reload may have changed the settings since.
+/// The settings that an attempt was decided under. A reload may have changed them since.
 struct AttemptTerms {
   Idempotency idempotency = Idempotency::none;
   DeduplicationScope deduplicationScope = DeduplicationScope::all;
@@ -79,7 +79,7 @@
   Time serverUpSince{};  ///< of the process that was chosen
 };
 
-/// All that an attempt's admission depends on, read at the moment in which it is asked for.
+/// All that the admission of an attempt depends on, read when it is requested.
 struct DispatchFacts {
   Time now{};
   bool clientPresent = false;
@@ -90,7 +90,7 @@
   const AttemptHistory& history;
 };
 
-/// The time to tell the server, in whole milliseconds and at least one; or why nothing may be sent.
+/// The deadline to send to the server, in whole milliseconds and at least one; or why nothing may be sent.
 struct Admission {
   std::optional<DenialReason> denied;
   std::chrono::milliseconds told{};
--- a/src/balancer/settings.cpp
+++ b/src/balancer/settings.cpp
@@ -10,50 +10,60 @@
 namespace {
 
 // The texts name the keys of the configuration, which is what an operator can change.
-void require(bool good, const std::string& what) {
-  if (!good)
-    throw std::invalid_argument("balancer settings: " + what);
+void require(bool valid, const std::string& message) {
+  if (!valid)
+    throw std::invalid_argument("balancer settings: " + message);
+}
+
+void validateClass(const ClassSettings& settings) {
+  const std::string prefix = "class " + settings.name + ": ";
+  require(settings.latencyObjective > Duration::zero(), prefix + "aim must be above 0");
+  require(settings.clientTimeout >= settings.latencyObjective, prefix + "giveUp must not be below aim");
+  require(std::isfinite(settings.priorityWeight) && settings.priorityWeight >= 0,
+          prefix + "worth must be 0 or more");
+  require(settings.lateValueFraction >= 0 && settings.lateValueFraction <= 1,
+          prefix + "lateShare must lie in [0, 1]");
+  require(settings.objectiveStretch >= 0, prefix + "aimStretch must be 0 or more");
+  require(settings.deduplicationWindow >= Duration::zero(), prefix + "window must not be negative");
 }
 
 }  // namespace
 
-void validate(const Settings& s) {
-  require(s.replicaCount >= 1, "groupSize must be at least 1");
-  require(s.replicaIndex < s.replicaCount, "number must be below groupSize");
-  require(!s.classes.empty(), "at least one class is needed");
-  require(s.maxAttempts >= 1, "maxAttempts must be at least 1");
-  require(s.candidates == 0 || s.candidates >= 4, "candidates must be 0 or at least 4");
-  require(s.streamsPerConnection >= 1, "streamsPerConnection must be at least 1");
-  require(s.slowStartInitialFraction > 0 && s.slowStartInitialFraction <= 1, "coldShare must lie in (0, 1]");
-  require(s.overloadMultiple > 0, "fallMultiple must be above 0");
-  require(s.overQuotaWeight >= 0 && s.overQuotaWeight <= 1, "overShareWorth must lie in [0, 1]");
-  for (Duration d : {s.maxRetryAfter, s.maxDiscoverySilence, s.step, s.slowStartDuration, s.overloadWindow,
-                     s.keyCooldown, s.idleTimeout})
-    require(d >= Duration::zero(), "durations must not be negative");
+void validate(const Settings& settings) {
+  require(settings.replicaCount >= 1, "groupSize must be at least 1");
+  require(settings.replicaIndex < settings.replicaCount, "number must be below groupSize");
+  require(!settings.classes.empty(), "at least one class is needed");
+  require(settings.maxAttempts >= 1, "maxAttempts must be at least 1");
+  require(settings.candidates == 0 || settings.candidates >= 4, "candidates must be 0 or at least 4");
+  require(settings.streamsPerConnection >= 1, "streamsPerConnection must be at least 1");
+  require(settings.slowStartInitialFraction > 0 && settings.slowStartInitialFraction <= 1,
+          "coldShare must lie in (0, 1]");
+  require(settings.overloadMultiple > 0, "fallMultiple must be above 0");
+  require(settings.overQuotaWeight >= 0 && settings.overQuotaWeight <= 1,
+          "overShareWorth must lie in [0, 1]");
+  for (Duration duration :
+       {settings.maxRetryAfter, settings.maxDiscoverySilence, settings.step, settings.slowStartDuration,
+        settings.overloadWindow, settings.keyCooldown, settings.idleTimeout})
+    require(duration >= Duration::zero(), "durations must not be negative");
   std::set<std::string> names;
-  for (const ClassSettings& c : s.classes) {
-    require(!c.name.empty(), "a class has no name");
-    require(names.insert(c.name).second, "two classes are called " + c.name);
-    require(c.latencyObjective > Duration::zero(), "class " + c.name + ": aim must be above 0");
-    require(c.clientTimeout >= c.latencyObjective, "class " + c.name + ": giveUp must not be below aim");
-    require(std::isfinite(c.priorityWeight) && c.priorityWeight >= 0,
-            "class " + c.name + ": worth must be 0 or more");
-    require(c.lateValueFraction >= 0 && c.lateValueFraction <= 1,
-            "class " + c.name + ": lateShare must lie in [0, 1]");
-    require(c.objectiveStretch >= 0, "class " + c.name + ": aimStretch must be 0 or more");
-    require(c.deduplicationWindow >= Duration::zero(), "class " + c.name + ": window must not be negative");
+  for (const ClassSettings& requestClass : settings.classes) {
+    require(!requestClass.name.empty(), "a class has no name");
+    require(names.insert(requestClass.name).second, "two classes are called " + requestClass.name);
+    validateClass(requestClass);
   }
-  for (const TenantSettings& t : s.tenants)
-    require(std::isfinite(t.quotaPerSecond) && t.quotaPerSecond >= 0, "tenant " + t.name + ": bad quota");
+  for (const TenantSettings& tenant : settings.tenants)
+    require(std::isfinite(tenant.quotaPerSecond) && tenant.quotaPerSecond >= 0,
+            "tenant " + tenant.name + ": bad quota");
 }
 
-bool operator==(const ClassSettings& a, const ClassSettings& b) {
-  const auto all = [](const ClassSettings& c) {
-    return std::tie(c.name, c.latencyObjective, c.clientTimeout, c.deduplicationWindow, c.idempotency,
-                    c.deduplicationScope, c.priorityWeight, c.lateValueFraction, c.objectiveStretch,
-                    c.orderedPerKey, c.zones, c.machineTypes);
+bool operator==(const ClassSettings& left, const ClassSettings& right) {
+  const auto allFields = [](const ClassSettings& settings) {
+    return std::tie(settings.name, settings.latencyObjective, settings.clientTimeout,
+                    settings.deduplicationWindow, settings.idempotency, settings.deduplicationScope,
+                    settings.priorityWeight, settings.lateValueFraction, settings.objectiveStretch,
+                    settings.orderedPerKey, settings.zones, settings.machineTypes);
   };
-  return all(a) == all(b);
+  return allFields(left) == allFields(right);
 }
 
 }  // namespace hollyrun::balancer
--- a/src/balancer/settings.hpp
+++ b/src/balancer/settings.hpp
@@ -1,12 +1,14 @@
-// Checks and compares settings. What makes no sense is rejected before any decision is taken on it.
+/// Validates and compares settings.
 #pragma once
 
 #include "hollyrun/balancer.hpp"
 
 namespace hollyrun::balancer {
 
-void validate(const Settings& settings);  // throws std::invalid_argument that names the setting
+/// Throws std::invalid_argument that names the setting.
+void validate(const Settings& settings);
 
+/// All fields are equal.
 bool operator==(const ClassSettings& a, const ClassSettings& b);
 
 }  // namespace hollyrun::balancer
