--- /dev/null
+++ b/tests/balancer/timer_queue_test.cpp
@@ -0,0 +1,41 @@
+// Order of timers.
+#include "balancer/timer_queue.hpp"
+
+#include <gtest/gtest.h>
+
+namespace hollyrun::balancer::testing {
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+TEST(TimerQueueTest, TakesTimersInOrderOfTimeAndOnlyThoseDue) {
+  TimerQueue timers;
+  timers.schedule({seconds(3), 0, 30, TimerKind::deadline});
+  timers.schedule({seconds(1), 1, 10, TimerKind::hedge});
+  timers.schedule({seconds(2), 2, 20, TimerKind::keyQueue});
+  EXPECT_FALSE(timers.takeDue(milliseconds(999)));
+  EXPECT_EQ(timers.takeDue(seconds(2))->request, 10u);
+  EXPECT_EQ(timers.takeDue(seconds(2))->request, 20u);
+  EXPECT_FALSE(timers.takeDue(seconds(2)));
+  EXPECT_EQ(timers.takeDue(seconds(3))->kind, TimerKind::deadline);
+}
+
+TEST(TimerQueueTest, EqualTimesGoBySlot) {
+  TimerQueue timers;
+  for (std::uint32_t slot : {2u, 0u, 1u})
+    timers.schedule({seconds(1), slot, 100 + slot, TimerKind::deadline});
+  for (std::uint32_t slot : {0u, 1u, 2u})
+    EXPECT_EQ(timers.takeDue(seconds(1))->slot, slot);
+}
+
+TEST(TimerQueueTest, NextTimeSkipsRequestsThatAreOver) {
+  TimerQueue timers;
+  timers.schedule({seconds(1), 0, 10, TimerKind::deadline});
+  timers.schedule({seconds(2), 1, 20, TimerKind::deadline});
+  EXPECT_EQ(timers.nextTime([](RequestId request) { return request != 10; }), seconds(2));
+  EXPECT_EQ(timers.nextTime([](RequestId) { return false; }), std::nullopt);
+}
+
+}  // namespace
+}  // namespace hollyrun::balancer::testing
--- a/tests/dispatch_guard_test.cpp
+++ b/tests/dispatch_guard_test.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-class Guard : public ::testing::Test {
+class DispatchGuardTest : public ::testing::Test {
  protected:
   AttemptTerms terms{.idempotency = Idempotency::idempotent,
                      .deduplicationScope = DeduplicationScope::all,
@@ -40,23 +40,23 @@
   }
 };
 
-TEST_F(Guard, AdmitsAFirstAttemptAndTellsTheTimeThatIsLeft) {
+TEST_F(DispatchGuardTest, AdmitsAFirstAttemptWithTheTimeLeftAsItsDeadline) {
   const Admission admission = admit(0, 812'900us);
   EXPECT_FALSE(admission.denied);
   EXPECT_EQ(admission.told, 812ms);
 }
 
-TEST_F(Guard, DeniesWhatNobodyWaitsFor) {
+TEST_F(DispatchGuardTest, DeniesARequestWhoseClientIsDisconnected) {
   EXPECT_EQ(admit(0, 800ms, false).denied, DenialReason::clientDisconnected);
 }
 
-TEST_F(Guard, DeniesAnAttemptWithLessThanAMillisecondLeft) {
+TEST_F(DispatchGuardTest, DeniesAnAttemptWithLessThanAMillisecondLeft) {
   EXPECT_FALSE(admit(0, 1ms).denied);
   EXPECT_EQ(admit(0, 999us).denied, DenialReason::deadlineExceeded);
   EXPECT_EQ(admit(0, -1s).denied, DenialReason::deadlineExceeded);
 }
 
-TEST_F(Guard, DeniesAServerThatWasToldAsDrainingHalfASecondAgo) {
+TEST_F(DispatchGuardTest, DeniesAServerListedAsDrainingMoreThanHalfASecondAgo) {
   server.state = EndpointState::draining;
   server.stateSince = now - 500ms;
   EXPECT_FALSE(admit(0).denied);
@@ -66,26 +66,26 @@
   expectDenied(0, DenialReason::notServing);
 }
 
-TEST_F(Guard, DeniesAnotherProcessThanTheOneThatWasChosen) {
+TEST_F(DispatchGuardTest, DeniesAnotherProcessThanTheOneThatWasChosen) {
   server.upSince = 99s;
   expectDenied(0, DenialReason::restarted);
   terms.serverUpSince = 99s;
   EXPECT_FALSE(admit(0).denied);
 }
 
-TEST_F(Guard, DeniesMoreAttemptsThanAllowed) {
+TEST_F(DispatchGuardTest, DeniesMoreAttemptsThanAllowed) {
   EXPECT_FALSE(admit(2).denied);
   expectDenied(3, DenialReason::attemptsExhausted);
 }
 
-TEST_F(Guard, DeniesASecondAttemptBesideOneThatIsOut) {
+TEST_F(DispatchGuardTest, DeniesASecondAttemptWhileOneIsInFlight) {
   history.wrote(0, server, now);
   expectDenied(1, DenialReason::hedgingForbidden);
   terms.allowHedging = true;
   EXPECT_FALSE(admit(1).denied);
 }
 
-TEST_F(Guard, DeniesTheRepeatOfAFragileRequestThatMayHaveRun) {
+TEST_F(DispatchGuardTest, DeniesTheRepeatOfANonIdempotentRequestThatMayHaveBeenExecuted) {
   terms.idempotency = Idempotency::none;
   for (const Outcome outcome : {Outcome::error, Outcome::timeout, Outcome::reset, Outcome::cancelled}) {
     history = {};
@@ -100,7 +100,7 @@
   }
 }
 
-TEST_F(Guard, DeniesTheRepeatOfADedupRequestPastItsWindow) {
+TEST_F(DispatchGuardTest, DeniesTheRepeatOfAKeyedRequestPastItsDeduplicationWindow) {
   terms.idempotency = Idempotency::keyed;
   earlier(Outcome::reset);
   terms.deduplicationWindow = 1s;
@@ -109,7 +109,7 @@
   expectDenied(1, DenialReason::deduplicationWindowPassed);
 }
 
-TEST_F(Guard, DeniesTheRepeatOfADedupRequestOutsideItsGroup) {
+TEST_F(DispatchGuardTest, DeniesTheRepeatOfAKeyedRequestOutsideItsDeduplicationScope) {
   terms.idempotency = Idempotency::keyed;
   terms.deduplicationScope = DeduplicationScope::zone;
   earlier(Outcome::timeout, "b", 1);
@@ -122,11 +122,11 @@
   EXPECT_FALSE(admit(1).denied);
 }
 
-TEST_F(Guard, TellsCrossingsFromViolations) {
-  for (const DenialReason crossing :
+TEST_F(DispatchGuardTest, DistinguishesExpectedRacesFromViolations) {
+  for (const DenialReason race :
        {DenialReason::clientDisconnected, DenialReason::deadlineExceeded,
         DenialReason::deduplicationWindowPassed, DenialReason::notServing, DenialReason::restarted})
-    EXPECT_FALSE(isViolation(crossing)) << nameOf(crossing);
+    EXPECT_FALSE(isViolation(race)) << nameOf(race);
   for (const DenialReason violation :
        {DenialReason::attemptsExhausted, DenialReason::notIdempotent, DenialReason::outsideDeduplicationScope,
         DenialReason::hedgingForbidden})
