--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -102,7 +102,7 @@
       rejectOrFail(*request, RejectReason::deadlineExceeded);
       break;
     case TimerKind::hedge:  // a slow endpoint not known yet would use up the whole objective
-      if (shedder_.isCalm() && retries_.mayHedge(*request) && send(*request) == RejectReason::none)
+      if (shedder_.hasSpareCapacity() && retries_.mayHedge(*request) && send(*request) == RejectReason::none)
         retries_.spendBudget();
       break;
     case TimerKind::keyQueue:
@@ -156,7 +156,7 @@
 void Balancer::Impl::sweepPool() {
   concurrencyLimit_.sweepRate();
   arrivals_.sweep();
-  concurrencyLimit_.sweepBaseline(shedder_.isCalm(), endpoints_);
+  concurrencyLimit_.sweepBaseline(shedder_.hasSpareCapacity(), endpoints_);
   shedder_.sweepErrors(endpoints_);
   serviceTimes_.sweepClasses(classes_);
   connections_.decay();
--- a/src/balancer/balancer_impl.hpp
+++ b/src/balancer/balancer_impl.hpp
@@ -30,7 +30,6 @@
 namespace hollyrun::balancer {
 
 struct Balancer::Impl {
- public:
   Impl(Settings settings, Time now);
   // The parts refer to each other.
   Impl(const Impl&) = delete;
@@ -72,6 +71,7 @@
   void dispatchDueKeys();
   void sendFirst(PendingRequest& request);
   RejectReason send(PendingRequest& request);
+  void startAttempt(PendingRequest& request, HostId host, Duration timeLimit);
   RejectReason resend(PendingRequest& request, Outcome outcome);
   void recordOutcome(HostId host, const PendingRequest& request, const Attempt& attempt,
                      const AttemptResult& result);
--- a/src/balancer/concurrency_limit.cpp
+++ b/src/balancer/concurrency_limit.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr double kObjectiveFraction = 0.45;  // mean time in flight allowed, as a part of the objective
-// Where the objective is many expected times long, requests that wait for most of it crowd the endpoints
-// until they slow down, and then stay slow. So long a queue gains nothing. Crowded endpoints lengthen the
-// expected time, and a maximum that followed it would keep them crowded: it follows the least of the recent
-// past.
+// Where the objective is many expected times long, requests that wait for most of it overload the endpoints
+// until they slow down, and then stay slow. So long a queue gains nothing. Overloaded endpoints lengthen the
+// expected time, and a maximum that followed it would keep them overloaded: it follows the least of the
+// recent past.
 constexpr double kMaxExpectedTimes = 3.5;
 // Attempts held by an endpoint that fell silent say nothing of a queue, and where answers are quick they are
 // many expected times' worth before the silence shows.
@@ -25,7 +25,7 @@
 constexpr double kObjectiveGain = 0.02;    // per arrival
 constexpr double kInitialPerEndpoint = 6;  // maximum assumed for an endpoint before anything was measured
 constexpr Duration kInitialTime = 10 * kSweepInterval;
-// After a burst that crowds the endpoints nearly all is rejected, endpoints stand idle, and a maximum that
+// After a burst that overloads the endpoints nearly all is rejected, endpoints stand idle, and a maximum that
 // follows the few answers would never grow back. All gateways together may have this many at an endpoint: one
 // at work and one waiting.
 constexpr double kFloorPerEndpoint = 2;
@@ -58,8 +58,8 @@
 
 double ConcurrencyLimit::maximum(double warmEndpoints, Time now) const {
   const double rejectionFactor = 1 - std::min(kRejectionFactor * rejections_ / outcomes_, kMaxRejectionCut);
-  // Before anything was measured (this gateway's start in an overload) and after a lull, assumptions for each
-  // endpoint stand in.
+  // Before anything was measured (this gateway's start in an overload) and after a pause, assumptions for
+  // each endpoint stand in.
   const double initial = kInitialPerEndpoint / settings_.replicaCount;
   const double floor = kFloorPerEndpoint / settings_.replicaCount;
   const double perEndpoint = now - startedAt_ < kInitialTime ? initial : std::max(floor, baselineInFlight_);
@@ -118,9 +118,9 @@
   timelyWork_ = 0;
 }
 
-void ConcurrencyLimit::sweepBaseline(bool isCalm, const EndpointRegistry& endpoints) {
+void ConcurrencyLimit::sweepBaseline(bool hasSpareCapacity, const EndpointRegistry& endpoints) {
   baselineInFlight_ *= 1 - kBaselineDecay;
-  if (isCalm && !endpoints.serving().empty())
+  if (hasSpareCapacity && !endpoints.serving().empty())
     baselineInFlight_ = std::max(baselineInFlight_, smoothedInFlight_ / endpoints.servingCount());
   rejections_ *= 1 - kFastGain;
   outcomes_ += kFastGain * (kOutcomePrior - outcomes_);
--- a/src/balancer/concurrency_limit.hpp
+++ b/src/balancer/concurrency_limit.hpp
@@ -34,7 +34,7 @@
 
   /// The steps of a sweep: the rate goes before the ArrivalRate's sweep.
   void sweepRate();
-  void sweepBaseline(bool isCalm, const EndpointRegistry& endpoints);
+  void sweepBaseline(bool hasSpareCapacity, const EndpointRegistry& endpoints);
 
  private:
   double allowedTime() const;
--- a/src/balancer/endpoint_registry.cpp
+++ b/src/balancer/endpoint_registry.cpp
@@ -21,10 +21,10 @@
 // With one virtual node, some endpoints would get half as many keys again as others.
 constexpr std::uint64_t kVirtualNodes = 8;
 
-// Removes from a sorted list what `isGone`, and merges `added` in.
-template <class T, class IsGone, class Less = std::less<>>
-void updateSorted(std::vector<T>& list, std::vector<T> added, IsGone isGone, Less less = {}) {
-  std::erase_if(list, isGone);
+// Removes from a sorted list what `isRemoved`, and merges `added` in.
+template <class T, class IsRemoved, class Less = std::less<>>
+void updateSorted(std::vector<T>& list, std::vector<T> added, IsRemoved isRemoved, Less less = {}) {
+  std::erase_if(list, isRemoved);
   std::sort(added.begin(), added.end(), less);
   const auto middle = list.insert(list.end(), added.begin(), added.end());
   std::inplace_merge(list.begin(), middle, list.end(), less);
@@ -114,9 +114,9 @@
     for (std::uint64_t i = 0; i < virtualNodes; ++i)
       nodes.push_back({mixBits(hash + i), host});
   }
-  const auto isGone = [&](const VirtualNode& node) { return !staysIndexed(node.host); };
-  updateSorted(subsetOrder_, std::move(ordered), isGone);
-  updateSorted(ring_, std::move(nodes), isGone);
+  const auto isRemoved = [&](const VirtualNode& node) { return !staysIndexed(node.host); };
+  updateSorted(subsetOrder_, std::move(ordered), isRemoved);
+  updateSorted(ring_, std::move(nodes), isRemoved);
 }
 
 // With key affinity all endpoints are in use, since each may be the one that has served a key.
--- a/src/balancer/load_shedder.hpp
+++ b/src/balancer/load_shedder.hpp
@@ -35,8 +35,8 @@
 
   /// Scores below it are rejected, 0 to 100.
   double threshold() const { return threshold_; }
-  /// Nearly nothing is shed.
-  bool isCalm() const { return threshold_ <= 1; }
+  /// Little or nothing is shed.
+  bool hasSpareCapacity() const { return threshold_ <= 1; }
   /// Whether a text about the threshold is due: it has moved to another fifth of its range.
   bool hasChangedStep() const { return step() != loggedStep_; }
   void markLogged() { loggedStep_ = step(); }
--- a/src/balancer/request_events.cpp
+++ b/src/balancer/request_events.cpp
@@ -123,11 +123,16 @@
     return RejectReason::attemptsExhausted;
   // A request with less time than an answer takes now gains little, takes the capacity of others and feeds an
   // overload. Without overload there is capacity to try.
-  if (!shedder_.isCalm() && retries_.isHopeless(request, 0, now_))
+  if (!shedder_.hasSpareCapacity() && retries_.isHopeless(request, 0, now_))
     return RejectReason::queueTooLong;
   const HostId host = selector_.select(request, endpoints_, random_, now_);
   if (host == kNone)
     return RejectReason::noEndpoint;
+  startAttempt(request, host, lastUsefulTime - now_);
+  return RejectReason::none;
+}
+
+void Balancer::Impl::startAttempt(PendingRequest& request, HostId host, Duration timeLimit) {
   EndpointRecord& record = endpoints_.record(host);
   slowStart_.spend(record, now_);
   std::size_t idleStep = connections_.idleStep(record, now_);
@@ -136,6 +141,8 @@
     connections_.closeAll(record);
     idleStep = 0;
   }
+  // Computed before the new attempt counts as one that may have been executed.
+  const Duration latestStart = retries_.latestRepeatStart(request) - now_;
   request.attempts[request.attemptCount] = {.host = host,
                                             .sentAt = now_,
                                             .inFlight = true,
@@ -145,11 +152,9 @@
   connections_.use(record, now_);
   if (!request.uploading)
     endpoints_.addAttempt(host, request);
+  actions_.send(request.id, request.attemptCount, host, timeLimit, latestStart);
   ++request.attemptsInFlight;
-  actions_.send(request.id, request.attemptCount, host, lastUsefulTime - now_,
-                retries_.latestRepeatStart(request) - now_);
   ++request.attemptCount;
-  return RejectReason::none;
 }
 
 // Why the request was not sent again; `none` if it was.
--- a/tests/balancer/concurrency_limit_test.cpp
+++ b/tests/balancer/concurrency_limit_test.cpp
@@ -77,7 +77,7 @@
   EXPECT_EQ(limit.inFlightNow(endpoints_, requests_, seconds(100)), 2);
 }
 
-TEST_F(ConcurrencyLimitTest, WhatWasInFlightInCalmStaysAllowed) {
+TEST_F(ConcurrencyLimitTest, AttemptsInFlightWhileNothingWasShedStayAllowed) {
   ConcurrencyLimit limit(settings_, arrivals_, serviceTimes_, seconds(0));
   for (int i = 0; i < 200; ++i)
     limit.smoothAtSweep(40);
--- a/tests/balancer/load_shedder_test.cpp
+++ b/tests/balancer/load_shedder_test.cpp
@@ -44,7 +44,7 @@
   EXPECT_EQ(shedder.threshold(), 0) << "half of the maximum";
   shedder.updateThreshold(75, 100, 1);
   EXPECT_DOUBLE_EQ(shedder.threshold(), 100 * std::pow(0.5, 3));
-  EXPECT_FALSE(shedder.isCalm());
+  EXPECT_FALSE(shedder.hasSpareCapacity());
   shedder.updateThreshold(1000, 100, 1);
   EXPECT_DOUBLE_EQ(shedder.threshold(), 100);
 }
