--- a/src/gateway/config.cpp
+++ b/src/gateway/config.cpp
@@ -269,9 +269,9 @@
 void needShort(const char* what, const std::string& text, bool needed) {
   const bool plain =
       std::none_of(text.begin(), text.end(), [](unsigned char c) { return c < 0x20 || c == 0x7f; });
-  if (text.size() > membership::kMostText || !plain || (needed && text.empty()))
+  if (text.size() > membership::kMaxTextBytes || !plain || (needed && text.empty()))
     throw BadConfig(std::string(what) + ": for membership it has to be a text of " + (needed ? "1" : "0") +
-                    " to " + std::to_string(membership::kMostText) + " bytes with no control characters");
+                    " to " + std::to_string(membership::kMaxTextBytes) + " bytes with no control characters");
 }
 
 // What a file may leave out though the running one had it: WIRE says so, or it counts at a start only.
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -206,7 +206,7 @@
 // Limits of the whole fleet are divided by all that may hold a part. Danger: never by fewer than were
 // configured, or the two sides of a cut would hold more than the whole.
 void Gateway::divide() {
-  const std::uint32_t size = std::max(replicaCount_, fleet_ ? fleet_->holders() : 1);
+  const std::uint32_t size = std::max(replicaCount_, fleet_ ? fleet_->quotaHolders() : 1);
   if (size == settings_.replicaCount)
     return;
   settings_.replicaCount = size;
--- a/src/gateway/membership_transport.cpp
+++ b/src/gateway/membership_transport.cpp
@@ -20,8 +20,8 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 using membership::Address;
+using membership::MemberRecord;
 using membership::Membership;
-using membership::Record;
 using nlohmann::json;
 using Clock = std::chrono::steady_clock;
 
@@ -49,7 +49,7 @@
   s.fleet = m.fleet;
   for (const udp::endpoint& seed : m.seeds)
     s.seeds.push_back(addressOf(seed));
-  s.period = m.period;
+  s.probeInterval = m.period;
   return s;
 }
 
@@ -91,7 +91,7 @@
       });
     }
     waiting_ = false;
-    Record self = place_;
+    MemberRecord self = place_;
     self.address = addressOf(config_.advertise ? *config_.advertise : socket_.local_endpoint());
     members_.emplace(settingsOf(config_), self, std::random_device{}() ^ seed_, now());
     log_.write(LogLevel::info, "fleet", "membership begins",
@@ -107,14 +107,14 @@
     place_.zone = config.module.zone;
     place_.region = config_.region;
     place_.version = HOLLYRUN_VERSION;
-    place_.settings = digestOf(config);
+    place_.settingsDigest = digestOf(config);
     if (place_.startedMs == 0)
       place_.startedMs = std::chrono::duration_cast<std::chrono::milliseconds>(
                              std::chrono::system_clock::now().time_since_epoch())
                              .count();
     if (!members_)
       return;
-    Record self = place_;
+    MemberRecord self = place_;
     self.address = members_->self().address;
     members_->onSettings(now(), settingsOf(config_), self);
     settle();
@@ -136,7 +136,9 @@
     socket_.close(ignored);
   }
 
-  std::uint32_t holders() const { return members_ ? static_cast<std::uint32_t>(members_->holders()) : 1; }
+  std::uint32_t quotaHolders() const {
+    return members_ ? static_cast<std::uint32_t>(members_->quotaHolders()) : 1;
+  }
   udp::endpoint listening() const {
     return members_ ? endpointOf(members_->self().address) : udp::endpoint();
   }
@@ -145,7 +147,7 @@
 
  private:
   static membership::Time now() { return Clock::now().time_since_epoch(); }
-  static json jsonOf(const Record& r, membership::Duration since);
+  static json jsonOf(const MemberRecord& r, membership::Duration since);
 
   void read() {
     socket_.async_wait(udp::socket::wait_read, [self = shared_from_this()](error_code ec) {
@@ -186,7 +188,7 @@
     flush();
     for (const auto& e : std::exchange(members_->events(), {}))
       tell(e);
-    if (const std::uint32_t size = holders(); size != size_)
+    if (const std::uint32_t size = quotaHolders(); size != size_)
       size_ = size, sized_();
     timer_.expires_at(Clock::time_point(members_->wakeAt()));
     timer_.async_wait([self = shared_from_this()](error_code ec) {
@@ -197,23 +199,23 @@
     });
   }
   void tell(const membership::Event& e) {
-    using Kind = membership::Event::Kind;
-    const Record& r = e.member;
-    const LogLevel level = e.kind == Kind::rival                             ? LogLevel::error
-                           : e.kind == Kind::died || e.kind == Kind::stalled ? LogLevel::warning
-                                                                             : LogLevel::info;
-    if (e.kind == Kind::stalled)
+    using membership::EventType;
+    const MemberRecord& r = e.member;
+    const LogLevel level = e.type == EventType::nameConflict                           ? LogLevel::error
+                           : e.type == EventType::died || e.type == EventType::stalled ? LogLevel::warning
+                                                                                       : LogLevel::info;
+    if (e.type == EventType::stalled)
       return log_.write(level, "fleet", "held up; what others did meanwhile is open");
-    if (e.kind == Kind::rival)
+    if (e.type == EventType::nameConflict)
       log_.write(level, "fleet",
-                 members_->yielded() ? "another process has our name; this one is no member"
-                                     : "another process has our name; it has to give way");
-    log_.write(level, "fleet", std::string("member ") + nameOf(e.kind),
+                 members_->conceded() ? "another process has our name; this one is no member"
+                                      : "another process has our name; it has to give way");
+    log_.write(level, "fleet", std::string("member ") + nameOf(e.type),
                {{"member", r.name},
                 {"zone", r.zone},
                 {"incarnation", std::to_string(r.incarnation)},
-                {"by", r.by},
-                {"present", std::to_string(members_->present())}});
+                {"by", r.reportedBy},
+                {"present", std::to_string(members_->presentCount())}});
   }
 
   Log& log_;
@@ -221,7 +223,7 @@
   udp::socket socket_;
   asio::steady_timer timer_;
   MembershipConfig config_;
-  Record place_;
+  MemberRecord place_;
   std::uint64_t seed_ = 0;
   membership::Time started_ = now();
   std::optional<Membership> members_;
@@ -233,7 +235,7 @@
   bool waiting_ = false, closed_ = false;
 };
 
-json MembershipTransport::Link::jsonOf(const Record& r, membership::Duration since) {
+json MembershipTransport::Link::jsonOf(const MemberRecord& r, membership::Duration since) {
   return {{"name", r.name},
           {"state", nameOf(r.state)},
           {"since_s", std::chrono::duration<double>(since).count()},
@@ -242,7 +244,7 @@
           {"zone", r.zone},
           {"region", r.region},
           {"version", r.version},
-          {"settings", hex(r.settings)},
+          {"settings", hex(r.settingsDigest)},
           {"started_ms", r.startedMs},
           {"epoch", hex(r.epoch)}};
 }
@@ -252,11 +254,11 @@
   if (!members_)
     return all.dump(2, ' ', false, json::error_handler_t::replace) + "\n";
   const Membership& m = *members_;
-  all["state"] = m.yielded() ? "yielded" : nameOf(m.self().state);
+  all["state"] = m.conceded() ? "yielded" : nameOf(m.self().state);
   all["view"] = hex(m.digest());
-  all["present"] = m.present();
-  all["divided_by"] = m.holders();
-  all["health"] = m.health();
+  all["present"] = m.presentCount();
+  all["divided_by"] = m.quotaHolders();
+  all["health"] = m.healthScore();
   all["zones"] = m.presentByZone();
   all["members"] = json::array({jsonOf(m.self(), now() - started_)});
   all["members"][0]["self"] = true;
@@ -267,11 +269,12 @@
       one["heard_s"] = std::chrono::duration<double>(now() - member.heard).count();
       one["view"] = hex(member.digest);
     }
-    if (!member.record.by.empty())
-      one["by"] = member.record.by;
+    if (!member.record.reportedBy.empty())
+      one["by"] = member.record.reportedBy;
     if (!member.differs.empty())
       one["differs_about"] = member.differs;
-    otherSettings += present(member.record.state) && member.record.settings != m.self().settings;
+    otherSettings +=
+        isPresent(member.record.state) && member.record.settingsDigest != m.self().settingsDigest;
     all["members"].push_back(std::move(one));
   }
   all["other_settings"] = otherSettings;
@@ -281,8 +284,8 @@
       {"received", c.received}, {"sent", c.sent},     {"bytes_in", c.bytesIn}, {"bytes_out", c.bytesOut},
       {"stale", c.stale},       {"full", c.full},     {"refuted", c.refuted},  {"suspicions", c.suspicions},
       {"deaths", c.deaths},     {"stalls", c.stalls}, {"flooded", flooded_},   {"unsent", unsent_}};
-  for (std::size_t i = 0; i < c.bad.size(); ++i)
-    counts[std::string("bad_") + nameOf(static_cast<membership::Bad>(i))] = c.bad[i];
+  for (std::size_t i = 0; i < c.decodeErrors.size(); ++i)
+    counts[std::string("bad_") + nameOf(static_cast<membership::DecodeError>(i))] = c.decodeErrors[i];
   return all.dump(2, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
@@ -315,9 +318,9 @@
     family(name, help, prometheus::MetricType::Gauge);
     add(value, {});
   };
-  gauge("divided_by", "What fleet-wide limits are divided by.", holders());
+  gauge("divided_by", "What fleet-wide limits are divided by.", quotaHolders());
   gauge("disagreeing", "Present members whose view differs.", static_cast<double>(m.disagreeing().size()));
-  gauge("health", "Own slowness, 0 well to 8.", m.health());
+  gauge("health", "Own slowness, 0 well to 8.", m.healthScore());
   const auto& c = m.counters();
   const std::pair<const char*, std::uint64_t> counts[] = {
       {"received", c.received},     {"sent", c.sent},     {"bytes_in", c.bytesIn}, {"bytes_out", c.bytesOut},
@@ -329,8 +332,9 @@
     add(static_cast<double>(value), {});
   }
   family("bad_total", "Datagrams dropped, by reason.", prometheus::MetricType::Counter);
-  for (std::size_t i = 0; i < c.bad.size(); ++i)
-    add(static_cast<double>(c.bad[i]), {{"reason", nameOf(static_cast<membership::Bad>(i))}});
+  for (std::size_t i = 0; i < c.decodeErrors.size(); ++i)
+    add(static_cast<double>(c.decodeErrors[i]),
+        {{"reason", nameOf(static_cast<membership::DecodeError>(i))}});
   return all;
 }
 
@@ -351,8 +355,8 @@
 void MembershipTransport::leave(bool successor) {
   link_->leave(successor);
 }
-std::uint32_t MembershipTransport::holders() const {
-  return link_->holders();
+std::uint32_t MembershipTransport::quotaHolders() const {
+  return link_->quotaHolders();
 }
 udp::endpoint MembershipTransport::listening() const {
   return link_->listening();
--- a/src/gateway/membership_transport.hpp
+++ b/src/gateway/membership_transport.hpp
@@ -33,7 +33,7 @@
   void leave(bool successor);
 
   /// What the limits of the whole fleet are divided by: all that may hold a part of them, ourselves included.
-  std::uint32_t holders() const;
+  std::uint32_t quotaHolders() const;
   /// Where it is reached; port 0 while it has no address.
   udp::endpoint listening() const;
   std::string text() const;  ///< of GET /ops/fleet
--- a/src/lab/rig/hollow_gateway.cpp
+++ b/src/lab/rig/hollow_gateway.cpp
@@ -97,7 +97,7 @@
 
 // As in a gateway: what the whole fleet may do is divided by its members.
 void HollowGateway::divide() {
-  const std::uint32_t size = std::max(config_.module.replicaCount, fleet_ ? fleet_->holders() : 1);
+  const std::uint32_t size = std::max(config_.module.replicaCount, fleet_ ? fleet_->quotaHolders() : 1);
   if (size == config_.module.replicaCount)
     return;
   config_.module.replicaCount = size;
--- a/src/lab/rig/hollow_gateway.hpp
+++ b/src/lab/rig/hollow_gateway.hpp
@@ -37,7 +37,7 @@
   std::int64_t revision() const { return revision_; }  ///< of the list that it holds, -1: none yet
   std::uint64_t wholeLists() const { return wholeLists_; }
   /// Members that it counts, itself included; 0 if it is no member.
-  std::uint32_t membersSeen() const { return fleet_ ? fleet_->holders() : 0; }
+  std::uint32_t membersSeen() const { return fleet_ ? fleet_->quotaHolders() : 0; }
 
  private:
   static gateway::Config configOf(const HollowGatewayPlan& plan, std::size_t number);
--- a/src/lab/simulation/explore.cpp
+++ b/src/lab/simulation/explore.cpp
@@ -14,9 +14,9 @@
 namespace hollyrun::lab {
 namespace {
 
+using membership::MemberRecord;
 using membership::Membership;
-using membership::Record;
-using membership::State;
+using membership::MemberState;
 using membership::Time;
 
 constexpr std::size_t kMembers = 3;
@@ -48,7 +48,7 @@
 }
 
 void start(World& w, std::size_t i) {
-  Record self;
+  MemberRecord self;
   self.name = std::string(1, static_cast<char>('a' + i));
   self.address = addressOf(i);
   ++w.lives;
@@ -95,12 +95,12 @@
     key += (m ? m->fingerprint(w.now) : "-") + ";";
   std::vector<std::string> way;
   for (const UnderWay& one : w.way) {
-    membership::Bad why{};
+    membership::DecodeError why{};
     const auto m = membership::decode(one.bytes, settings().fleet, why);
-    std::string text = std::to_string(one.from) + std::to_string(one.to) +
-                       std::to_string(static_cast<int>(m->type)) + "," + std::to_string(m->self.incarnation) +
-                       "," + std::to_string(static_cast<int>(m->self.state));
-    for (const Record& r : m->news)
+    std::string text =
+        std::to_string(one.from) + std::to_string(one.to) + std::to_string(static_cast<int>(m->type)) + "," +
+        std::to_string(m->sender.incarnation) + "," + std::to_string(static_cast<int>(m->sender.state));
+    for (const MemberRecord& r : m->updates)
       text += "," + r.name + std::to_string(r.incarnation) + std::to_string(static_cast<int>(r.state));
     way.push_back(std::move(text));
   }
@@ -118,7 +118,7 @@
   for (const auto& m : w.members) {
     if (!m)
       continue;
-    if (m->present() != living || (digest && *digest != m->digest()))
+    if (m->presentCount() != living || (digest && *digest != m->digest()))
       return false;
     digest = m->digest();
   }
@@ -126,7 +126,8 @@
 }
 
 bool heals(World w) {
-  const Time end = w.now + std::chrono::duration_cast<membership::Duration>(settings().period * kHealPeriods);
+  const Time end =
+      w.now + std::chrono::duration_cast<membership::Duration>(settings().probeInterval * kHealPeriods);
   while (w.now < end) {
     while (!w.way.empty())
       arrive(w, 0);
@@ -168,11 +169,11 @@
     for (std::size_t i = 0; i < kMembers; ++i) {
       if (!w.members[i])
         continue;
-      const Record& self = w.members[i]->self();
+      const MemberRecord& self = w.members[i]->self();
       if (self.incarnation < w.incarnations[i])
         broke(self.name + "'s incarnation fell", way);
       w.incarnations[i] = self.incarnation;
-      if (w.members[i]->holders() < w.members[i]->present())
+      if (w.members[i]->quotaHolders() < w.members[i]->presentCount())
         broke(self.name + " divides by too few", way);
       for (std::size_t j = 0; j < kMembers; ++j) {
         if (!w.members[j] || i == j)
@@ -182,7 +183,7 @@
           continue;
         if (it->second.record.incarnation > self.incarnation)
           broke("a claim on " + self.name + " not its own", way);
-        if (it->second.record.state == State::left)
+        if (it->second.record.state == MemberState::left)
           broke(self.name + " is said to have left", way);
       }
     }
--- a/src/lab/simulation/member_faults.cpp
+++ b/src/lab/simulation/member_faults.cpp
@@ -114,7 +114,7 @@
 
   void play(int periods) {
     for (int i = 0; i < periods; ++i) {
-      world_.runFor(world_.settings().period);
+      world_.runFor(world_.settings().probeInterval);
       meter_.sample();
       world_.seen().clear();
     }
@@ -122,7 +122,7 @@
 
   /// Periods until all views are equal; none if they are not within the most.
   std::optional<double> playUntilAgreed() {
-    const Duration step = world_.settings().period / kSamplesAPeriod;
+    const Duration step = world_.settings().probeInterval / kSamplesAPeriod;
     for (std::size_t steps = 0; steps < kAgreePeriodsMost * kSamplesAPeriod; ++steps) {
       if (world_.agreed())
         return static_cast<double>(steps) / kSamplesAPeriod;
@@ -161,8 +161,8 @@
     world_.describe = describeAsGateway;
     for (std::size_t i = 0; i < members; ++i)
       world_.start(world_.add("gateway-" + std::to_string(i), "zone-" + std::to_string(zoneOf(i))));
-    world_.runUntil([this] { return world_.agreed(); }, world_.settings().period * kJoinPeriodsMost);
-    world_.runFor(world_.settings().period * kQuietPeriods);
+    world_.runUntil([this] { return world_.agreed(); }, world_.settings().probeInterval * kJoinPeriodsMost);
+    world_.runFor(world_.settings().probeInterval * kQuietPeriods);
     world_.seen().clear();
   }
 
@@ -196,7 +196,7 @@
   for (std::size_t i = 0; i < stage.world().nodes().size(); ++i)
     affected += cutOff(i);
   stage.world().passes = [cutOff](std::size_t from, std::size_t to) { return cutOff(from) == cutOff(to); };
-  const int periods = static_cast<int>(apart / stage.world().settings().period);
+  const int periods = static_cast<int>(apart / stage.world().settings().probeInterval);
   stage.play(periods);
   rows.push_back(stage.rowOf(fmt::format("apart for {}", periods), affected, {}));
   stage.world().passes = [](std::size_t, std::size_t) { return true; };
--- a/src/lab/simulation/members.cpp
+++ b/src/lab/simulation/members.cpp
@@ -16,7 +16,7 @@
 using membership::Address;
 using membership::Duration;
 using membership::Membership;
-using membership::State;
+using membership::MemberState;
 using membership::Time;
 
 MemberWorld::MemberWorld(std::uint64_t seed, membership::MembershipSettings settings, Weather weather)
@@ -39,7 +39,7 @@
 
 void MemberWorld::start(std::size_t i) {
   Node& n = nodes_[i];
-  membership::Record self;
+  membership::MemberRecord self;
   self.name = n.name;
   self.address = n.address;
   self.zone = n.zone;
@@ -158,7 +158,7 @@
   while (!done()) {
     if (now_ >= end)
       return false;
-    runUntil(std::min(end, now_ + settings_.period / 4));
+    runUntil(std::min(end, now_ + settings_.probeInterval / 4));
   }
   return true;
 }
@@ -174,7 +174,7 @@
 bool MemberWorld::agreed() const {
   const std::vector<std::size_t> all = living();
   for (const std::size_t i : all)
-    if (at(i).present() != all.size() || at(i).digest() != at(all.front()).digest())
+    if (at(i).presentCount() != all.size() || at(i).digest() != at(all.front()).digest())
       return false;
   return true;
 }
@@ -198,7 +198,7 @@
 namespace {
 
 double inPeriods(Duration d, const membership::MembershipSettings& s) {
-  return static_cast<double>(d.count()) / static_cast<double>(s.period.count());
+  return static_cast<double>(d.count()) / static_cast<double>(s.probeInterval.count());
 }
 
 double allocatedBytes() {
@@ -212,7 +212,7 @@
     hash_ = XXH3_64bits_withSeed(bytes.data(), bytes.size(), hash_ + from * 1'000'003 + to);
   }
   void add(const MemberWorld::Seen& seen) {
-    add(seen.node, static_cast<std::size_t>(seen.event.kind), seen.event.member.name);
+    add(seen.node, static_cast<std::size_t>(seen.event.type), seen.event.member.name);
     hash_ += static_cast<std::uint64_t>(seen.at.count());
   }
   std::uint64_t hash() const { return hash_; }
@@ -236,10 +236,10 @@
   return static_cast<double>(t.tv_sec) * 1e6 + static_cast<double>(t.tv_nsec) / 1e3;
 }
 
-void describeAsGateway(membership::Record& self) {
+void describeAsGateway(membership::MemberRecord& self) {
   self.region = "region-1";
   self.version = "0.1.0";
-  self.settings = XXH3_64bits("settings", 8);
+  self.settingsDigest = XXH3_64bits("settings", 8);
   self.startedMs = 1'780'000'000'000;
 }
 
@@ -268,14 +268,14 @@
   Stream draw(run.seed, "kills");
   for (std::size_t i = 0; i < run.members; ++i)
     world.start(world.add("gateway-" + std::to_string(i)));
-  world.runUntil([&] { return world.agreed(); }, settings.period * 60);  // under loss views never rest
+  world.runUntil([&] { return world.agreed(); }, settings.probeInterval * 60);  // under loss views never rest
 
   const membership::Counters before = world.counters();
   const std::uint64_t steps = world.steps();
   const int quiet = 120;  // periods
   forgetSeen();
   const double clock = processorMicros();
-  world.runFor(settings.period * quiet);
+  world.runFor(settings.probeInterval * quiet);
   const double took = processorMicros() - clock;
   const membership::Counters after = world.counters();
   const double each = static_cast<double>(run.members) * quiet;
@@ -285,7 +285,7 @@
   row.bytes = static_cast<double>(after.bytesOut - before.bytesOut) / each;
   std::set<std::pair<std::string, std::uint64_t>> killed;  // wrongly, each once
   for (const auto& s : world.seen())
-    if (s.event.kind == membership::Event::Kind::died)
+    if (s.event.type == membership::EventType::died)
       killed.insert({s.event.member.name, s.event.member.incarnation});
   row.falseDeaths = static_cast<double>(killed.size()) / each * 3600;
   forgetSeen();
@@ -303,15 +303,15 @@
     const auto gone = [&] {
       for (const std::size_t i : world.living()) {
         const auto it = world.at(i).others().find(name);
-        if (it != world.at(i).others().end() && membership::present(it->second.record.state))
+        if (it != world.at(i).others().end() && membership::isPresent(it->second.record.state))
           return false;
       }
       return true;
     };
-    world.runUntil(gone, settings.period * 400);
+    world.runUntil(gone, settings.probeInterval * 400);
     all.push_back(inPeriods(world.now() - at, settings));
     for (const auto& s : world.seen())
-      if (s.event.kind == membership::Event::Kind::died && s.event.member.name == name) {
+      if (s.event.type == membership::EventType::died && s.event.member.name == name) {
         detect.push_back(inPeriods(s.at - at, settings));
         break;
       }
@@ -322,12 +322,12 @@
         if (i == victim)
           continue;
         const auto it = world.at(i).others().find(name);
-        if (it == world.at(i).others().end() || !membership::present(it->second.record.state))
+        if (it == world.at(i).others().end() || !membership::isPresent(it->second.record.state))
           return false;
       }
       return true;
     };
-    world.runUntil(known, settings.period * 400);
+    world.runUntil(known, settings.probeInterval * 400);
     join.push_back(inPeriods(world.now() - back, settings));
   }
   row.detectP50 = quantileOf(detect, 0.5);
--- a/src/lab/simulation/members.hpp
+++ b/src/lab/simulation/members.hpp
@@ -63,7 +63,7 @@
   /// Sees each datagram as it is sent.
   std::function<void(std::size_t from, std::size_t to, const std::string& bytes)> tap;
   /// Completes the record of a member that starts; default: as it is.
-  std::function<void(membership::Record& self)> describe;
+  std::function<void(membership::MemberRecord& self)> describe;
 
   std::vector<std::size_t> living() const;
   /// All living, running members hold each other and nobody else for present.
@@ -102,7 +102,7 @@
 /// Processor time of this thread, in microseconds; the machine may be busy with other work.
 double processorMicros();
 /// Gives a record what a gateway's holds: it is sent in each datagram, so its length counts.
-void describeAsGateway(membership::Record& self);
+void describeAsGateway(membership::MemberRecord& self);
 
 /// One row of the table in docs/membership.md.
 struct MembersRow {
--- a/src/lab/simulation/world.cpp
+++ b/src/lab/simulation/world.cpp
@@ -327,7 +327,7 @@
 
   std::uint32_t sizeFor(std::uint32_t g) const {
     const auto& member = gateways_[g].member;
-    return std::max(settings_.replicaCount, member ? static_cast<std::uint32_t>(member->holders()) : 1);
+    return std::max(settings_.replicaCount, member ? static_cast<std::uint32_t>(member->quotaHolders()) : 1);
   }
 
   Settings settingsOf(std::uint32_t g) {
@@ -350,10 +350,10 @@
       return;
     Gateway& w = gateways_[g];
     membership::MembershipSettings set;
-    set.period = millis(s_.membershipPeriodMs);
+    set.probeInterval = millis(s_.membershipPeriodMs);
     for (std::uint32_t i = 0; i < std::min<std::size_t>(3, gateways_.size()); ++i)
       set.seeds.push_back(addressOf(i));
-    membership::Record self;
+    membership::MemberRecord self;
     self.name = w.name;
     self.address = addressOf(g);
     self.zone = s_.zones[w.zone];
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -16,13 +16,13 @@
 namespace hollyrun::lab {
 namespace {
 
-using membership::Bad;
-using membership::Event;
+using membership::DecodeError;
+using membership::EventType;
+using membership::MemberRecord;
 using membership::MembershipSettings;
+using membership::MemberState;
 using membership::Message;
-using membership::Record;
-using membership::State;
-using membership::Type;
+using membership::MessageType;
 
 MembershipSettings settingsOf(std::size_t seeds = 2) {
   MembershipSettings s;
@@ -40,27 +40,27 @@
   }
   membership::Duration periods(double n) const {
     return membership::Duration(
-        static_cast<std::int64_t>(n * static_cast<double>(settingsOf().period.count())));
+        static_cast<std::int64_t>(n * static_cast<double>(settingsOf().probeInterval.count())));
   }
   bool agreeWithin(double n) {
     return runUntil([&] { return agreed(); }, periods(n));
   }
   // What `at` holds of `who`; nothing: does not know it.
-  std::optional<State> held(std::size_t at, std::size_t who) {
+  std::optional<MemberState> held(std::size_t at, std::size_t who) {
     const auto& others = this->at(at).others();
     const auto it = others.find(nodes()[who].name);
     return it == others.end() ? std::nullopt : std::optional(it->second.record.state);
   }
-  std::size_t count(Event::Kind kind, const std::string& name) {
+  std::size_t count(EventType type, const std::string& name) {
     std::size_t n = 0;
     for (const auto& s : seen())
-      n += s.event.kind == kind && s.event.member.name == name;
+      n += s.event.type == type && s.event.member.name == name;
     return n;
   }
-  std::size_t count(Event::Kind kind) {
+  std::size_t count(EventType type) {
     std::size_t n = 0;
     for (const auto& s : seen())
-      n += s.event.kind == kind;
+      n += s.event.type == type;
     return n;
   }
 };
@@ -72,12 +72,12 @@
 TEST(Membership, ThreeFindEachOtherAndSeeOneThatDies) {
   Fleet f(3);
   ASSERT_TRUE(f.agreeWithin(5));
-  EXPECT_EQ(f.at(0).present(), 3u);
+  EXPECT_EQ(f.at(0).presentCount(), 3u);
   f.kill(1);
   ASSERT_TRUE(f.agreeWithin(kDeathPeriods));
-  EXPECT_EQ(f.held(0, 1), State::dead);
-  EXPECT_EQ(f.held(2, 1), State::dead);
-  EXPECT_EQ(f.at(0).holders(), 3u) << "the dead may live beyond a cut";
+  EXPECT_EQ(f.held(0, 1), MemberState::dead);
+  EXPECT_EQ(f.held(2, 1), MemberState::dead);
+  EXPECT_EQ(f.at(0).quotaHolders(), 3u) << "the dead may live beyond a cut";
 }
 
 TEST(Membership, OneThatLeavesIsKnownAtOnceAndHoldsNothing) {
@@ -85,9 +85,9 @@
   ASSERT_TRUE(f.agreeWithin(10));
   f.leave(3);
   ASSERT_TRUE(f.agreeWithin(1));
-  EXPECT_EQ(f.held(0, 3), State::left);
-  EXPECT_EQ(f.at(0).holders(), 4u);
-  EXPECT_EQ(f.count(Event::Kind::suspected), 0u);
+  EXPECT_EQ(f.held(0, 3), MemberState::left);
+  EXPECT_EQ(f.at(0).quotaHolders(), 4u);
+  EXPECT_EQ(f.count(EventType::suspected), 0u);
 }
 
 // --- The hard cases -----------------------------------------------------------------------------------
@@ -100,16 +100,16 @@
     f.start(twin);
     f.runFor(f.periods(60));
     // Exactly one of them is a member, all others see one, and nobody's incarnation runs away.
-    EXPECT_NE(f.at(2).yielded(), f.at(twin).yielded()) << seed;
-    const std::size_t one = f.at(2).yielded() ? twin : 2, other = one == twin ? 2 : twin;
-    EXPECT_EQ(f.at(0).present(), 4u);
+    EXPECT_NE(f.at(2).conceded(), f.at(twin).conceded()) << seed;
+    const std::size_t one = f.at(2).conceded() ? twin : 2, other = one == twin ? 2 : twin;
+    EXPECT_EQ(f.at(0).presentCount(), 4u);
     EXPECT_LT(f.at(one).self().incarnation, 30u);
-    EXPECT_EQ(f.at(one).holders(), 5u) << "both serve, so both count";
+    EXPECT_EQ(f.at(one).quotaHolders(), 5u) << "both serve, so both count";
     // Once the one goes, the name is the other's.
     f.leave(one);
     f.runFor(f.periods(40));
-    EXPECT_FALSE(f.at(other).yielded()) << seed;
-    EXPECT_EQ(f.at(0).present(), 4u);
+    EXPECT_FALSE(f.at(other).conceded()) << seed;
+    EXPECT_EQ(f.at(0).presentCount(), 4u);
     EXPECT_EQ(f.at(0).others().at("m2").record.epoch, f.at(other).self().epoch);
   }
 }
@@ -122,9 +122,9 @@
   f.runFor(std::chrono::milliseconds(50));
   f.start(2);
   ASSERT_TRUE(f.agreeWithin(10));
-  EXPECT_EQ(f.count(Event::Kind::died), 0u);
-  EXPECT_EQ(f.count(Event::Kind::left), 0u);
-  EXPECT_EQ(f.count(Event::Kind::rival), 0u);
+  EXPECT_EQ(f.count(EventType::died), 0u);
+  EXPECT_EQ(f.count(EventType::left), 0u);
+  EXPECT_EQ(f.count(EventType::nameConflict), 0u);
 }
 
 TEST(MembershipHardCase, RestartUnderTheSameNameWithinTheSuspicionTime) {
@@ -132,14 +132,14 @@
     Fleet f(5, seed);
     ASSERT_TRUE(f.agreeWithin(10));
     f.kill(2);
-    ASSERT_TRUE(f.runUntil([&] { return f.held(0, 2) == State::suspect || f.held(1, 2) == State::suspect; },
-                           f.periods(30)));
+    ASSERT_TRUE(f.runUntil(
+        [&] { return f.held(0, 2) == MemberState::suspect || f.held(1, 2) == MemberState::suspect; },
+        f.periods(30)));
     f.start(2);
     ASSERT_TRUE(f.agreeWithin(20)) << seed;
     f.seen().clear();
     f.runFor(f.periods(60));
-    EXPECT_EQ(f.count(Event::Kind::died), 0u)
-        << "the old suspicion must not kill the new life, seed " << seed;
+    EXPECT_EQ(f.count(EventType::died), 0u) << "the old suspicion must not kill the new life, seed " << seed;
   }
 }
 
@@ -154,7 +154,7 @@
     ASSERT_TRUE(f.agreeWithin(20)) << seed;
     f.runFor(f.periods(60));
     for (const auto& s : f.seen())
-      EXPECT_NE(s.event.kind, Event::Kind::died)
+      EXPECT_NE(s.event.type, EventType::died)
           << s.event.member.name << " at " << s.node << ", seed " << seed;
     EXPECT_TRUE(f.agreed());
   }
@@ -167,7 +167,7 @@
     f.seen().clear();
     f.passes = [](std::size_t from, std::size_t to) { return !(from == 1 && to == 2); };  // 1 hears 2
     f.runFor(f.periods(300));
-    EXPECT_EQ(f.count(Event::Kind::died), 0u) << "others carry the probes, seed " << seed;
+    EXPECT_EQ(f.count(EventType::died), 0u) << "others carry the probes, seed " << seed;
   }
 }
 
@@ -177,9 +177,9 @@
   f.passes = [](std::size_t from, std::size_t) { return from != 2; };
   f.runFor(f.periods(kDeathPeriods));
   for (const std::size_t i : {0, 1, 3, 4})
-    EXPECT_EQ(f.held(i, 2), State::dead);
+    EXPECT_EQ(f.held(i, 2), MemberState::dead);
   for (const std::size_t i : {0, 1, 3, 4})
-    EXPECT_EQ(f.at(i).present(), 4u) << "its accusations are not heard";
+    EXPECT_EQ(f.at(i).presentCount(), 4u) << "its accusations are not heard";
   f.passes = [](std::size_t, std::size_t) { return true; };
   EXPECT_TRUE(f.agreeWithin(kHealPeriods));
 }
@@ -190,15 +190,15 @@
   f.passes = [parts](std::size_t from, std::size_t to) { return from % parts == to % parts; };
   f.runFor(f.periods(kDeathPeriods + 20));
   for (std::size_t i = 0; i < members; ++i)
-    EXPECT_EQ(f.at(i).present(), (members - i % parts + parts - 1) / parts) << "seed " << seed;
+    EXPECT_EQ(f.at(i).presentCount(), (members - i % parts + parts - 1) / parts) << "seed " << seed;
   for (std::size_t i = 0; i < members; ++i)
-    EXPECT_EQ(f.at(i).holders(), members);
+    EXPECT_EQ(f.at(i).quotaHolders(), members);
   f.passes = [](std::size_t, std::size_t) { return true; };
   EXPECT_TRUE(f.agreeWithin(kHealPeriods)) << members << " in " << parts << ", seed " << seed;
-  EXPECT_EQ(f.count(Event::Kind::stalled), 0u) << "nobody was held up, seed " << seed;
+  EXPECT_EQ(f.count(EventType::stalled), 0u) << "nobody was held up, seed " << seed;
   f.seen().clear();
   f.runFor(f.periods(100));
-  EXPECT_EQ(f.count(Event::Kind::died), 0u) << "no echo of the cut, seed " << seed;
+  EXPECT_EQ(f.count(EventType::died), 0u) << "no echo of the cut, seed " << seed;
 }
 TEST(MembershipHardCase, SplitIntoHalvesAndTheHeal) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed)
@@ -216,8 +216,8 @@
     if (i != 5)
       f.kill(i);
   // One alone has nobody that confirms a suspicion, and asks ever later: bounded all the same.
-  ASSERT_TRUE(f.runUntil([&] { return f.at(5).present() == 1; }, f.periods(600)));
-  EXPECT_EQ(f.at(5).holders(), 12u);
+  ASSERT_TRUE(f.runUntil([&] { return f.at(5).presentCount() == 1; }, f.periods(600)));
+  EXPECT_EQ(f.at(5).quotaHolders(), 12u);
   for (std::size_t i = 0; i < 12; ++i)
     if (i != 5)
       f.start(i);
@@ -237,7 +237,7 @@
       f.runFor(f.periods(0.2));
     }
     for (const auto& s : f.seen())
-      if (s.event.kind == Event::Kind::died)
+      if (s.event.type == EventType::died)
         EXPECT_EQ(s.event.member.name, "m3") << "only the slow one may pay, seed " << seed;
     EXPECT_TRUE(f.agreeWithin(20));
   }
@@ -245,7 +245,7 @@
 
 TEST(MembershipHardCase, ADeadMemberDoesNotComeBackThroughAnOldMessage) {
   MembershipSettings s = settingsOf();
-  s.keepGone = std::chrono::seconds(100);
+  s.tombstoneTimeout = std::chrono::seconds(100);
   Fleet f(5, 1, {}, s);
   std::vector<std::pair<std::size_t, std::string>> said;
   f.tap = [&](std::size_t from, std::size_t to, const std::string& bytes) {
@@ -263,7 +263,7 @@
       if (to != 2)
         f.inject(to, f.nodes()[2].address, bytes);
     f.runFor(f.periods(60));
-    EXPECT_EQ(f.count(Event::Kind::joined, "m2"), 0u);
+    EXPECT_EQ(f.count(EventType::joined, "m2"), 0u);
     f.runFor(f.periods(200));
   }
   EXPECT_EQ(f.held(0, 2), std::nullopt);
@@ -274,11 +274,11 @@
   s.seeds = {{0x0a000001, 9}, {0x7f000001, 1002}};  // nobody; and one that comes later
   Fleet f(2, 1, {}, s);
   f.runFor(f.periods(30));
-  EXPECT_EQ(f.at(0).present(), 1u);
-  EXPECT_EQ(f.at(0).self().state, State::joining);
+  EXPECT_EQ(f.at(0).presentCount(), 1u);
+  EXPECT_EQ(f.at(0).self().state, MemberState::joining);
   f.start(f.add("m2"));
   EXPECT_TRUE(f.agreeWithin(10));
-  EXPECT_EQ(f.at(0).present(), 3u);
+  EXPECT_EQ(f.at(0).presentCount(), 3u);
 }
 
 TEST(MembershipHardCase, ThreeHundredJoinWithinASecond) {
@@ -292,7 +292,7 @@
     f.runFor(f.periods(1.0 / 300));
   }
   EXPECT_TRUE(f.agreeWithin(30));
-  EXPECT_EQ(f.count(Event::Kind::died), 0u);
+  EXPECT_EQ(f.count(EventType::died), 0u);
 }
 
 TEST(MembershipHardCase, DatagramsDuplicatedReorderedAndCorrupted) {
@@ -303,7 +303,7 @@
     w.mostMs = 150;
     Fleet f(8, seed, w);
     f.runFor(f.periods(200));
-    EXPECT_EQ(f.count(Event::Kind::died), 0u) << seed;
+    EXPECT_EQ(f.count(EventType::died), 0u) << seed;
     f.weather() = {};
     EXPECT_TRUE(f.agreeWithin(20)) << seed;
   }
@@ -328,8 +328,8 @@
     f.inject(to, f.nodes()[from].address, bytes);
   f.runFor(f.periods(60));
   EXPECT_TRUE(f.agreed());
-  EXPECT_EQ(f.count(Event::Kind::died), 0u);
-  EXPECT_EQ(f.count(Event::Kind::left), 0u);
+  EXPECT_EQ(f.count(EventType::died), 0u);
+  EXPECT_EQ(f.count(EventType::left), 0u);
 }
 
 TEST(MembershipHardCase, HostileSizesAndNonsense) {
@@ -356,37 +356,37 @@
     f.inject(0, stranger, bytes);
   // The same with a true checksum reach the decoder.
   for (const std::string& bytes : std::vector<std::string>(hostile))
-    f.inject(0, stranger, bytes + membership::sumOf(bytes)), hostile.push_back(bytes);
-  const auto& bad = f.at(0).counters().bad;
+    f.inject(0, stranger, bytes + membership::checksumOf(bytes)), hostile.push_back(bytes);
+  const auto& bad = f.at(0).counters().decodeErrors;
   EXPECT_EQ(std::accumulate(bad.begin(), bad.end(), std::uint64_t{0}), hostile.size());
-  EXPECT_GT(bad[static_cast<std::size_t>(Bad::undecodable)], 1000u);
-  EXPECT_GE(bad[static_cast<std::size_t>(Bad::tooLong)], 1u);
+  EXPECT_GT(bad[static_cast<std::size_t>(DecodeError::undecodable)], 1000u);
+  EXPECT_GE(bad[static_cast<std::size_t>(DecodeError::tooLong)], 1u);
   EXPECT_TRUE(f.agreed());
 }
 
 // One who knows the form and a member's name and claims what it likes.
-Message forged(const Record& as, State of, const Record& about) {
+Message forged(const MemberRecord& as, MemberState of, const MemberRecord& about) {
   Message m;
-  m.self = as;
+  m.sender = as;
   m.sequence = std::uint64_t{1} << 40;
-  m.news.push_back(about);
-  m.news.back().state = of;
+  m.updates.push_back(about);
+  m.updates.back().state = of;
   return m;
 }
 TEST(MembershipHardCase, HostileClaimsChangeNothingForGood) {
   Fleet f(5);
   ASSERT_TRUE(f.agreeWithin(10));
   std::size_t took = 0;
-  for (const State state : {State::suspect, State::dead, State::left})
+  for (const MemberState state : {MemberState::suspect, MemberState::dead, MemberState::left})
     for (const std::uint64_t above : {0, 1, 1000, 99999}) {
-      Record victim = f.at(2).self();
+      MemberRecord victim = f.at(2).self();
       victim.incarnation += above;
       const Message m = forged(f.at(1).self(), state, victim);
       f.inject(0, f.nodes()[1].address, membership::encode(m, "fleet", took));
       f.runFor(f.periods(1));
     }
   EXPECT_TRUE(f.agreeWithin(kHealPeriods));
-  EXPECT_EQ(f.at(0).present(), 5u);
+  EXPECT_EQ(f.at(0).presentCount(), 5u);
   // The forged sequence number must not silence the true member 1.
   f.leave(1);
   EXPECT_TRUE(f.agreeWithin(kDeathPeriods));
@@ -394,21 +394,21 @@
 
 TEST(MembershipHardCase, AFloodOfNamesIsBounded) {
   MembershipSettings s = settingsOf();
-  s.mostMembers = 50;
+  s.maxMembers = 50;
   Fleet f(3, 1, {}, s);
   ASSERT_TRUE(f.agreeWithin(10));
   std::size_t took = 0;
   for (int i = 0; i < 500; ++i) {
-    Record ghost = f.at(1).self();
+    MemberRecord ghost = f.at(1).self();
     ghost.name = "ghost-" + std::to_string(i);
     ghost.address.port = static_cast<std::uint16_t>(20000 + i);
-    Message m = forged(f.at(1).self(), State::alive, ghost);
+    Message m = forged(f.at(1).self(), MemberState::alive, ghost);
     m.sequence += static_cast<std::uint64_t>(i);
     f.inject(0, f.nodes()[1].address, membership::encode(m, "fleet", took));
   }
   EXPECT_LE(f.at(0).others().size(), 50u);
   EXPECT_GT(f.at(0).counters().full, 0u);
-  ASSERT_TRUE(f.runUntil([&] { return f.at(0).present() == 3; }, f.periods(1500)));
+  ASSERT_TRUE(f.runUntil([&] { return f.at(0).presentCount() == 3; }, f.periods(1500)));
   EXPECT_TRUE(f.agreeWithin(60));
 }
 
@@ -416,31 +416,32 @@
   Fleet f(2);
   ASSERT_TRUE(f.agreeWithin(10));
   for (const bool name : {true, false}) {
-    Record big = f.at(1).self();
+    MemberRecord big = f.at(1).self();
     (name ? big.name : big.zone) = std::string(10000, 'x');
     Message m;
-    m.self = big;
+    m.sender = big;
     std::size_t took = 0;
     f.inject(0, f.nodes()[1].address, membership::encode(m, "fleet", took));
     (name ? big.name : big.zone) = std::string(65, 'x');  // the least that is too much
-    m.self = big;
+    m.sender = big;
     f.inject(0, f.nodes()[1].address, membership::encode(m, "fleet", took));
   }
-  EXPECT_EQ(f.at(0).counters().bad[static_cast<std::size_t>(Bad::tooLong)], 2u);
-  EXPECT_EQ(f.at(0).counters().bad[static_cast<std::size_t>(Bad::nonsense)], 2u);
-  EXPECT_EQ(f.at(0).present(), 2u);
+  EXPECT_EQ(f.at(0).counters().decodeErrors[static_cast<std::size_t>(DecodeError::tooLong)], 2u);
+  EXPECT_EQ(f.at(0).counters().decodeErrors[static_cast<std::size_t>(DecodeError::invalid)], 2u);
+  EXPECT_EQ(f.at(0).presentCount(), 2u);
 }
 
 TEST(MembershipHardCase, SettingsDifferAfterAHalfDoneReload) {
   Fleet f(4);
   ASSERT_TRUE(f.agreeWithin(10));
-  Record changed = f.at(1).self();
-  changed.settings = 77;
+  MemberRecord changed = f.at(1).self();
+  changed.settingsDigest = 77;
   f.nodes()[1].logic->onSettings(f.now(), f.settings(), changed);
   ASSERT_TRUE(f.agreeWithin(20)) << "views are of who is there, not of what it serves by";
-  ASSERT_TRUE(f.runUntil([&] { return f.at(0).others().at("m1").record.settings == 77; }, f.periods(20)));
-  EXPECT_EQ(f.at(0).others().at("m2").record.settings, 0u);
-  EXPECT_GE(f.count(Event::Kind::changed, "m1"), 3u);
+  ASSERT_TRUE(
+      f.runUntil([&] { return f.at(0).others().at("m1").record.settingsDigest == 77; }, f.periods(20)));
+  EXPECT_EQ(f.at(0).others().at("m2").record.settingsDigest, 0u);
+  EXPECT_GE(f.count(EventType::changed, "m1"), 3u);
 }
 
 TEST(MembershipHardCase, ClockSteps) {
@@ -449,12 +450,12 @@
   Fleet f(3);
   ASSERT_TRUE(f.agreeWithin(10));
   for (const std::int64_t step : {std::int64_t{0}, std::int64_t{-86400000}, std::int64_t{4102444800000}}) {
-    Record changed = f.at(1).self();
+    MemberRecord changed = f.at(1).self();
     changed.startedMs = step;
     Message m;
-    m.self = changed;
+    m.sender = changed;
     std::size_t took = 0;
-    Bad why{};
+    DecodeError why{};
     EXPECT_TRUE(membership::decode(membership::encode(m, "fleet", took), "fleet", why).has_value()) << step;
     f.nodes()[1].logic->onSettings(f.now(), f.settings(), changed);
     f.runFor(f.periods(5));
@@ -467,7 +468,7 @@
   f.wake(1);
   EXPECT_TRUE(f.agreeWithin(20));
   for (const auto& s : f.seen())
-    if (s.event.kind == Event::Kind::died)
+    if (s.event.type == EventType::died)
       EXPECT_EQ(s.event.member.name, "m1");
 }
 
@@ -475,24 +476,25 @@
   Fleet f(2);
   ASSERT_TRUE(f.agreeWithin(10));
   Message m;
-  m.self = f.at(1).self();
+  m.sender = f.at(1).self();
   std::size_t took = 0;
   f.inject(0, f.nodes()[1].address, membership::encode(m, "other", took));
-  EXPECT_EQ(f.at(0).counters().bad[static_cast<std::size_t>(Bad::otherFleet)], 1u);
+  EXPECT_EQ(f.at(0).counters().decodeErrors[static_cast<std::size_t>(DecodeError::otherFleet)], 1u);
   // What a later version adds behind what we know is passed over.
   const std::string whole = membership::encode(m, "fleet", took);
-  nlohmann::json j = nlohmann::json::from_cbor(whole.substr(0, whole.size() - membership::sumOf("").size()));
+  nlohmann::json j =
+      nlohmann::json::from_cbor(whole.substr(0, whole.size() - membership::checksumOf("").size()));
   j.push_back("more");
   j[6].push_back(5);
   std::string bytes;
   nlohmann::json::to_cbor(j, bytes);
-  Bad why{};
-  EXPECT_TRUE(membership::decode(bytes + membership::sumOf(bytes), "fleet", why).has_value());
+  DecodeError why{};
+  EXPECT_TRUE(membership::decode(bytes + membership::checksumOf(bytes), "fleet", why).has_value());
   j[0] = 2;
   bytes.clear();
   nlohmann::json::to_cbor(j, bytes);
-  EXPECT_FALSE(membership::decode(bytes + membership::sumOf(bytes), "fleet", why).has_value());
-  EXPECT_EQ(why, Bad::otherVersion);
+  EXPECT_FALSE(membership::decode(bytes + membership::checksumOf(bytes), "fleet", why).has_value());
+  EXPECT_EQ(why, DecodeError::otherVersion);
 }
 
 // --- Bounds -------------------------------------------------------------------------------------------
@@ -510,7 +512,7 @@
     std::map<std::pair<std::size_t, std::string>, int> now;
     for (std::size_t at = 0; at < members; ++at)
       for (const auto& [name, m] : f.at(at).others())
-        if (m.record.state == State::dead)
+        if (m.record.state == MemberState::dead)
           longest = std::max(longest, now[{at, name}] = held[{at, name}] + 1);
     held = std::move(now);
   }
@@ -537,23 +539,23 @@
 
 TEST(MembershipMessage, MoreRecordsThanAShortArrayHoldsAreReadBack) {
   Message message;
-  message.self.name = "m0";
-  message.self.address = {0x7f000001, 1000};
+  message.sender.name = "m0";
+  message.sender.address = {0x7f000001, 1000};
   for (int i = 0; i < 30; ++i) {
-    Record gone;
+    MemberRecord gone;
     gone.name = "g" + std::to_string(i);
     gone.epoch = 7;
-    gone.state = State::dead;
-    message.news.push_back(gone);
+    gone.state = MemberState::dead;
+    message.updates.push_back(gone);
   }
   std::size_t took = 0;
   const std::string bytes = membership::encode(message, "fleet", took);
-  ASSERT_EQ(took, message.news.size());
-  Bad why{};
+  ASSERT_EQ(took, message.updates.size());
+  DecodeError why{};
   const auto read = membership::decode(bytes, "fleet", why);
   ASSERT_TRUE(read);
-  ASSERT_EQ(read->news.size(), message.news.size());
-  EXPECT_EQ(read->news.back().name, "g29");
+  ASSERT_EQ(read->updates.size(), message.updates.size());
+  EXPECT_EQ(read->updates.back().name, "g29");
 }
 
 // Shape alone: what a member sends and computes on a quiet day, at four times the size. A member that walks
@@ -597,13 +599,13 @@
   const auto claims = *rc::gen::container<std::vector<std::tuple<int, int, int>>>(
       rc::gen::tuple(rc::gen::inRange(1, 6), rc::gen::inRange(1, 3), rc::gen::inRange(0, 5)));
   const auto greatest = [](const std::vector<std::tuple<int, int, int>>& all) {
-    Record held;
+    MemberRecord held;
     for (const auto& [incarnation, epoch, state] : all) {
-      Record r;
+      MemberRecord r;
       r.incarnation = static_cast<std::uint64_t>(incarnation);
       r.epoch = static_cast<std::uint64_t>(epoch);
-      r.state = static_cast<State>(state);
-      if (r.against(held) > 0)
+      r.state = static_cast<MemberState>(state);
+      if (r.comparePrecedence(held) > 0)
         held = r;
     }
     return std::tuple(held.incarnation, held.epoch, held.state);
@@ -623,11 +625,11 @@
   std::map<std::string, std::uint64_t> incarnations;  // of a life, by name and epoch
   const auto look = [&] {
     for (const std::size_t i : f.living()) {
-      const Record& self = f.at(i).self();
+      const MemberRecord& self = f.at(i).self();
       auto& last = incarnations[self.name + std::to_string(self.epoch)];
       RC_ASSERT(self.incarnation >= last);
       last = self.incarnation;
-      RC_ASSERT(f.at(i).holders() >= f.at(i).present());
+      RC_ASSERT(f.at(i).quotaHolders() >= f.at(i).presentCount());
       // What others hold of its present life it has said itself, but for accusations.
       for (const std::size_t j : f.living()) {
         const auto it = f.at(j).others().find(self.name);
--- a/tests/membership_transport_test.cpp
+++ b/tests/membership_transport_test.cpp
@@ -80,11 +80,11 @@
   const auto c = member(memberConfig("three", {seedOf(*a)}));
   ASSERT_TRUE(
       until([&] { return seen(*a, "alive") == 3 && seen(*b, "alive") == 3 && seen(*c, "alive") == 3; }));
-  EXPECT_EQ(a->fleet()->holders(), 3u);
+  EXPECT_EQ(a->fleet()->quotaHolders(), 3u);
   bool ended = false;
   b->shutDown([&] { ended = true; });
   ASSERT_TRUE(until([&] { return seen(*a, "left") == 1 && seen(*c, "left") == 1; }));
-  EXPECT_EQ(a->fleet()->holders(), 2u);
+  EXPECT_EQ(a->fleet()->quotaHolders(), 2u);
   ASSERT_TRUE(until([&] { return ended; }));
 }
 
@@ -117,7 +117,7 @@
   second["membership"]["listen"] = seedOf(*older);
   const auto newer = member(second);
   EXPECT_EQ(newer->fleet()->listening().port(), 0) << "the address is still the older one's";
-  EXPECT_EQ(newer->fleet()->holders(), 1u);
+  EXPECT_EQ(newer->fleet()->quotaHolders(), 1u);
   older.reset();  // closes it without a word
   ASSERT_TRUE(until([&] { return newer->fleet()->listening().port() != 0 && seen(*newer, "alive") == 2; }));
   EXPECT_EQ(seen(*a, "left") + seen(*a, "dead"), 0u);
