--- a/src/gateway/membership_transport.cpp
+++ b/src/gateway/membership_transport.cpp
@@ -264,15 +264,15 @@
   all["members"][0]["self"] = true;
   std::size_t otherSettings = 0;
   for (const auto& [name, member] : m.others()) {
-    json one = jsonOf(member.record, now() - member.since);
-    if (member.heard.count() > 0) {
-      one["heard_s"] = std::chrono::duration<double>(now() - member.heard).count();
-      one["view"] = hex(member.digest);
+    json one = jsonOf(member.record, now() - member.stateSince);
+    if (member.lastHeard.count() > 0) {
+      one["heard_s"] = std::chrono::duration<double>(now() - member.lastHeard).count();
+      one["view"] = hex(member.viewDigest);
     }
     if (!member.record.reportedBy.empty())
       one["by"] = member.record.reportedBy;
-    if (!member.differs.empty())
-      one["differs_about"] = member.differs;
+    if (!member.differingNames.empty())
+      one["differs_about"] = member.differingNames;
     otherSettings +=
         isPresent(member.record.state) && member.record.settingsDigest != m.self().settingsDigest;
     all["members"].push_back(std::move(one));
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -1,7 +1,7 @@
-// Who is in the fleet: SWIM with suspicion, incarnations, local health and exchange of views. It does no I/O
-// and reads no clock: datagrams and the time go in, datagrams and events come out. The same code runs in the
-// gateway, in the lab's virtual time and under exhaustive schedules; a copy is a state of its own.
-// docs/membership.md.
+/// Who is in the fleet: SWIM with suspicion, incarnations, local health awareness (Lifeguard) and
+/// anti-entropy. Sans-I/O: datagrams and the time go in, datagrams and events come out; it reads no clock.
+/// The gateway, the simulation in virtual time and exhaustive exploration run the same code; a copy is an
+/// independent state. docs/membership.md describes the protocol.
 #pragma once
 
 #include <array>
@@ -9,26 +9,31 @@
 #include <cstddef>
 #include <cstdint>
 #include <map>
-#include <pcg_random.hpp>
-#include <set>
+#include <optional>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <vector>
 
+#include "membership/anti_entropy.hpp"
+#include "membership/failure_detector.hpp"
+#include "membership/gossip_queue.hpp"
+#include "membership/local_health.hpp"
+#include "membership/member_table.hpp"
 #include "membership/message.hpp"
+#include "membership/name_conflict.hpp"
+#include "membership/pending_requests.hpp"
+#include "membership/random_source.hpp"
+#include "membership/suspicion.hpp"
+#include "membership/time.hpp"
 
 namespace hollyrun::membership {
 
-using Duration = std::chrono::nanoseconds;
-using Time = std::chrono::nanoseconds;  ///< of a clock that never goes back; its start means nothing
-
 struct MembershipSettings {
   std::string fleet = "fleet";  ///< messages of another one are dropped
-  std::vector<Address> seeds;   ///< asked at the start, and while they are missing
+  std::vector<Address> seeds;   ///< contacted at the start, and while they are missing
   Duration probeInterval = std::chrono::seconds(1);
   unsigned indirectProbes = 3;    ///< members asked to probe one that did not answer
-  std::size_t maxMembers = 1024;  ///< kept in the view, the gone included
+  std::size_t maxMembers = 1024;  ///< kept in the view, those that left or died included
   Duration tombstoneTimeout =
       std::chrono::hours(1);  ///< a member that left or died is remembered for so long
 };
@@ -56,37 +61,26 @@
   std::string bytes;
 };
 
-/// A member as this process holds it.
-struct Member {
-  MemberRecord record;
-  Time since{};                ///< of its state
-  std::uint64_t sequence = 0;  ///< the last that it said in this life
-  std::set<std::string> confirmations;
-  Time suspectSince{};
-  std::uint64_t digest = 0;          ///< of its view, as it last said
-  Time heard{};                      ///< when; zero: never from itself
-  std::vector<std::string> differs;  ///< while its view is another: names that may be why
-};
-
 struct Counters {
   std::uint64_t received = 0, sent = 0, bytesIn = 0, bytesOut = 0;
   std::array<std::uint64_t, kDecodeErrorCount> decodeErrors{};
-  std::uint64_t stale = 0;  ///< well formed, but no proof that its sender lives: its news was not taken
-  std::uint64_t full = 0;   ///< members left out, for the view holds as many as it may
+  std::uint64_t stale = 0;  ///< well formed, but no proof that the sender is alive: its updates were ignored
+  std::uint64_t full = 0;   ///< members ignored because the view holds settings.maxMembers
   std::uint64_t refuted = 0, suspicions = 0, deaths = 0, stalls = 0;
 };
 
 class Membership {
  public:
-  /// `self`: name, address, zone, region, version, settings and start; the rest is drawn or starts at
-  /// nothing.
+  /// `self`: name, address, zone, region, version, settings digest and start time; epoch, incarnation and
+  /// state are set here.
   Membership(MembershipSettings settings, MemberRecord self, std::uint64_t seed, Time now);
 
   void onDatagram(Time now, const Address& from, std::string_view bytes);
-  void onWake(Time now);  ///< at or after wakeAt(); extra calls do no harm
-  /// New seeds, period, digest, zone or region. The fleet's name and our own stay.
+  /// At or after wakeAt(); extra calls do no harm.
+  void onWake(Time now);
+  /// New seeds, probe interval, settings digest, zone or region. The fleet and our name stay.
   void onSettings(Time now, MembershipSettings settings, const MemberRecord& self);
-  /// Says that it goes and answers nothing any more.
+  /// Announces that it goes; from then on nothing is answered.
   void leave(Time now);
 
   Time wakeAt() const { return wakeAt_; }
@@ -94,106 +88,122 @@
   std::vector<Event>& events() { return events_; }
 
   const MemberRecord& self() const { return self_; }
-  const std::map<std::string, Member>& others() const { return others_; }  ///< without ourselves, by name
-  /// Over who is present, in which life and with which incarnation; equal views have equal digests.
-  std::uint64_t digest() const;
-  std::size_t presentCount() const;                          ///< ourselves included
-  std::map<std::string, std::size_t> presentByZone() const;  ///< ourselves included
-  /// The careful size of the fleet: the dead may live beyond a cut, so they count until they are forgotten,
-  /// and so does a rival of our name.
+  /// All known members but ourselves, by name.
+  const MemberTable::Members& others() const { return table_.members(); }
+  /// Of who is present, by epoch and incarnation; equal views have equal digests.
+  std::uint64_t digest() const { return table_.viewDigest(self_); }
+  /// Ourselves included.
+  std::size_t presentCount() const { return table_.presentCount() + 1; }
+  /// Ourselves included.
+  std::map<std::string, std::size_t> presentByZone() const { return table_.presentByZone(self_); }
+  /// All that may hold a part of the fleet's quota, ourselves included: the dead may live beyond a partition,
+  /// so they count until they are forgotten, and so does another process of our name.
   std::size_t quotaHolders() const;
-  /// Present members that last told of another view than ours.
-  std::vector<std::string> disagreeing() const;
+  /// Present members that last announced another view than ours.
+  std::vector<std::string> disagreeing() const { return table_.disagreeing(digest()); }
   bool joined() const { return self_.state == MemberState::alive; }
-  bool conceded() const { return conceded_; }            ///< another process has our name; we are no member
-  unsigned healthScore() const { return healthScore_; }  ///< 0 well; higher: we answer or hear late ourselves
+  /// Another process has our name; this one is no member.
+  bool conceded() const { return nameConflict_.conceded(); }
+  /// 0: healthy; higher: we answer or hear late ourselves.
+  unsigned healthScore() const { return health_.score(); }
   const Counters& counters() const { return counters_; }
 
-  /// How long a member stays suspect before it is held dead, by the number present and by its confirmations.
-  static Duration suspicion(Duration period, std::size_t present, std::size_t confirmations);
-  /// Everything that decides what happens next, with times relative to `now`; for exhaustive exploration.
+  /// All state that decides what happens next, with times relative to `now`, for exhaustive exploration.
   std::string fingerprint(Time now) const;
 
  private:
-  struct Question {  // asked and not answered
-    std::string target;
-    Address at;
-    Time until{};
-    bool probe = false, pull = false;
-    Address asker;  // of whom we ask for; its nonce
-    std::uint64_t askerNonce = 0;
-  };
-  struct News {
-    unsigned told = 0;
-    std::uint64_t added = 0;
-  };
+  /// Who claims something about a member.
+  enum class ClaimSource { gossip, memberItself };
+  /// Whether the process that a datagram goes to is the one that the view describes.
+  enum class Receiver { knownProcess, unknownProcess };
 
+  // Time
   bool advance(Time now);
-  void tick();
-  void probeNext();
-  void probeLate();
-  void probeOver();
-  void reachOut();
-  void pullFrom(const std::string& name, const Address& to, std::string cursor);
-  void noteDifference(const Message& pull);
-  void answerPull(const Address& to, const Message& pull);
-  void heard(const Message& m, const Address& from, bool proven);
-  void answered(const Message& m, const Address& from);
-  void take(const MemberRecord& claim, bool ofItself = false);
-  void takeOfSelf(const MemberRecord& claim);
-  void refute(std::uint64_t above);
-  void accuse(const std::string& name, MemberState state);
-  Time suspectUntil(const Member& m) const;
+  void recoverFromStall(Duration late);
+  void runTimers();
+  void startInterval();
+  void updateWakeTime();
+  void sendNacks();
   void expireSuspicions();
-  void forgetGone();
-  void put(Member& m, const MemberRecord& record);
+  void removeExpiredMembers();
+
+  // Failure detection
+  Duration ackTimeout() const;
+  void probeNextMember();
+  void sendIndirectPings();
+  void finishProbe();
+  void accuse(const std::string& name, MemberState state);
+  SuspicionTracker::Timing suspicionTiming() const;
+
+  // Contact with seeds, dead members and the process that has our name
+  void contactMissing();
+  std::vector<Address> missingSeeds() const;
+  void contactAllSeeds(const std::vector<Address>& seeds);
+  void contactDeadMember();
+  void contactAboutNameConflict();
+  void pingAddress(const Address& address);
+
+  // Messages received
+  void dispatch(const Message& message, const Address& from);
+  void onPing(const Message& message, const Address& from);
+  void onIndirectPing(const Message& message, const Address& from);
+  void onPull(const Message& message, const Address& from);
+  void onResponse(const Message& message, const Address& from);
+  void onView(const Message& message, const Address& from, const PendingRequest& request, bool fromTarget);
+  void onAck(const Message& message, const PendingRequest& request, bool fromTarget);
+  void processSender(const Message& message, const Address& from, bool isResponse);
+  void processUnverified(const Message& message, const Address& from);
+  bool isNewerThanAllBefore(const Message& message, const Address& from) const;
+  void applyGossip(const Message& message, bool isResponse);
+  void recordSender(const Message& message, const Address& from);
+  void markJoined();
+
+  // Claims about members
+  void applyUpdate(const MemberRecord& claim, ClaimSource source);
+  void addMember(const MemberRecord& claim);
+  bool makeCapacity();
+  void confirmSuspicion(Member& member, const MemberRecord& claim);
+  void replaceRecord(Member& member, const MemberRecord& claim);
+  void raiseChange(const MemberRecord& before, const MemberRecord& after);
+  void applyUpdateAboutSelf(const MemberRecord& claim);
+  void applyClaimOfOtherProcess(const MemberRecord& claim);
+  void concedeName();
+  void refute(std::uint64_t incarnation);
+
+  // Messages sent
+  std::uint64_t addRequest(RequestType type, const std::string& target, const Address& address,
+                           Duration timeout);
+  void pullView(const std::string& name, const Address& to, std::string cursor);
+  Message createMessage(MessageType type, std::uint64_t nonce) const;
+  void sendWithGossip(const Address& to, MessageType type, std::uint64_t nonce,
+                      const std::string& subject = {});
+  void sendWithGossip(const Address& to, Message message, const std::string& subject,
+                      Receiver receiver = Receiver::knownProcess);
+  bool hasSameView(const Address& to, MessageType type, const std::string& name) const;
+  std::size_t transmit(const Address& to, Message& message);
+  const MemberRecord* findRecord(const std::string& name) const;
   void raise(EventType type, const MemberRecord& record) { events_.push_back({type, record}); }
-  void spread(const std::string& name);
-  void compareViews(const std::string& name, const Address& at, std::uint64_t digest);
-  std::uint64_t ask(const std::string& target, const Address& at, Duration wait, bool probe);
-  void send(const Address& to, MessageType type, std::uint64_t nonce, const std::string& first = {});
-  void send(const Address& to, Message m, bool withNews, const std::string& first, bool stranger = false);
-  bool lives(const MemberRecord& who) const;
-  Message frame(MessageType type, std::uint64_t nonce) const;
-  const MemberRecord* recordOf(const std::string& name) const;
-  unsigned retransmitLimit() const;
-  Duration scaled(Duration d) const { return d * (healthScore_ + 1); }
-  Duration timeout() const;
-  void well();
-  void unwell();
-  std::uint64_t draw() { return static_cast<std::uint64_t>(random_()) << 32 | random_(); }
-  std::size_t drawBelow(std::size_t n) {
-    return static_cast<std::size_t>(random_(static_cast<std::uint32_t>(n)));
-  }
-  void setWake();
-  std::array<std::uint64_t, kBucketCount> buckets() const;  // ourselves included
-  static std::size_t bucketOf(const std::string& name);
-  static std::uint64_t digestOf(const MemberRecord& r);
 
   MembershipSettings settings_;
   MemberRecord self_;
-  pcg32 random_;
-  Time now_{}, wakeAt_{}, periodAt_{}, lateAt_{};
-  std::map<std::string, Member> others_;
-  std::array<std::uint64_t, kBucketCount> buckets_{};  // sums over the present others
-  std::size_t present_ = 0;                            // others
-  std::map<Address, std::size_t> presentAt_;           // how many of the present others say they are there
-  std::set<std::string> suspects_;                     // names of the others that are suspect
-  std::vector<std::string> round_;                     // still to be probed, the next last
-  std::map<std::uint64_t, Question> questions_;        // by nonce
-  std::uint64_t probe_ = 0;                            // nonce of this period's probe, 0: none, or answered
-  unsigned nacksWanted_ = 0, nacks_ = 0;
-  std::map<std::string, News> news_;  // of ourselves and of the others that we know
-  std::uint64_t sequence_ = 0, added_ = 0, periods_ = 0;
-  unsigned healthScore_ = 0;
-  std::size_t seedAt_ = 0, goneAt_ = 0, verifies_ = 0;
-  Time pulledAt_{};
-  bool left_ = false, conceded_ = false;
-  std::uint64_t rivalEpoch_ = 0,
-                rivalOver_ = 0;  // a claim on our name from another life, and our answer to it
-  unsigned rivalTimes_ = 0;
-  Address rivalAt_;
-  Time rivalHeard_{};
+  RandomSource random_;
+  Time now_{}, wakeAt_{};
+  Time nextIntervalAt_{};        // when the next probe interval begins
+  std::uint64_t intervals_ = 0;  // begun so far
+  bool hasLeft_ = false;
+
+  MemberTable table_;
+  SuspicionTracker suspicions_;
+  FailureDetector detector_;
+  LocalHealth health_;
+  PendingRequests requests_;
+  GossipQueue gossip_;
+  AntiEntropy antiEntropy_;
+  NameConflict nameConflict_;
+
+  std::uint64_t lastSequence_ = 0;                 // of our datagrams
+  std::size_t nextSeed_ = 0, nextDeadMember_ = 0;  // to be contacted
+  std::size_t verifications_ = 0;                  // pings of unverified senders in this interval
   std::vector<Datagram> datagrams_;
   std::vector<Event> events_;
   Counters counters_;
--- a/src/membership/message.cpp
+++ b/src/membership/message.cpp
@@ -37,6 +37,13 @@
   return names[static_cast<int>(error)];
 }
 
+bool sameDescription(const MemberRecord& left, const MemberRecord& right) {
+  const auto fields = [](const MemberRecord& record) {
+    return std::tie(record.address, record.zone, record.region, record.version, record.settingsDigest);
+  };
+  return fields(left) == fields(right);
+}
+
 std::strong_ordering MemberRecord::comparePrecedence(const MemberRecord& other) const {
   return std::tie(incarnation, epoch, state) <=> std::tie(other.incarnation, other.epoch, other.state);
 }
--- a/src/membership/message.hpp
+++ b/src/membership/message.hpp
@@ -15,6 +15,8 @@
 inline constexpr std::size_t kMaxDatagramBytes = 1200;  ///< fits every path's MTU without fragmentation
 inline constexpr std::size_t kMaxTextBytes = 64;        ///< of a name, zone, region, version or fleet
 inline constexpr std::size_t kBucketCount = 32;         ///< parts of a view whose digests are compared
+/// Updates that are considered for one datagram; some ten fit.
+inline constexpr std::size_t kMaxUpdatesPerDatagram = 24;
 
 /// A UDP endpoint over IPv4, in host byte order.
 struct Address {
@@ -50,6 +52,9 @@
   std::strong_ordering comparePrecedence(const MemberRecord& other) const;
 };
 
+/// Whether what the two records say of address, zone, region, version and settings is equal.
+bool sameDescription(const MemberRecord& left, const MemberRecord& right);
+
 enum class MessageType : std::uint8_t { ping, ack, indirectPing, indirectAck, nack, leave, pull, view };
 
 struct Message {
