--- a/tests/membership_transport_test.cpp
+++ b/tests/membership_transport_test.cpp
@@ -14,7 +14,7 @@
 namespace hollyrun::gateway::testing {
 namespace {
 
-class FleetLinkTest : public GatewayTest {
+class MembershipTransportTest : public GatewayTest {
  protected:
   // A configuration of one that listens at a port from the kernel.
   json memberConfig(const std::string& name, const std::vector<std::string>& seeds) {
@@ -43,7 +43,7 @@
   }
 };
 
-TEST_F(FleetLinkTest, OffUnlessConfigured) {
+TEST_F(MembershipTransportTest, OffUnlessConfigured) {
   const auto sockets = [] {  // of this process, over UDP
     std::set<std::string> own;
     std::error_code ignored;
@@ -72,7 +72,7 @@
   EXPECT_EQ(sockets(), before);
 }
 
-TEST_F(FleetLinkTest, ThreeFindEachOtherDivideByThreeAndHearOneLeave) {
+TEST_F(MembershipTransportTest, ThreeFindEachOtherDivideByThreeAndHearOneLeave) {
   json first = memberConfig("one", {});
   first["settings"]["groupSize"] = 2;  // the fleet has outgrown it
   const auto a = member(first);
@@ -88,7 +88,7 @@
   ASSERT_TRUE(until([&] { return ended; }));
 }
 
-TEST_F(FleetLinkTest, ANewFileTurnsItOnMovesItAndTurnsItOff) {
+TEST_F(MembershipTransportTest, ANewFileTurnsItOnMovesItAndTurnsItOff) {
   const auto a = member(memberConfig("one", {}));
   json plain = memberConfig("two", {});
   plain.erase("membership");
@@ -109,7 +109,7 @@
   EXPECT_EQ(b->fleet(), nullptr);
 }
 
-TEST_F(FleetLinkTest, TheNewerProcessOfAnUpgradeTakesThePlaceOver) {
+TEST_F(MembershipTransportTest, TheNewerProcessOfAnUpgradeTakesThePlaceOver) {
   const auto a = member(memberConfig("one", {}));
   json second = memberConfig("two", {seedOf(*a)});
   auto older = member(second);
@@ -123,7 +123,7 @@
   EXPECT_EQ(seen(*a, "left") + seen(*a, "dead"), 0u);
 }
 
-TEST_F(FleetLinkTest, OperatorsSeeMembersAndFiguresAndTheTableTellsDifferences) {
+TEST_F(MembershipTransportTest, OperatorsSeeMembersAndFiguresAndTheTableTellsDifferences) {
   json first = memberConfig("one", {});
   first["management"] = "127.0.0.1:0";
   const auto a = member(first);
@@ -158,7 +158,45 @@
   EXPECT_NE(metrics.find("hollyrun_fleet_members{state=\"alive\"} 2"), std::string::npos) << metrics;
 }
 
-TEST_F(FleetLinkTest, WhatCannotTravelIsTurnedDownWithTheConfiguration) {
+// Dashboards and scripts of operators read these names.
+TEST_F(MembershipTransportTest, FiguresOfOperatorsHaveTheirDocumentedNames) {
+  const auto a = member(memberConfig("one", {}));
+  const auto b = member(memberConfig("two", {seedOf(*a)}));
+  ASSERT_TRUE(until([&] { return seen(*a, "alive") == 2; }));
+  const auto keysOf = [](const json& object) {
+    std::set<std::string> keys;
+    for (const auto& [key, value] : object.items())
+      keys.insert(key);
+    return keys;
+  };
+  const json fleet = json::parse(a->fleet()->text());
+  EXPECT_EQ(keysOf(fleet),
+            (std::set<std::string>{"counters", "disagree", "divided_by", "fleet", "health", "members", "name",
+                                   "other_settings", "present", "state", "view", "zones"}));
+  std::set<std::string> memberKeys{"address",  "epoch",   "incarnation", "name",  "region",  "self",
+                                   "settings", "since_s", "started_ms",  "state", "version", "zone"};
+  EXPECT_EQ(keysOf(fleet.at("members").at(0)), memberKeys);
+  memberKeys.erase("self");
+  memberKeys.insert({"heard_s", "view"});
+  std::set<std::string> otherKeys = keysOf(fleet.at("members").at(1));
+  otherKeys.erase("differs_about");  // only while its view is another
+  EXPECT_EQ(otherKeys, memberKeys);
+  EXPECT_EQ(keysOf(fleet.at("counters")),
+            (std::set<std::string>{"bad_nonsense", "bad_other_fleet", "bad_other_version", "bad_spoilt",
+                                   "bad_too_long", "bad_undecodable", "bytes_in", "bytes_out", "deaths",
+                                   "flooded", "full", "received", "refuted", "sent", "stale", "stalls",
+                                   "suspicions", "unsent"}));
+  std::vector<std::string> families;
+  for (const auto& family : a->fleet()->metrics())
+    families.push_back(family.name.substr(std::string("hollyrun_fleet_").size()));
+  EXPECT_EQ(families, (std::vector<std::string>{
+                          "members", "present", "divided_by", "disagreeing", "health", "received_total",
+                          "sent_total", "bytes_in_total", "bytes_out_total", "stale_total", "full_total",
+                          "refuted_total", "deaths_total", "suspicions_total", "stalls_total",
+                          "flooded_total", "unsent_total", "bad_total"}));
+}
+
+TEST_F(MembershipTransportTest, WhatCannotTravelIsTurnedDownWithTheConfiguration) {
   for (const char* key : {"fleet", "region"}) {
     json c = memberConfig("one", {});
     c["membership"][key] = std::string(10000, 'x');
@@ -174,7 +212,7 @@
   EXPECT_THROW(parsed(c), BadConfig);
 }
 
-TEST_F(FleetLinkTest, AFloodOfDatagramsLeavesItServing) {
+TEST_F(MembershipTransportTest, AFloodOfDatagramsLeavesItServing) {
   const auto a = member(memberConfig("one", {}));
   const auto b = member(memberConfig("two", {seedOf(*a)}));
   ASSERT_TRUE(until([&] { return seen(*a, "alive") == 2; }));
