--- a/src/gateway/config.cpp
+++ b/src/gateway/config.cpp
@@ -175,11 +175,11 @@
 void requireMembershipText(const char* name, const std::string& text, std::size_t minLength) {
   const bool hasControlCharacters =
       std::any_of(text.begin(), text.end(), [](unsigned char c) { return c < 0x20 || c == 0x7f; });
-  if (text.size() >= minLength && text.size() <= membership::kMostText && !hasControlCharacters)
+  if (text.size() >= minLength && text.size() <= membership::kMaxTextBytes && !hasControlCharacters)
     return;
   throw ConfigError(ConfigErrorCode::outOfRange, name,
                     std::string(name) + ": for membership it has to be a text of " +
-                        std::to_string(minLength) + " to " + std::to_string(membership::kMostText) +
+                        std::to_string(minLength) + " to " + std::to_string(membership::kMaxTextBytes) +
                         " bytes with no control characters");
 }
 
