--- a/src/gateway/config.cpp
+++ b/src/gateway/config.cpp
@@ -111,12 +111,12 @@
   std::string format = "text";
   readField(log, "level", level);
   readField(log, "format", format);
-  readField(log, "access", settings.access);
-  readField(log, "mostPerSecond", settings.mostPerSecond);
+  readField(log, "access", settings.accessLog);
+  readField(log, "mostPerSecond", settings.maxLinesPerSecond);
   settings.level = parseLogLevel(level);
   if (format != "text" && format != "json")
     throw ConfigError(ConfigErrorCode::unknownValue, "format", "log: unknown format '" + format + "'");
-  settings.json = format == "json";
+  settings.format = format == "json" ? LogFormat::json : LogFormat::text;
   return settings;
 }
 
--- a/src/gateway/config_printer.cpp
+++ b/src/gateway/config_printer.cpp
@@ -111,9 +111,9 @@
 
 void addLogValues(const LogSettings& log, ValueMap& values) {
   values["log.level"] = quoted(levelText(log.level));
-  values["log.format"] = quoted(log.json ? "json" : "text");
-  values["log.access"] = booleanText(log.access);
-  values["log.most_per_s"] = std::to_string(log.mostPerSecond);
+  values["log.format"] = quoted(log.format == LogFormat::json ? "json" : "text");
+  values["log.access"] = booleanText(log.accessLog);
+  values["log.most_per_s"] = std::to_string(log.maxLinesPerSecond);
 }
 
 void addMembershipValues(const std::optional<MembershipConfig>& configured, ValueMap& values) {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -646,17 +646,18 @@
 }
 
 DownstreamServer::Answered Gateway::counting(const RequestContext& exchange, Statistics::End end) {
-  const std::string id = log_.access() ? exchange.message["X-Request-Id"].to_string() : std::string();
+  const std::string id =
+      log_.accessLogEnabled() ? exchange.message["X-Request-Id"].to_string() : std::string();
   return [this, cls = exchange.counted, end, taken = exchange.taken, came = exchange.came, id](bool whole) {
     std::optional<Clock::duration> took;
     if (taken)
       took = Clock::now() - came, statistics_.ended();
     const Statistics::End ended = whole ? end : Statistics::End::failure;
     statistics_.answered(cls, ended, took);
-    if (!log_.access())
+    if (!log_.accessLogEnabled())
       return;
     const double ms = took ? std::chrono::duration<double, std::milli>(*took).count() : -1;
-    log_.answered(id, statistics_.nameOf(cls), Statistics::nameOf(ended), ms);
+    log_.writeAccess(id, statistics_.nameOf(cls), Statistics::nameOf(ended), ms);
   };
 }
 
--- a/src/gateway/log.cpp
+++ b/src/gateway/log.cpp
@@ -8,13 +8,20 @@
 #include <spdlog/sinks/base_sink.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <cstdio>
 #include <nlohmann/json.hpp>
 
 namespace hollyrun::gateway {
 namespace {
 
-spdlog::level::level_enum levelOf(LogLevel level) {
+constexpr auto kRateWindow = std::chrono::seconds(1);
+
+// %v is the line as writeLine makes it: of JSON the fields without the braces.
+constexpr const char* kJsonPattern = R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})";
+constexpr const char* kTextPattern = "%Y-%m-%dT%H:%M:%S.%eZ %l %v";
+
+spdlog::level::level_enum spdlogLevel(LogLevel level) {
   switch (level) {
     case LogLevel::debug:
       return spdlog::level::debug;
@@ -34,127 +41,148 @@
   return nlohmann::json(text).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-// A value of a text line: as it is, or quoted where it would not read as one word.
-std::string word(std::string_view text) {
-  const bool plain = !text.empty() && text.find_first_of(" \"=\n\r\t") == std::string_view::npos;
-  return plain ? std::string(text) : jsonText(text);
+// A value of a text line: as it is, or quoted where it would not read as one token.
+std::string quotedIfNeeded(std::string_view text) {
+  const bool isToken = !text.empty() && text.find_first_of(" \"=\n\r\t") == std::string_view::npos;
+  return isToken ? std::string(text) : jsonText(text);
 }
 
-// What comes from outside may hold anything; a line stays one line.
-std::string oneLine(std::string_view text) {
+// Messages may quote input from outside: without its control characters a line stays one line.
+std::string withoutControlCharacters(std::string_view text) {
   std::string out(text);
-  for (char& c : out)
-    if (static_cast<unsigned char>(c) < 0x20)
-      c = ' ';
+  std::replace_if(
+      out.begin(), out.end(), [](unsigned char c) { return c < 0x20; }, ' ');
   return out;
 }
 
+std::string millisecondsText(double milliseconds) {
+  if (milliseconds < 0)
+    return "-";
+  char text[32];
+  std::snprintf(text, sizeof text, "%.3f", milliseconds);
+  return text;
+}
+
 }  // namespace
 
 class Log::Sink final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
   explicit Sink(int descriptor) : descriptor_(descriptor) {}
-  std::uint64_t dropped = 0;
+
+  std::uint64_t dropped() const { return dropped_; }
 
  protected:
-  // Danger: a pipe that nobody reads would stop the loop, and every request with it. A pipe that polls as
-  // writable takes PIPE_BUF bytes whole and at once; a longer line is cut.
+  // A write into a pipe that nobody reads would block the event loop, and every request with it. A pipe that
+  // polls as writable accepts PIPE_BUF bytes whole and at once; a longer line is cut.
   void sink_it_(const spdlog::details::log_msg& message) override {
-    spdlog::memory_buf_t text;
-    formatter_->format(message, text);
-    if (text.size() > PIPE_BUF) {
-      text.resize(PIPE_BUF);
-      text[PIPE_BUF - 1] = '\n';
+    spdlog::memory_buf_t line;
+    formatter_->format(message, line);
+    if (line.size() > PIPE_BUF) {
+      line.resize(PIPE_BUF);
+      line[PIPE_BUF - 1] = '\n';
     }
-    pollfd ready{descriptor_, POLLOUT, 0};
-    const bool may = ::poll(&ready, 1, 0) == 1 && (ready.revents & POLLOUT) != 0;
-    if (!may || ::write(descriptor_, text.data(), text.size()) != static_cast<ssize_t>(text.size()))
-      ++dropped;
+    pollfd polled{descriptor_, POLLOUT, 0};
+    const bool isWritable = ::poll(&polled, 1, 0) == 1 && (polled.revents & POLLOUT) != 0;
+    if (!isWritable || ::write(descriptor_, line.data(), line.size()) != static_cast<ssize_t>(line.size()))
+      ++dropped_;
   }
   void flush_() override {}
 
  private:
   int descriptor_;
+  std::uint64_t dropped_ = 0;
 };
 
 Log::Log(std::string name, const LogSettings& settings, int descriptor)
     : name_(std::move(name)),
       sink_(std::make_shared<Sink>(descriptor)),
       logger_(std::make_shared<spdlog::logger>("hollyrun", sink_)) {
-  set(settings);
+  applySettings(settings);
 }
 
 Log::~Log() = default;
 
-void Log::set(const LogSettings& settings) {
+void Log::applySettings(const LogSettings& settings) {
   settings_ = settings;
-  logger_->set_level(levelOf(settings.level));
-  const char* pattern =
-      settings.json ? R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})" : "%Y-%m-%dT%H:%M:%S.%eZ %l %v";
+  logger_->set_level(spdlogLevel(settings.level));
+  const char* pattern = settings.format == LogFormat::json ? kJsonPattern : kTextPattern;
   logger_->set_formatter(
       std::make_unique<spdlog::pattern_formatter>(pattern, spdlog::pattern_time_type::utc));
 }
 
 std::uint64_t Log::dropped() const {
-  return sink_->dropped;
+  return sink_->dropped();
+}
+
+Log::RateWindow& Log::rateWindowOf(std::string_view kind) {
+  auto found = rateWindows_.find(kind);
+  if (found == rateWindows_.end())
+    found = rateWindows_.emplace(std::string(kind), RateWindow{}).first;
+  return found->second;
 }
 
 void Log::write(LogLevel level, std::string_view kind, std::string_view text, Fields fields) {
-  if (!logger_->should_log(levelOf(level)))
+  if (!logger_->should_log(spdlogLevel(level)))
     return;
-  auto it = kinds_.find(kind);
-  if (it == kinds_.end())
-    it = kinds_.emplace(std::string(kind), Kind{}).first;
-  Kind& k = it->second;
+  RateWindow& window = rateWindowOf(kind);
   const auto now = Clock::now();
-  if (now - k.since >= std::chrono::seconds(1))
-    k.since = now, k.written = 0;
-  if (settings_.mostPerSecond > 0 && k.written >= settings_.mostPerSecond)
-    return void(++k.leftOut);
-  ++k.written;
-  line(level, kind, text, fields, std::exchange(k.leftOut, 0));
+  if (now - window.start >= kRateWindow) {
+    window.start = now;
+    window.written = 0;
+  }
+  if (settings_.maxLinesPerSecond > 0 && window.written >= settings_.maxLinesPerSecond) {
+    ++window.suppressed;
+    return;
+  }
+  ++window.written;
+  writeLine(level, kind, text, fields, std::exchange(window.suppressed, 0));
 }
 
 void Log::trace(std::string_view step, Fields fields) {
   if (tracing())
-    line(LogLevel::debug, step, "", fields, 0);
+    writeLine(LogLevel::debug, step, "", fields, 0);
 }
 
-void Log::answered(std::string_view request, std::string_view cls, std::string_view end, double ms) {
-  if (!access())
+void Log::writeAccess(std::string_view requestId, std::string_view className, std::string_view outcome,
+                      double milliseconds) {
+  if (!accessLogEnabled())
     return;
-  char took[32] = "-";
-  if (ms >= 0)
-    std::snprintf(took, sizeof took, "%.3f", ms);
-  line(LogLevel::info, "access", "",
-       {{"request", std::string(request)},
-        {"class", std::string(cls)},
-        {"end", std::string(end)},
-        {"ms", took}},
-       0);
+  writeLine(LogLevel::info, "access", "",
+            {{"request", std::string(requestId)},
+             {"class", std::string(className)},
+             {"end", std::string(outcome)},
+             {"ms", millisecondsText(milliseconds)}},
+            0);
 }
 
-void Log::line(LogLevel level, std::string_view kind, std::string_view text, Fields fields,
-               unsigned leftOut) {
-  std::string out;
-  const auto add = [&](std::string_view key, std::string_view value) {
-    out.append(settings_.json ? ",\"" : " ").append(key).append(settings_.json ? "\":" : "=");
-    out += settings_.json ? jsonText(value) : word(value);
-  };
-  if (settings_.json)
-    out = "\"name\":" + jsonText(name_) + ",\"kind\":" + jsonText(kind) + ",\"text\":" + jsonText(text);
-  else
-    out = word(name_) + " " + std::string(kind) + (text.empty() ? "" : ": ") + oneLine(text);
+void Log::writeLine(LogLevel level, std::string_view kind, std::string_view text, Fields fields,
+                    unsigned suppressed) {
+  std::string line = lineHead(kind, text);
   for (const auto& [key, value] : fields)
-    add(key, value);
-  if (leftOut > 0)
-    add("left_out", std::to_string(leftOut));
-  if (sink_->dropped > droppedTold_)
-    add("dropped", std::to_string(sink_->dropped - droppedTold_));
-  const std::uint64_t before = sink_->dropped;
-  logger_->log(levelOf(level), spdlog::string_view_t(out.data(), out.size()));
-  if (sink_->dropped == before)
-    droppedTold_ = before;
+    appendField(line, key, value);
+  if (suppressed > 0)
+    appendField(line, "left_out", std::to_string(suppressed));
+  const std::uint64_t droppedBefore = sink_->dropped();
+  if (droppedBefore > reportedDropped_)
+    appendField(line, "dropped", std::to_string(droppedBefore - reportedDropped_));
+  logger_->log(spdlogLevel(level), spdlog::string_view_t(line.data(), line.size()));
+  const bool lineWasWritten = sink_->dropped() == droppedBefore;
+  if (lineWasWritten)
+    reportedDropped_ = droppedBefore;
+}
+
+std::string Log::lineHead(std::string_view kind, std::string_view text) const {
+  if (settings_.format == LogFormat::json)
+    return "\"name\":" + jsonText(name_) + ",\"kind\":" + jsonText(kind) + ",\"text\":" + jsonText(text);
+  const std::string head = quotedIfNeeded(name_) + " " + std::string(kind);
+  return text.empty() ? head : head + ": " + withoutControlCharacters(text);
+}
+
+void Log::appendField(std::string& line, std::string_view key, std::string_view value) const {
+  if (settings_.format == LogFormat::json)
+    line.append(",\"").append(key).append("\":").append(jsonText(value));
+  else
+    line.append(" ").append(key).append("=").append(quotedIfNeeded(value));
 }
 
 }  // namespace hollyrun::gateway
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -36,7 +36,7 @@
     Config config = readConfig(environment, &running);
     gateway.reload(config);
     running = std::move(config);
-    log.set(running.log);
+    log.applySettings(running.log);
     warn(running, log);
     log.write(LogLevel::info, "configuration", "configuration reloaded");
   } catch (const std::exception& bad) {  // ConfigError, or what the system refuses
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -43,7 +43,7 @@
 }
 
 TEST_F(LogTest, AJsonLineIsOneObjectWhateverComes) {
-  Log log("n\"3", {.level = LogLevel::debug, .json = true}, ends[1]);
+  Log log("n\"3", {.level = LogLevel::debug, .format = LogFormat::json}, ends[1]);
   log.write(LogLevel::debug, "x", "a \"quote\", a \x01 and \xff", {{"host", "s\n1"}});
   const auto all = lines();
   ASSERT_EQ(all.size(), 1u);
@@ -56,17 +56,17 @@
 TEST_F(LogTest, LevelsAndTheAccessLogAreHeeded) {
   Log log("n", {.level = LogLevel::warning}, ends[1]);
   log.write(LogLevel::info, "a", "no");
-  log.answered("r", "lookup", "success", 1.5);
+  log.writeAccess("r", "lookup", "success", 1.5);
   EXPECT_TRUE(lines().empty());
-  log.set({.level = LogLevel::info, .access = true});
-  log.answered("r", "lookup", "success", 1.5);
+  log.applySettings({.level = LogLevel::info, .accessLog = true});
+  log.writeAccess("r", "lookup", "success", 1.5);
   const auto all = lines();
   ASSERT_EQ(all.size(), 1u);
   EXPECT_NE(all[0].find("n access request=r class=lookup end=success ms=1.500"), std::string::npos) << all[0];
 }
 
 TEST_F(LogTest, OneKindOfMessageIsLimitedAndWhatWasLeftOutIsTold) {
-  Log log("n", {.mostPerSecond = 3}, ends[1]);
+  Log log("n", {.maxLinesPerSecond = 3}, ends[1]);
   for (int i = 0; i < 50; ++i)
     log.write(LogLevel::info, "often", "again");
   log.write(LogLevel::info, "other", "its own limit");
@@ -83,7 +83,7 @@
 }
 
 TEST_F(LogTest, AFullPipeDropsAndCountsAndNeverWaits) {
-  Log log("n", {.mostPerSecond = 0}, ends[1]);
+  Log log("n", {.maxLinesPerSecond = 0}, ends[1]);
   const int flags = ::fcntl(ends[1], F_GETFL);
   ::fcntl(ends[1], F_SETFL, flags & ~O_NONBLOCK);  // a write into the full pipe would never come back
   const std::string text(1000, 'a');
