--- a/src/gateway/ops_client.cpp
+++ b/src/gateway/ops_client.cpp
@@ -1,6 +1,5 @@
 #include "gateway/ops_client.hpp"
 
-#include <algorithm>
 #include <boost/asio/io_context.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/core/tcp_stream.hpp>
@@ -8,11 +7,11 @@
 #include <boost/beast/http/read.hpp>
 #include <boost/beast/http/string_body.hpp>
 #include <boost/beast/http/write.hpp>
+#include <cstdint>
 #include <cstdio>
 #include <map>
 #include <nlohmann/json.hpp>
 #include <set>
-#include <stdexcept>
 
 #include "gateway/endpoint_list.hpp"
 #include "gateway/endpoint_text.hpp"
@@ -25,94 +24,164 @@
 using boost::system::error_code;
 using nlohmann::json;
 
-std::string member(const json& m, const std::string& seenBy) {
-  const auto text = [&](const char* key) { return m.value(key, std::string("-")); };
-  char line[512];
-  std::snprintf(
-      line, sizeof line, "%-16.64s %-16.64s %-8.16s %8.1f %5llu  %-14.64s %-8.64s %-16.16s %-16.16s",
-      seenBy.c_str(), text("name").c_str(), text("state").c_str(), m.value("since_s", 0.0),
-      static_cast<unsigned long long>(m.value("incarnation", std::uint64_t{0})), text("zone").c_str(),
-      text("version").c_str(), text("settings").c_str(), text("view").c_str());
-  std::string all = line;
-  all.erase(all.find_last_not_of(' ') + 1);
-  if (m.contains("by"))
-    all += " by " + text("by");
-  return all + "\n";
+constexpr const char* kTableHeader =
+    "seen by          member           state     since s  inc.  zone           version  settings         "
+    "view\n";
+
+/// One GET, from connecting to the response.
+class Query {
+ public:
+  Query(asio::io_context& io, const std::string& target) : stream_(io) {
+    request_ = {http::verb::get, target, 11};
+    request_.set(http::field::host, "management");
+  }
+
+  void start(const asio::ip::tcp::endpoint& address, std::chrono::milliseconds timeout) {
+    stream_.expires_after(timeout);
+    stream_.async_connect(address, [this](error_code error) {
+      result_ = error;
+      if (!error)
+        sendRequest();
+    });
+  }
+
+  error_code result() const { return result_; }
+  const http::response<http::string_body>& response() const { return response_; }
+
+ private:
+  void sendRequest() {
+    http::async_write(stream_, request_, [this](error_code error, std::size_t) {
+      result_ = error;
+      if (!error)
+        receiveResponse();
+    });
+  }
+
+  void receiveResponse() {
+    http::async_read(stream_, buffer_, response_, [this](error_code error, std::size_t) { result_ = error; });
+  }
+
+  boost::beast::tcp_stream stream_;
+  http::request<http::empty_body> request_;
+  http::response<http::string_body> response_;
+  boost::beast::flat_buffer buffer_;
+  error_code result_ = asio::error::timed_out;
+};
+
+// `key` of an object as a text, "-" where it is absent.
+std::string textField(const json& object, const char* key) {
+  return object.value(key, std::string("-"));
+}
+
+std::string tableRow(const std::string& observer, const json& member) {
+  char columns[512];
+  std::snprintf(columns, sizeof columns,
+                "%-16.64s %-16.64s %-8.16s %8.1f %5llu  %-14.64s %-8.64s %-16.16s %-16.16s", observer.c_str(),
+                textField(member, "name").c_str(), textField(member, "state").c_str(),
+                member.value("since_s", 0.0),
+                static_cast<unsigned long long>(member.value("incarnation", std::uint64_t{0})),
+                textField(member, "zone").c_str(), textField(member, "version").c_str(),
+                textField(member, "settings").c_str(), textField(member, "view").c_str());
+  std::string row = columns;
+  row.erase(row.find_last_not_of(' ') + 1);
+  if (member.contains("by"))
+    row += " by " + textField(member, "by");
+  return row + "\n";
+}
+
+/// Compares the views that gateways have of the fleet.
+class FleetComparison {
+ public:
+  /// `view` is the body of /ops/fleet of one gateway.
+  void add(const json& view);
+
+  FleetReport report() const;
+
+ private:
+  void addMember(const std::string& observer, const json& member);
+  void noteDisagreements(const std::string& observer, const json& view);
+  std::string membershipDifferences() const;
+
+  std::string rows_;
+  std::string differences_;  // that the gateways report themselves
+  std::set<std::string> viewDigests_;
+  std::set<std::string> settingDigests_;                         // of members that are present
+  std::map<std::string, std::set<std::string>> presentMembers_;  // by the gateway that sees them
+};
+
+void FleetComparison::add(const json& view) {
+  const std::string observer = textField(view, "name");
+  viewDigests_.insert(textField(view, "view"));
+  for (const json& member : view.value("members", json::array()))
+    addMember(observer, member);
+  noteDisagreements(observer, view);
+  if (view.value("state", std::string()) != "alive")
+    differences_ += observer + ": is itself " + view.value("state", std::string("unknown")) + "\n";
+}
+
+void FleetComparison::addMember(const std::string& observer, const json& member) {
+  rows_ += tableRow(observer, member);
+  const std::string state = member.value("state", std::string());
+  if (state == "dead" || state == "left")
+    return;
+  settingDigests_.insert(member.value("settings", std::string()));
+  presentMembers_[observer].insert(member.value("name", std::string()));
+}
+
+void FleetComparison::noteDisagreements(const std::string& observer, const json& view) {
+  for (const json& other : view.value("disagree", json::array())) {
+    differences_ += observer + ": " + other.get<std::string>() + " sees another fleet";
+    for (const json& member : view.value("members", json::array()))
+      if (member.value("name", std::string()) == other && member.contains("differs_about"))
+        differences_ += ", it may be about " + member.at("differs_about").dump();
+    differences_ += "\n";
+  }
+}
+
+std::string FleetComparison::membershipDifferences() const {
+  std::string text;
+  for (const auto& [observer, members] : presentMembers_)
+    for (const auto& [otherObserver, otherMembers] : presentMembers_)
+      for (const std::string& member : members)
+        if (!otherMembers.contains(member))
+          text += observer + " sees " + member + ", " + otherObserver + " does not\n";
+  return text;
+}
+
+FleetReport FleetComparison::report() const {
+  std::string differences = differences_ + membershipDifferences();
+  if (viewDigests_.size() > 1)
+    differences += "the views differ\n";
+  if (settingDigests_.size() > 1)
+    differences += "the members serve by different settings\n";
+  const bool consistent = differences.empty();
+  return {kTableHeader + rows_ + (consistent ? "all agree\n" : differences), consistent};
 }
 
 }  // namespace
 
-std::string askOps(const asio::ip::tcp::endpoint& at, const std::string& target,
-                   std::chrono::milliseconds wait) {
+std::string queryOps(const asio::ip::tcp::endpoint& address, const std::string& target,
+                     std::chrono::milliseconds timeout) {
   asio::io_context io;
-  boost::beast::tcp_stream stream(io);
-  http::request<http::empty_body> request{http::verb::get, target, 11};
-  request.set(http::field::host, "management");
-  http::response<http::string_body> response;
-  boost::beast::flat_buffer buffer;
-  error_code failed = asio::error::timed_out;
-  stream.expires_after(wait);
-  stream.async_connect(at, [&](error_code ec) {
-    if ((failed = ec))
-      return;
-    http::async_write(stream, request, [&](error_code writeError, std::size_t) {
-      if ((failed = writeError))
-        return;
-      http::async_read(stream, buffer, response,
-                       [&](error_code readError, std::size_t) { failed = readError; });
-    });
-  });
+  Query query(io, target);
+  query.start(address, timeout);
   io.run();
-  const std::string whom = textOf(at);
-  if (failed)
-    throw std::runtime_error(whom + ": " + failed.message());
-  if (response.result() != http::status::ok)
-    throw std::runtime_error(
-        whom + ": " + target + " answered " + std::to_string(response.result_int()) +
-        (response.result() == http::status::not_found ? ", membership is off there" : ""));
-  return response.body();
+  const std::string addressText = textOf(address);
+  if (query.result())
+    throw OpsError(OpsErrorCode::noResponse, addressText + ": " + query.result().message());
+  const auto& response = query.response();
+  if (response.result() == http::status::ok)
+    return response.body();
+  const char* explanation = response.result() == http::status::not_found ? ", membership is off there" : "";
+  throw OpsError(OpsErrorCode::unexpectedStatus, addressText + ": " + target + " answered " +
+                                                     std::to_string(response.result_int()) + explanation);
 }
 
-std::string fleetTable(const std::vector<std::string>& addresses, bool& agree) {
-  std::string out =
-      "seen by          member           state     since s  inc.  zone           version  settings         "
-      "view\n";
-  std::string remarks;
-  std::set<std::string> views, settings;
-  std::map<std::string, std::set<std::string>> present;  // whom each gateway sees
-  for (const std::string& address : addresses) {
-    const json all = json::parse(askOps(parseEndpoint(address), "/ops/fleet"));
-    const std::string name = all.value("name", std::string("-"));
-    views.insert(all.value("view", std::string("-")));
-    for (const json& m : all.value("members", json::array())) {
-      out += member(m, name);
-      const std::string state = m.value("state", std::string());
-      if (state == "dead" || state == "left")
-        continue;
-      settings.insert(m.value("settings", std::string()));
-      present[name].insert(m.value("name", std::string()));
-    }
-    for (const json& other : all.value("disagree", json::array())) {
-      remarks += name + ": " + other.get<std::string>() + " sees another fleet";
-      for (const json& m : all.value("members", json::array()))
-        if (m.value("name", std::string()) == other && m.contains("differs_about"))
-          remarks += ", it may be about " + m.at("differs_about").dump();
-      remarks += "\n";
-    }
-    if (all.value("state", std::string()) != "alive")
-      remarks += name + ": is itself " + all.value("state", std::string("unknown")) + "\n";
-  }
-  for (const auto& [one, sees] : present)
-    for (const auto& [other, seen] : present)
-      for (const std::string& who : sees)
-        if (!seen.count(who))
-          remarks += one + " sees " + who + ", " + other + " does not\n";
-  if (views.size() > 1)
-    remarks += "the views differ\n";
-  if (settings.size() > 1)
-    remarks += "the members serve by different settings\n";
-  agree = remarks.empty();
-  return out + (agree ? "all agree\n" : remarks);
+FleetReport queryFleet(const std::vector<std::string>& addresses) {
+  FleetComparison comparison;
+  for (const std::string& address : addresses)
+    comparison.add(json::parse(queryOps(parseEndpoint(address), "/ops/fleet")));
+  return comparison.report();
 }
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/ops_client.hpp
+++ b/src/gateway/ops_client.hpp
@@ -1,20 +1,42 @@
-// Asks running gateways at their management addresses, for the commands of the program.
+/// Client of the management endpoints of running gateways, for the program's commands.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
 #include <chrono>
+#include <stdexcept>
 #include <string>
 #include <vector>
 
 namespace hollyrun::gateway {
 
-/// The body of a 200 answer to GET `target`. Throws std::runtime_error that names the address and what was
-/// wrong.
-std::string askOps(const boost::asio::ip::tcp::endpoint& at, const std::string& target,
-                   std::chrono::milliseconds wait = std::chrono::seconds(3));
+enum class OpsErrorCode {
+  noResponse,        ///< no connection, no whole response, or none in time
+  unexpectedStatus,  ///< a response, of another status than 200
+};
 
-/// The members as each of these gateways sees them, as text; `agree` turns false where a view differs from
-/// another's or members serve by other settings. Throws as askOps, and std::invalid_argument on an address.
-std::string fleetTable(const std::vector<std::string>& addresses, bool& agree);
+/// A query that failed. what() names the address and the reason in one line.
+class OpsError : public std::runtime_error {
+ public:
+  OpsError(OpsErrorCode code, const std::string& message) : std::runtime_error(message), code_(code) {}
+
+  OpsErrorCode code() const { return code_; }
+
+ private:
+  OpsErrorCode code_;
+};
+
+/// The body of the 200 response to GET `target`. Blocks up to `timeout`. Throws OpsError.
+std::string queryOps(const boost::asio::ip::tcp::endpoint& address, const std::string& target,
+                     std::chrono::milliseconds timeout = std::chrono::seconds(3));
+
+/// The members as each of several gateways sees them.
+struct FleetReport {
+  std::string text;         ///< a table with a row for each member at each gateway, then the differences
+  bool consistent = false;  ///< no view differs from another's, and all members serve by the same settings
+};
+
+/// Queries the gateways one after another at their management addresses, "127.0.0.1:8081". Throws as
+/// queryOps, and std::invalid_argument on an address that does not parse.
+FleetReport queryFleet(const std::vector<std::string>& addresses);
 
 }  // namespace hollyrun::gateway
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -119,9 +119,9 @@
 std::vector<std::string> addresses;
 
 int fleet(const Environment&) {
-  bool agree = true;
-  std::cout << fleetTable(addresses, agree);
-  return agree ? 0 : kFailed;
+  const FleetReport report = queryFleet(addresses);
+  std::cout << report.text;
+  return report.consistent ? 0 : kFailed;
 }
 
 int version(const Environment&) {
--- a/tests/membership_transport_test.cpp
+++ b/tests/membership_transport_test.cpp
@@ -132,27 +132,27 @@
   const auto b = member(second);
   ASSERT_TRUE(until([&] { return seen(*a, "alive") == 2 && seen(*b, "alive") == 2; }));
   const std::vector<std::string> addresses{textOf(*a->management()), textOf(*b->management())};
-  const auto table = [&](bool& agree) {
-    std::string text;
+  const auto fleetReport = [&] {
+    FleetReport report;
     std::atomic<bool> done = false;
     // The command is a program of its own, which waits for the answers.
-    std::thread command([&] { text = fleetTable(addresses, agree), done = true; });
+    std::thread command([&] { report = queryFleet(addresses), done = true; });
     EXPECT_TRUE(until([&] { return done.load(); }));
     command.join();
-    return text;
+    return report;
   };
-  bool agree = false;
-  const std::string text = table(agree);
-  EXPECT_TRUE(agree) << text;
-  EXPECT_NE(text.find("all agree"), std::string::npos);
+  const FleetReport before = fleetReport();
+  EXPECT_TRUE(before.consistent) << before.text;
+  EXPECT_NE(before.text.find("all agree"), std::string::npos);
   second["settings"]["ceilings"]["maxAttempts"] = 2;
   b->reload(parsed(second));
   ASSERT_TRUE(until([&] { return json::parse(a->fleet()->text()).at("other_settings") == 1; }));
-  EXPECT_NE(table(agree).find("different settings"), std::string::npos);
-  EXPECT_FALSE(agree);
+  const FleetReport after = fleetReport();
+  EXPECT_NE(after.text.find("different settings"), std::string::npos);
+  EXPECT_FALSE(after.consistent);
   std::string metrics;
   std::atomic<bool> done = false;
-  std::thread command([&] { metrics = askOps(*a->management(), "/metrics"), done = true; });
+  std::thread command([&] { metrics = queryOps(*a->management(), "/metrics"), done = true; });
   ASSERT_TRUE(until([&] { return done.load(); }));
   command.join();
   EXPECT_NE(metrics.find("hollyrun_fleet_members{state=\"alive\"} 2"), std::string::npos) << metrics;
