--- a/src/gateway/json_number.hpp
+++ b/src/gateway/json_number.hpp
@@ -1,4 +1,5 @@
-// Numbers out of JSON. Danger: the library turns true into 1, 1.5 into 1 and -1 into a huge unsigned number.
+/// Numbers out of JSON with a check of type and range. The library's own conversion turns true into 1, 1.5
+/// into 1 and -1 into a huge unsigned number.
 #pragma once
 
 #include <cmath>
@@ -9,23 +10,28 @@
 
 namespace hollyrun::gateway {
 
-// Both throw std::invalid_argument with a plain reason.
-inline std::int64_t wholeNumber(const nlohmann::json& value, std::int64_t most) {
-  const bool negative = value.is_number_integer() && !value.is_number_unsigned() && value < 0;
-  if (value.is_number_integer() && !negative &&
-      value.get<std::uint64_t>() <= static_cast<std::uint64_t>(most))
+/// A whole number from 0 to `maximum`, also if it is written as 4e8. Throws std::invalid_argument that says
+/// so.
+inline std::int64_t wholeNumber(const nlohmann::json& value, std::int64_t maximum) {
+  constexpr double kExactDoubles = 0x1p53;  // above it doubles skip whole numbers
+  const bool isNegative = value.is_number_integer() && !value.is_number_unsigned() && value < 0;
+  if (value.is_number_integer() && !isNegative &&
+      value.get<std::uint64_t>() <= static_cast<std::uint64_t>(maximum))
     return value.get<std::int64_t>();
-  const double real = value.is_number_float() ? value.get<double>() : -1;  // 4e8 is a whole number, too
-  if (real >= 0 && real <= static_cast<double>(most) && real == std::floor(real) && real < 0x1p53)
+  const double real = value.is_number_float() ? value.get<double>() : -1;
+  const bool isInRange = real >= 0 && real <= static_cast<double>(maximum) && real < kExactDoubles;
+  if (isInRange && real == std::floor(real))
     return static_cast<std::int64_t>(real);
-  throw std::invalid_argument("must be a whole number from 0 to " + std::to_string(most));
+  throw std::invalid_argument("must be a whole number from 0 to " + std::to_string(maximum));
 }
 
-inline double realNumber(const nlohmann::json& value, double most) {
-  if (value.is_number() && value.get<double>() >= 0 && value.get<double>() <= most)
-    return value.get<double>();
+/// A number from 0 to `maximum`. Throws std::invalid_argument that says so.
+inline double realNumber(const nlohmann::json& value, double maximum) {
+  const double real = value.is_number() ? value.get<double>() : -1;
+  if (real >= 0 && real <= maximum)
+    return real;
   throw std::invalid_argument("must be a number from 0 to " +
-                              std::to_string(static_cast<std::int64_t>(most)));
+                              std::to_string(static_cast<std::int64_t>(maximum)));
 }
 
 }  // namespace hollyrun::gateway
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,4 +1,4 @@
-// What the gateway makes of its variables and its JSON file.
+// The configuration from variables and from a file in JSON or TOML: values, errors and the printed settings.
 #include "gateway/config.hpp"
 
 #include <cstdio>
@@ -13,14 +13,14 @@
 namespace hollyrun::gateway::testing {
 namespace {
 
-Config parse(const json& j) {
-  return parseConfig(j, [](const char*) { return nullptr; });
+Config parse(const json& root) {
+  return parseConfig(root, [](const char*) { return nullptr; });
 }
 
-void expectBad(const json& j, const std::string& word) {
+void expectBad(const json& root, const std::string& word) {
   try {
-    parse(j);
-    FAIL() << "taken: " << word;
+    parse(root);
+    FAIL() << "accepted: " << word;
   } catch (const ConfigError& bad) {
     const std::string what = bad.what();
     EXPECT_NE(what.find(word), std::string::npos) << what;
@@ -28,37 +28,38 @@
   }
 }
 
-TEST(Config, ReadsSettingsAndKnownHosts) {
-  json j = configJson();
-  j["known"] = {{"rev", 41}, {"all", true}, {"targets", {target("s-1", loopback(81), "b", "DRAINING")}}};
-  j["settings"]["ceilings"]["streamsPerConn"] = 100;
-  const Config c = parse(j);
-  EXPECT_EQ(c.module.classes.size(), 3u);
-  EXPECT_EQ(c.module.classes[2].idempotency, balancer::Idempotency::keyed);
-  EXPECT_EQ(c.module.classes[2].deduplicationScope, balancer::DeduplicationScope::zone);
-  EXPECT_EQ(c.module.classes[0].latencyObjective, std::chrono::seconds(20));
-  EXPECT_EQ(c.module.seed, 0x8c1f30d27a5be964u);
-  EXPECT_TRUE(c.module.pollDiscovery && c.module.cancel && !c.module.allowHedging);
-  EXPECT_EQ(c.module.streamsPerConnection, 1u) << "on sockets a connection carries one request at a time";
-  ASSERT_TRUE(c.cachedEndpoints);
-  EXPECT_EQ(c.cachedEndpoints->version, 41);
-  EXPECT_EQ(c.cachedEndpoints->hosts.at(0).state, HostState::draining);
+TEST(Config, ReadsSettingsAndCachedEndpoints) {
+  json root = configJson();
+  root["known"] = {{"rev", 41}, {"all", true}, {"targets", {target("s-1", loopback(81), "b", "DRAINING")}}};
+  root["settings"]["ceilings"]["streamsPerConn"] = 100;
+  const Config config = parse(root);
+  EXPECT_EQ(config.module.classes.size(), 3u);
+  EXPECT_EQ(config.module.classes[2].idempotency, balancer::Idempotency::keyed);
+  EXPECT_EQ(config.module.classes[2].deduplicationScope, balancer::DeduplicationScope::zone);
+  EXPECT_EQ(config.module.classes[0].latencyObjective, std::chrono::seconds(20));
+  EXPECT_EQ(config.module.seed, 0x8c1f30d27a5be964u);
+  EXPECT_TRUE(config.module.pollDiscovery && config.module.cancel && !config.module.allowHedging);
+  EXPECT_EQ(config.module.streamsPerConnection, 1u)
+      << "on sockets a connection carries one request at a time";
+  ASSERT_TRUE(config.cachedEndpoints);
+  EXPECT_EQ(config.cachedEndpoints->version, 41);
+  EXPECT_EQ(config.cachedEndpoints->hosts.at(0).state, HostState::draining);
 }
 
-TEST(Config, AVariableGoesBeforeTheFile) {
-  const Config c = parseConfig(configJson(), [](const char* name) -> const char* {
+TEST(Config, VariableOverridesTheFile) {
+  const Config config = parseConfig(configJson(), [](const char* name) -> const char* {
     return std::string_view(name) == "GW_LISTEN" ? "127.0.0.2:99" : nullptr;
   });
-  EXPECT_EQ(textOf(c.listen), "127.0.0.2:99");
+  EXPECT_EQ(textOf(config.listen), "127.0.0.2:99");
 }
 
 // The library takes true for 1, cuts 1.5 to 1 and makes -1 a huge unsigned number: -1 descriptors were
 // plenty.
-TEST(Config, ANumberThatCannotBeIsNotTaken) {
+TEST(Config, NumberOfWrongTypeOrRangeIsRejected) {
   const auto with = [](const char* where, const json& value) {
-    json j = configJson();
-    j[json::json_pointer(where)] = value;
-    return j;
+    json root = configJson();
+    root[json::json_pointer(where)] = value;
+    return root;
   };
   const json wrong[] = {-1, 1.5, true, "7", json::array(), json::object(), 1e300, UINT64_MAX};
   for (const char* where :
@@ -81,88 +82,61 @@
   expectBad(with("/limits", 3), "limits");
   expectBad(with("/settings/tenants", "none"), "tenants");
   expectBad(with("/settings/tenants", {3}), "tenants");
-  json j = with("/settings/groupSize", 100);
-  j["settings"]["myNumber"] = 100;
-  expectBad(j, "groupSize");
-  j["settings"]["myNumber"] = 99;
-  EXPECT_EQ(parse(j).module.replicaIndex, 99u);
+  json root = with("/settings/groupSize", 100);
+  root["settings"]["myNumber"] = 100;
+  expectBad(root, "groupSize");
+  root["settings"]["myNumber"] = 99;
+  EXPECT_EQ(parse(root).module.replicaIndex, 99u);
 }
 
-TEST(Config, AbsentAndEmptyKeepTheDefaultAndUnknownKeysArePassedOver) {
-  json j = configJson();
-  j["limits"] = nullptr;
-  j["known"] = nullptr;
-  j["future"] = {1, 2};
-  j["settings"]["tenants"] = json::array();
-  j["settings"]["ceilings"]["idleCloseNs"] = 4e9;
-  const Config c = parse(j);
-  EXPECT_EQ(c.sockets, 1024u);
-  EXPECT_FALSE(c.cachedEndpoints);
-  EXPECT_EQ(c.module.idleTimeout, std::chrono::seconds(4)) << "a whole number, however it is written";
+TEST(Config, AbsentAndNullKeepTheDefaultAndUnknownKeysAreIgnored) {
+  json root = configJson();
+  root["limits"] = nullptr;
+  root["known"] = nullptr;
+  root["future"] = {1, 2};
+  root["settings"]["tenants"] = json::array();
+  root["settings"]["ceilings"]["idleCloseNs"] = 4e9;
+  const Config config = parse(root);
+  EXPECT_EQ(config.sockets, 1024u);
+  EXPECT_FALSE(config.cachedEndpoints);
+  EXPECT_EQ(config.module.idleTimeout, std::chrono::seconds(4)) << "a whole number, however it is written";
 }
 
-TEST(EndpointList, WhatContradictsItselfIsNoList) {
-  const json good = {{"rev", 3}, {"all", true}, {"targets", {target("s-1", loopback(81))}}};
-  EXPECT_EQ(parseHostList(good).hosts.size(), 1u);
-  EXPECT_TRUE(parseHostList({{"rev", 3}, {"all", true}, {"targets", json::array()}}).hosts.empty());
-  const auto bad = [&](const char* where, const json& value) {
-    json j = good;
-    j[json::json_pointer(where)] = value;
-    EXPECT_THROW(parseHostList(j), std::invalid_argument) << where << " " << value;
-  };
-  for (const json& value : {json(nullptr), json::object(), json("x"), json(0)})
-    bad("/targets", value);
-  bad("/targets/1", target("s-1", loopback(82)));
-  json changes = good;
-  changes["all"] = false;
-  changes["targets"].push_back(target("s-1", loopback(81), "a", "DRAINING"));
-  EXPECT_EQ(parseHostList(changes).hosts.size(), 2u) << "one host may change twice";
-  for (const json& value : {json(-1), json(1.5), json("3"), json(true), json(1e300)}) {
-    bad("/rev", value);
-    bad("/targets/0/boot_ms", value);
-  }
-  bad("/all", 1);
-  bad("/targets/0/capacity_hint", -1);
-  bad("/targets/0/endpoint", "127.0.0.1:0");
-  bad("/targets/0/endpoint", "127.0.0.1:70000");
-  bad("/targets/0/state", "GONE");
-}
-
-TEST(Config, SaysInOneLineWhatIsWrong) {
+TEST(Config, ErrorIsOneLineThatNamesTheKey) {
   expectBad(json::array(), "configuration");
-  json j = configJson();
-  j.erase("listen");
-  expectBad(j, "GW_LISTEN");
-  j = configJson();
-  j["discovery"] = "nowhere";
-  expectBad(j, "GW_DISCOVERY");
-  j = configJson();
-  j["settings"].erase("grades");
-  expectBad(j, "grades");
-  j = configJson();
-  j["settings"]["grades"][0]["aimNs"] = "soon";
-  expectBad(j, "aimNs");
-  j = configJson();
-  j["settings"]["grades"][0]["effect"] = "odd";
-  expectBad(j, "effect");
-  j = configJson();
-  j["settings"]["ceilings"]["maxAttempts"] = -1;
-  expectBad(j, "maxAttempts");
-  j = configJson();
-  j["settings"]["rules"]["coldShare"] = 0;
-  expectBad(j, "coldShare");
-  j = configJson();
-  j["seed"] = "xyz";
-  expectBad(j, "seed");
-  j = configJson();
-  j["limits"]["sockets"] = 3;
-  expectBad(j, "sockets");
-  j = configJson();
-  j["known"] = {{"rev", 1}, {"targets", {{{"uid", "s-1"}, {"state", "ODD"}}}}};
-  expectBad(j, "known");
+  json root = configJson();
+  root.erase("listen");
+  expectBad(root, "GW_LISTEN");
+  root = configJson();
+  root["discovery"] = "nowhere";
+  expectBad(root, "GW_DISCOVERY");
+  root = configJson();
+  root["settings"].erase("grades");
+  expectBad(root, "grades");
+  root = configJson();
+  root["settings"]["grades"][0]["aimNs"] = "soon";
+  expectBad(root, "aimNs");
+  root = configJson();
+  root["settings"]["grades"][0]["effect"] = "odd";
+  expectBad(root, "effect");
+  root = configJson();
+  root["settings"]["ceilings"]["maxAttempts"] = -1;
+  expectBad(root, "maxAttempts");
+  root = configJson();
+  root["settings"]["rules"]["coldShare"] = 0;
+  expectBad(root, "coldShare");
+  root = configJson();
+  root["seed"] = "xyz";
+  expectBad(root, "seed");
+  root = configJson();
+  root["limits"]["sockets"] = 3;
+  expectBad(root, "sockets");
+  root = configJson();
+  root["known"] = {{"rev", 1}, {"targets", {{{"uid", "s-1"}, {"state", "ODD"}}}}};
+  expectBad(root, "known");
 }
 
-TEST(Config, AMissingOrBrokenFileIsToldToo) {
+TEST(Config, MissingOrBrokenFileIsAnError) {
   EXPECT_THROW(readConfig([](const char*) { return nullptr; }), ConfigError);
   EXPECT_THROW(readConfig([](const char*) { return "/nonexistent/config.json"; }), ConfigError);
   const std::string path = ::testing::TempDir() + "broken_config.json";
@@ -171,17 +145,7 @@
   std::remove(path.c_str());
 }
 
-TEST(EndpointList, RefusesNonsense) {
-  EXPECT_THROW(parseHostList(json::array()), std::invalid_argument);
-  EXPECT_THROW(parseHostList({{"rev", 1}}), std::invalid_argument);
-  EXPECT_THROW(parseHostList({{"rev", 1}, {"targets", {{{"uid", ""}, {"state", "SERVING"}}}}}),
-               std::invalid_argument);
-  EXPECT_THROW(parseEndpoint("1.2.3.4"), std::invalid_argument);
-  EXPECT_THROW(parseEndpoint("1.2.3.4:99999"), std::invalid_argument);
-  EXPECT_THROW(parseEndpoint("host:80"), std::invalid_argument);
-}
-
-// --- A person's file ---
+// --- TOML ---
 
 class TomlFile {
  public:
@@ -204,18 +168,18 @@
 
 std::vector<std::string> valuesOf(const Config& config, const ParsedConfigFile& file) {
   std::vector<std::string> values;
-  for (const EffectiveSetting& s :
+  for (const EffectiveSetting& setting :
        effectiveSettings(config, file, [](const char*) -> const char* { return nullptr; }))
-    values.push_back(s.key + " = " + s.value);
+    values.push_back(setting.key + " = " + setting.value);
   return values;
 }
 
-TEST(Toml, TheExampleIsGoodAndNamesEveryKey) {
+TEST(Toml, ExampleIsValidAndNamesEveryKey) {
   const ParsedConfigFile file = readConfigFile(HOLLYRUN_EXAMPLE);
-  for (const Diagnostic& r : file.errors)
-    ADD_FAILURE() << r.text();
-  for (const Diagnostic& r : file.warnings)
-    ADD_FAILURE() << r.text();
+  for (const Diagnostic& diagnostic : file.errors)
+    ADD_FAILURE() << diagnostic.text();
+  for (const Diagnostic& diagnostic : file.warnings)
+    ADD_FAILURE() << diagnostic.text();
   std::ifstream stream(HOLLYRUN_EXAMPLE);
   const std::string text{std::istreambuf_iterator<char>(stream), {}};
   const auto mentioned = [&](std::string_view key) {  // set, or commented out with its default
@@ -226,21 +190,21 @@
   for (const auto keys : {globalKeys(), classKeys(), tenantKeys()})
     for (const SettingKey& key : keys)
       EXPECT_TRUE(mentioned(key.toml)) << key.toml;
-  const Config c = parseConfig(file.json, [](const char*) { return nullptr; });
-  EXPECT_EQ(c.module.classes[0].latencyObjective, std::chrono::milliseconds(400));
-  EXPECT_EQ(c.module.classes[2].idempotency, balancer::Idempotency::keyed);
-  EXPECT_EQ(c.memoryBytes, 64u << 20);
+  const Config config = parseConfig(file.json, [](const char*) { return nullptr; });
+  EXPECT_EQ(config.module.classes[0].latencyObjective, std::chrono::milliseconds(400));
+  EXPECT_EQ(config.module.classes[2].idempotency, balancer::Idempotency::keyed);
+  EXPECT_EQ(config.memoryBytes, 64u << 20);
 }
 
-TEST(Toml, EveryFaultIsNamedWithItsLineAndUnknownKeysAreWarnedOf) {
+TEST(Toml, EveryErrorHasItsLineAndUnknownKeysAreWarnings) {
   TomlFile toml(
       "listen = \"nowhere\"\n[limits]\nsockets = 3\nmemroy = 5\n[fleet]\ngateways = 2\nnumber = 2\n"
       "[[class]]\nname = \"a\"\neffect = \"maybe\"\naim_ms = true\ngive_up_ms = 1\n[[class]]\nname = \"a\"\n"
       "aim_ms = 9\ngive_up_ms = 8\n");
   const ParsedConfigFile file = readConfigFile(toml.path);
   std::set<std::string> faults;
-  for (const Diagnostic& r : file.errors)
-    faults.insert(r.location.substr(toml.path.size()) + " " + r.key);
+  for (const Diagnostic& diagnostic : file.errors)
+    faults.insert(diagnostic.location.substr(toml.path.size()) + " " + diagnostic.key);
   const std::set<std::string> expected{
       ":1 listen",           ":3 limits.sockets", ":7 fleet.number",        ":10 class[0].effect",
       ":11 class[0].aim_ms", ":13 class[1].name", ":16 class[1].give_up_ms"};
@@ -249,44 +213,45 @@
   EXPECT_EQ(file.warnings[0].text(), toml.path + ":4: limits.memroy: unknown key, passed over");
   try {
     readConfig(toml.environment());
-    FAIL() << "taken";
+    FAIL() << "accepted";
   } catch (const ConfigError& bad) {
     EXPECT_EQ(std::string(bad.what()).find('\n'), std::string::npos) << "one line";
   }
 }
 
-TEST(Toml, BrokenSyntaxIsNamedWithItsLine) {
+TEST(Toml, SyntaxErrorHasItsLine) {
   TomlFile toml("listen = \"127.0.0.1:1\"\n[limits\n");
   const ParsedConfigFile file = readConfigFile(toml.path);
   ASSERT_EQ(file.errors.size(), 1u);
   EXPECT_EQ(file.errors[0].location, toml.path + ":2");
 }
 
-TEST(Toml, TheSameSettingsStandBehindBothForms) {
-  json j = configJson();
-  j["settings"]["tenants"] = {{{"name", "t"}, {"quotaRps", 7.5}}};
+TEST(Toml, PrintedJsonSettingsAreReadBackTheSame) {
+  json root = configJson();
+  root["settings"]["tenants"] = {{{"name", "t"}, {"quotaRps", 7.5}}};
   ParsedConfigFile platform;
-  platform.json = j;
-  const Config before = parse(j);
+  platform.json = root;
+  const Config before = parse(root);
   const std::vector<EffectiveSetting> shown =
       effectiveSettings(before, platform, [](const char*) -> const char* { return nullptr; });
   TomlFile toml(tomlText(shown));
   const ParsedConfigFile file = readConfigFile(toml.path);
-  for (const Diagnostic& r : file.errors)
-    ADD_FAILURE() << r.text();
+  for (const Diagnostic& diagnostic : file.errors)
+    ADD_FAILURE() << diagnostic.text();
   const Config after = readConfig(toml.environment());
   EXPECT_EQ(valuesOf(before, platform), valuesOf(after, file));
 }
 
-TEST(Toml, ShownSettingsTellWhereTheyComeFrom) {
+TEST(Toml, EffectiveSettingsHaveTheirOrigin) {
   TomlFile toml(kToml);
   const ParsedConfigFile file = readConfigFile(toml.path);
   const Environment environment = [](const char* name) {
     return std::string_view(name) == "GW_LISTEN" ? "127.0.0.1:9" : nullptr;
   };
   std::map<std::string, EffectiveSetting> shown;
-  for (const EffectiveSetting& s : effectiveSettings(parseConfig(file.json, environment), file, environment))
-    shown[s.key] = s;
+  for (const EffectiveSetting& setting :
+       effectiveSettings(parseConfig(file.json, environment), file, environment))
+    shown[setting.key] = setting;
   EXPECT_EQ(shown["listen"].origin, "variable GW_LISTEN");
   EXPECT_EQ(shown["listen"].value, "\"127.0.0.1:9\"");
   EXPECT_EQ(shown["discovery"].origin, toml.path + ":2");
@@ -320,7 +285,7 @@
   }
 }
 
-TEST(Toml, ANewFileIsTakenWholeOrNotAtAll) {
+TEST(Toml, InvalidReplacementIsRejectedAsAWhole) {
   TomlFile toml(kToml);
   const Config running = readConfig(toml.environment());
   const std::string whole = kToml;
@@ -334,8 +299,8 @@
   EXPECT_EQ(readConfig(toml.environment(), &running).module.classes[0].priorityWeight, 2);
 }
 
-// At the start the variable goes before the file; once running, the file tells where discovery has moved.
-TEST(Toml, TheFileMovesDiscoveryOnceRunning) {
+// At the start the variable overrides the file; at a reload the file names where discovery has moved.
+TEST(Toml, FileOverridesDiscoveryOfTheVariableAtAReload) {
   TomlFile toml(kToml);
   const Environment inner = toml.environment();
   const Environment environment = [&](const char* name) {
--- a/tests/sites_test.cpp
+++ b/tests/sites_test.cpp
@@ -8,31 +8,33 @@
 
 class Sites : public GatewayTest {
  protected:
-  json& grade(std::size_t i) { return config["settings"]["grades"][i]; }
+  json& classEntry(std::size_t i) { return config["settings"]["grades"][i]; }
 };
 
 class SiteFiles : public Sites, public ::testing::WithParamInterface<const char*> {
  protected:
-  // What the platform would tell a gateway of this site.
-  void take(const toml::table& site) {
+  // The settings that the platform would send a gateway of this site.
+  void applySite(const toml::table& site) {
     json& settings = config["settings"];
     settings["grades"] = json::array();
-    const auto ms = [](const toml::table& t, const char* key) {
-      return t[key].value_or(std::int64_t{0}) * 1'000'000;
+    const auto nanoseconds = [](const toml::table& table, const char* key) {
+      return table[key].value_or(std::int64_t{0}) * 1'000'000;
     };
     for (const auto& node : *site["class"].as_array()) {
-      const toml::table& c = *node.as_table();
-      const std::string idempotency = c["effect"].value_or(std::string());
-      json entry = {{"name", c["name"].value_or(std::string())},
+      const toml::table& siteClass = *node.as_table();
+      const std::string idempotency = siteClass["effect"].value_or(std::string());
+      json entry = {{"name", siteClass["name"].value_or(std::string())},
                     {"effect", idempotency == "safe"    ? "retryable"
                                : idempotency == "keyed" ? "dedup"
                                                         : "fragile"},
-                    {"aimNs", ms(c, "aim_ms")},
-                    {"giveUpNs", ms(c, "deadline_ms")},
-                    {"points", c["worth"].value_or(1.0)},
-                    {"lateShare", c["late_worth"].value_or(0.0)}};
-      if (idempotency == "keyed")
-        entry["group"] = c["group"].value_or(std::string()), entry["windowNs"] = ms(c, "window_ms");
+                    {"aimNs", nanoseconds(siteClass, "aim_ms")},
+                    {"giveUpNs", nanoseconds(siteClass, "deadline_ms")},
+                    {"points", siteClass["worth"].value_or(1.0)},
+                    {"lateShare", siteClass["late_worth"].value_or(0.0)}};
+      if (idempotency == "keyed") {
+        entry["group"] = siteClass["group"].value_or(std::string());
+        entry["windowNs"] = nanoseconds(siteClass, "window_ms");
+      }
       settings["grades"].push_back(entry);
     }
     settings["ceilings"]["cancel"] = site["allow"]["cancel"].value_or(true);
@@ -41,8 +43,10 @@
     settings["ceilings"]["retryAfter"] = site["allow"]["retry_after"].value_or(false);
     settings["zone"] = site["net"]["zones"][0].value_or(std::string());
   }
-  std::string requestOf(const json& g) {
-    const std::string name = g["name"], id = std::to_string(++serial), idempotency = g["effect"];
+  std::string requestOf(const json& entry) {
+    const std::string name = entry["name"];
+    const std::string id = std::to_string(++serial);
+    const std::string idempotency = entry["effect"];
     const std::string head =
         " /" + name + " HTTP/1.1\r\nHost: x\r\nX-Class: " + name + "\r\nX-Request-Id: r" + id + "\r\n";
     if (idempotency == "retryable")
@@ -54,29 +58,29 @@
 
 TEST_P(SiteFiles, AGatewayServesEveryClassOfIt) {
   const toml::table site = toml::parse_file(std::string(HOLLYRUN_SITES) + "/" + GetParam());
-  take(site);
+  applySite(site);
   ASSERT_GE(config["settings"]["grades"].size(), 2u);
-  for (auto& g : config["settings"]["grades"])
-    g["aimNs"] = g["giveUpNs"] = 20'000'000'000;  // slow machines
+  for (auto& entry : config["settings"]["grades"])
+    entry["aimNs"] = entry["giveUpNs"] = 20'000'000'000;  // slow machines
   twoHosts(always(answerText(200, "", "ok")));
-  for (const auto& g : config["settings"]["grades"])
-    EXPECT_EQ(ask(requestOf(g)).result_int(), 200u) << g;
+  for (const auto& entry : config["settings"]["grades"])
+    EXPECT_EQ(ask(requestOf(entry)).result_int(), 200u) << entry;
   EXPECT_EQ(ask("GET /lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: r\r\n\r\n").result_int(), 404u)
       << "no class of another deployment is known";
 }
 
 TEST_P(SiteFiles, AHostThatResetsIsTriedAgainAsTheEffectPermits) {
   const toml::table site = toml::parse_file(std::string(HOLLYRUN_SITES) + "/" + GetParam());
-  take(site);
-  for (auto& g : config["settings"]["grades"])
-    g["aimNs"] = g["giveUpNs"] = 20'000'000'000;
+  applySite(site);
+  for (auto& entry : config["settings"]["grades"])
+    entry["aimNs"] = entry["giveUpNs"] = 20'000'000'000;
   twoHosts([](PeerConnection& c, std::size_t) { c.reset(); });
-  for (const auto& g : config["settings"]["grades"]) {
+  for (const auto& entry : config["settings"]["grades"]) {
     reached.clear();
-    EXPECT_GE(ask(requestOf(g)).result_int(), 500u);
+    EXPECT_GE(ask(requestOf(entry)).result_int(), 500u);
     EXPECT_LE(reached.size(), config["settings"]["ceilings"]["maxAttempts"].get<std::size_t>());
-    if (g["effect"] == "fragile")
-      EXPECT_EQ(reached.size(), 1u) << g;
+    if (entry["effect"] == "fragile")
+      EXPECT_EQ(reached.size(), 1u) << entry;
   }
 }
 
@@ -113,8 +117,8 @@
 }
 
 TEST_F(Sites, WhatIsOddButAllowedIsServed) {
-  grade(0)["aimNs"] = grade(0)["giveUpNs"] = 5'000'000;  // shorter than the margin of an answer
-  grade(2)["windowNs"] = 1;
+  classEntry(0)["aimNs"] = classEntry(0)["giveUpNs"] = 5'000'000;  // shorter than the margin of an answer
+  classEntry(2)["windowNs"] = 1;
   twoHosts(always(answerText(200, "", "ok")));
   EXPECT_EQ(ask(text("read")).result_int(), 503u) << "an answer in time, though none can be served";
   EXPECT_EQ(ask(text("put")).result_int(), 200u);
