--- a/src/main.cpp
+++ b/src/main.cpp
@@ -36,7 +36,7 @@
     Config config = readConfig(environment, &running);
     gateway.reload(config);
     running = std::move(config);
-    log.set(running.log);
+    log.applySettings(running.log);
     warn(running, log);
     log.write(LogLevel::info, "configuration", "configuration reloaded");
   } catch (const std::exception& bad) {  // ConfigError, or what the system refuses
@@ -119,9 +119,9 @@
 std::vector<std::string> addresses;
 
 int fleet(const Environment&) {
-  bool agree = true;
-  std::cout << fleetTable(addresses, agree);
-  return agree ? 0 : kFailed;
+  const FleetReport report = queryFleet(addresses);
+  std::cout << report.text;
+  return report.consistent ? 0 : kFailed;
 }
 
 int version(const Environment&) {
