--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -2,23 +2,19 @@
 
 #include <algorithm>
 #include <array>
-#include <boost/beast/core/string.hpp>
 #include <boost/beast/http/field.hpp>
-#include <boost/beast/http/rfc7230.hpp>
 #include <boost/beast/http/status.hpp>
-#include <charconv>
 #include <cstdio>
 #include <cstdlib>
 #include <utility>
 
-#include "gateway/request_form.hpp"
+#include "gateway/hop_by_hop_headers.hpp"
 
 namespace hollyrun::gateway {
 namespace {
 
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
-using boost::beast::string_view;
 using tcp = asio::ip::tcp;
 using balancer::Action;
 using balancer::ActionKind;
@@ -27,7 +23,6 @@
 using balancer::EndpointState;
 using balancer::EndpointStatus;
 using balancer::HostId;
-using balancer::Idempotency;
 using balancer::Outcome;
 using balancer::RequestId;
 using balancer::Time;
@@ -45,12 +40,6 @@
 constexpr auto kOpenLast = std::chrono::milliseconds(2000);
 constexpr auto kOpenFirst = std::chrono::milliseconds(300);
 
-template <class Number>
-bool parse(string_view text, Number& number) {
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
-  return error == std::errc{} && end == text.data() + text.size();
-}
-
 HttpResponse plain(http::status status) {
   HttpResponse response;
   response.result(status);
@@ -74,6 +63,7 @@
       bodyBytes_(config.memoryBytes / 4),
       abortOnViolation_(waits.abortOnViolation),
       budget_(std::make_shared<MemoryBudget>(bodyBytes_)),
+      validator_(config.module),
       balancer_(config.module, now()),
       hosts_(
           io, {shareOf(config.sockets, 2, 5), config.connectTimeout, config.module.idleTimeout},
@@ -106,7 +96,7 @@
                 [this](DownstreamRequestId exchange) { clientGone(exchange); },
                 [this](DownstreamRequestId exchange) { uploaded(exchange); },
                 [this](const std::string& target, bool busy) {
-                  statistics_.answered(statistics_.classOf(firstPart(target)),
+                  statistics_.answered(statistics_.classOf(firstPathSegment(target)),
                                        busy ? Statistics::End::busy : Statistics::End::failure, std::nullopt);
                 },
                 [this](DownstreamRequestId exchange, CloseReason reason) {
@@ -165,14 +155,9 @@
 
 void Gateway::take(const balancer::Settings& settings) {
   settings_ = settings;
-  classOf_.clear();
-  tenantOf_.clear();
-  for (std::size_t i = 0; i < settings_.classes.size(); ++i) {
-    classOf_.emplace(settings_.classes[i].name, static_cast<std::uint32_t>(i));
-    statistics_.show(settings_.classes[i].name);
-  }
-  for (std::size_t i = 0; i < settings_.tenants.size(); ++i)
-    tenantOf_.emplace(settings_.tenants[i].name, static_cast<std::uint32_t>(i));
+  validator_ = RequestValidator(settings_);
+  for (const balancer::ClassSettings& requestClass : settings_.classes)
+    statistics_.show(requestClass.name);
 }
 
 void Gateway::reload(const Config& config) {
@@ -301,26 +286,34 @@
 }
 
 void Gateway::received(ClientRequest request) {
-  const HttpRequest& message = request.message;
-  balancer::Request asked;
-  http::status status = judgeFraming(message, request.upload || !message.body().empty());
-  if (status == http::status::ok && message.target() == "/up" && message.method() == http::verb::get)
-    return clients_.answer(request.exchange,
-                           plain(takesClients() ? http::status::ok : http::status::service_unavailable),
-                           nullptr);
-  if (status == http::status::ok && !toOriginForm(request.message))
-    status = http::status::bad_request;
-  if (status == http::status::ok)
-    status = describe(message, asked);
-  if (status != http::status::ok) {
-    // Danger: where such a message ends is doubtful; what follows it must not pass for a request.
-    HttpResponse response = plain(status);
-    response.keep_alive(false);
-    const std::size_t counted = statistics_.classOf(firstPart(message.target()));
-    return clients_.answer(request.exchange, std::move(response), [this, counted](bool) {
-      statistics_.answered(counted, Statistics::End::failure, std::nullopt);
-    });
-  }
+  const bool hasBody = request.upload || !request.message.body().empty();
+  const ValidationResult result =
+      validator_.validate(request.message, hasBody ? BodyPresence::present : BodyPresence::absent);
+  if (const auto* valid = std::get_if<ValidatedRequest>(&result))
+    accept(std::move(request), valid->request);
+  else if (const auto* rejection = std::get_if<RequestRejection>(&result))
+    reject(request, *rejection);
+  else
+    answerHealthCheck(request.exchange);
+}
+
+void Gateway::answerHealthCheck(DownstreamRequestId client) {
+  clients_.answer(client, plain(takesClients() ? http::status::ok : http::status::service_unavailable),
+                  nullptr);
+}
+
+// Where such a message ends is doubtful, so the connection is closed: what follows must not be read as a
+// request.
+void Gateway::reject(const ClientRequest& request, const RequestRejection& rejection) {
+  HttpResponse response = plain(rejection.status);
+  response.keep_alive(false);
+  const std::size_t counted = statistics_.classOf(firstPathSegment(request.message.target()));
+  clients_.answer(request.exchange, std::move(response), [this, counted](bool) {
+    statistics_.answered(counted, Statistics::End::failure, std::nullopt);
+  });
+}
+
+void Gateway::accept(ClientRequest request, balancer::Request asked) {
   // Danger: a connection may wait to be accepted until its client has given up; the request and the end of
   // the client's side are then found together.
   if (!clients_.present(request.exchange)) {
@@ -332,7 +325,7 @@
   const Duration left = asked.remaining - kAnswerMargin;
   asked.remaining = left - (Clock::now() - request.came);
   asked.uploading = request.upload != nullptr;
-  stripHop(request.message);
+  removeHopByHopHeaders(request.message);
   RequestContext& exchange = contexts_[asked.id];
   exchange.client = request.exchange;
   const balancer::ClassSettings& cls = settings_.classes[asked.classIndex];
@@ -358,52 +351,6 @@
   drainActions();
 }
 
-// What the module is to know of a request; `ok`, or the status to answer.
-http::status Gateway::describe(const HttpRequest& message, balancer::Request& request) const {
-  const auto found = classOf_.find(std::string(firstPart(message.target())));
-  if (found == classOf_.end())
-    return http::status::not_found;
-  request.classIndex = found->second;
-  const balancer::ClassSettings& c = settings_.classes[found->second];
-  if (!message["X-Class"].empty() && message["X-Class"] != string_view(c.name))
-    return http::status::bad_request;
-  if (message["X-Request-Id"].empty())
-    return http::status::bad_request;
-  // Danger: of two the host may take the other.
-  for (const char* name : {"X-Request-Id", "X-Class", "X-Deadline-Ms", "Idempotency-Key"})
-    if (message.count(name) > 1)
-      return http::status::bad_request;
-  // Danger: hosts take the method for the class's promise. A keyed request with no key is dropped by nobody
-  // when it is repeated, so it may not pass for one.
-  const bool get = message.method() == http::verb::get;
-  if (!get && message.method() != http::verb::post)
-    return http::status::method_not_allowed;
-  if (get != (c.idempotency == Idempotency::idempotent))
-    return http::status::method_not_allowed;
-  if (message.count(http::field::host) != 1)
-    return http::status::bad_request;
-  if (c.idempotency == Idempotency::keyed && message["Idempotency-Key"].empty())
-    return http::status::bad_request;
-  request.remaining = c.clientTimeout;
-  if (message.count("X-Deadline-Ms")) {
-    std::uint32_t ms = 0;
-    if (!parse(message["X-Deadline-Ms"], ms))
-      return http::status::bad_request;
-    request.remaining = std::chrono::milliseconds(ms);
-  }
-  std::uint32_t costUs = 0;
-  if (parse(message["X-Cost-Hint"], costUs))
-    request.cost = std::chrono::microseconds(costUs);
-  const auto tenant = tenantOf_.find(message["X-Tenant"].to_string());
-  if (tenant != tenantOf_.end())
-    request.tenantIndex = tenant->second;
-  const std::string_view key = cookie(message[http::field::cookie], "obj");
-  request.hasKey = !key.empty();
-  if (request.hasKey)
-    request.key = keyOf(key);
-  return http::status::ok;
-}
-
 void Gateway::clientGone(DownstreamRequestId client) {
   const auto known = byClient_.find(client);
   if (known == byClient_.end())
@@ -527,7 +474,7 @@
   traceAttempt("attempt_ended", exchange, end.key, end.host, nameOf(end.outcome));
   over_.push_back(end.key.request);
   if (end.outcome == Outcome::served && !exchange.ended) {
-    stripHop(end.answer);
+    removeHopByHopHeaders(end.answer);
     end.answer.erase("X-Load");
     answer(exchange, std::move(end.answer), Statistics::End::success, std::move(end.body), end.length);
   }
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -21,6 +21,7 @@
 #include "gateway/management.hpp"
 #include "gateway/membership_transport.hpp"
 #include "gateway/request_metrics.hpp"
+#include "gateway/request_validation.hpp"
 #include "gateway/server_start_times.hpp"
 #include "gateway/statistics.hpp"
 #include "gateway/upstream_pool.hpp"
@@ -81,7 +82,9 @@
   ServerStartTimes::Clocks clocks() const;
 
   void received(ClientRequest request);
-  boost::beast::http::status describe(const HttpRequest& message, balancer::Request& request) const;
+  void answerHealthCheck(DownstreamRequestId client);
+  void reject(const ClientRequest& request, const RequestRejection& rejection);
+  void accept(ClientRequest request, balancer::Request asked);
   void clientGone(DownstreamRequestId exchange);
   UpstreamPool::Permission permit(const AttemptKey& attempt, balancer::HostId host, UpstreamPool::Step step,
                                   balancer::Duration left);
@@ -117,13 +120,13 @@
   std::chrono::steady_clock::time_point start_;
   ServerStartTimes startTimes_;
   balancer::Settings settings_;
-  std::unordered_map<std::string, std::uint32_t> classOf_, tenantOf_;
   Log& log_;
   boost::asio::ip::tcp::endpoint listen_;
   std::size_t sockets_, clientsMost_;
   std::size_t bodyBytes_;
   bool abortOnViolation_;
   std::shared_ptr<MemoryBudget> budget_;
+  RequestValidator validator_;
   balancer::Balancer balancer_;
   balancer::DispatchGuard guard_;
   std::vector<balancer::EndpointStatus> servers_;  // by HostId, as the lists told them
