--- a/src/gateway/config.cpp
+++ b/src/gateway/config.cpp
@@ -353,7 +353,7 @@
     throw BadConfig("connectTimeoutNs: must be above 0");
   if (json.contains("known") && !json.at("known").is_null())
     try {
-      config.known = parseHostList(json.at("known"));
+      config.known = parseEndpointList(json.at("known"));
     } catch (const std::invalid_argument& bad) {
       throw BadConfig(std::string("known: ") + bad.what());
     }
--- a/src/gateway/discovery.cpp
+++ b/src/gateway/discovery.cpp
@@ -16,40 +16,41 @@
 using tcp = asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr std::uint64_t kListLimit = 4 << 20;  // bytes of one list: some ten thousand hosts
+constexpr std::uint64_t kMaxListBytes = 4 << 20;  // some ten thousand endpoints
 constexpr const char* kPath = "/discovery/hosts";
 
 }  // namespace
 
-// One connection with its call; kept for the next call as long as both sides want it.
-struct Discovery::Call : std::enable_shared_from_this<Discovery::Call> {
-  Discovery* owner;  // null once given up
+// One connection with its current request; reused for the next as long as both sides keep it alive.
+struct Discovery::Connection : std::enable_shared_from_this<Discovery::Connection> {
+  Discovery* owner;  // null once closed
   tcp::socket socket;
   asio::steady_timer timer;
   boost::beast::flat_buffer buffer;
   http::request<http::empty_body> request;
-  std::string text;  // of the request, being written
+  std::string serializedRequest;  // while it is written
   std::optional<http::response_parser<http::string_body>> parser;
-  Kind kind = Kind::list;
-  std::uint64_t turn = 0;  // of the call; a timer of an earlier one that is already due is told by it
+  RequestType type = RequestType::snapshot;
+  std::uint64_t generation = 0;  // of the request: a timeout of an earlier one that is already due is ignored
 
-  explicit Call(Discovery& d) : owner(&d), socket(d.io_), timer(d.io_) {}
+  explicit Connection(Discovery& discovery)
+      : owner(&discovery), socket(discovery.io_), timer(discovery.io_) {}
 
-  void giveUp() {
+  void close() {
     owner = nullptr;
     timer.cancel();
     error_code ignored;
     socket.close(ignored);
   }
 
-  void start(Kind k, std::chrono::milliseconds limit) {
-    kind = k;
+  void start(RequestType requestType, std::chrono::milliseconds timeout) {
+    type = requestType;
     parser.emplace();
-    parser->body_limit(kListLimit);
-    // Danger: discovery that falls silent would hold the watch for good.
-    timer.expires_after(limit);
-    timer.async_wait([self = shared_from_this(), mine = ++turn](error_code ec) {
-      if (!ec && self->owner && mine == self->turn)
+    parser->body_limit(kMaxListBytes);
+    // Without a timeout a server that stops answering would block the watch forever.
+    timer.expires_after(timeout);
+    timer.async_wait([self = shared_from_this(), current = ++generation](error_code ec) {
+      if (!ec && self->owner && current == self->generation)
         self->finish(std::nullopt);
     });
     if (socket.is_open())
@@ -67,18 +68,18 @@
   }
 
   void write() {
-    text = serialized(request);
-    writeAll(socket, asio::buffer(text), [self = shared_from_this()](error_code ec) {
+    serializedRequest = serialized(request);
+    writeAll(socket, asio::buffer(serializedRequest), [self = shared_from_this()](error_code ec) {
       if (!self->owner)
         return;
       if (ec)
         return self->finish(std::nullopt);
       http::async_read(self->socket, self->buffer, *self->parser,
-                       [self](error_code readError, std::size_t) { self->answered(readError); });
+                       [self](error_code readError, std::size_t) { self->handleResponse(readError); });
     });
   }
 
-  void answered(error_code ec) {
+  void handleResponse(error_code ec) {
     if (!owner)
       return;
     std::optional<EndpointList> list;
@@ -86,81 +87,79 @@
       const auto json = nlohmann::json::parse(parser->get().body(), nullptr, false);
       try {
         if (!json.is_discarded())
-          list = parseHostList(json);
-      } catch (const std::invalid_argument&) {  // garbage counts as a failed call
+          list = parseEndpointList(json);
+      } catch (const std::invalid_argument&) {  // an invalid list counts as a failed request
       }
     }
     finish(list);
   }
 
   void finish(const std::optional<EndpointList>& list) {
-    ++turn;
+    ++generation;
     timer.cancel();
     error_code ignored;
     if (!list || !parser->get().keep_alive())
       socket.close(ignored);
-    owner->ended(kind, list);
+    owner->complete(type, list);
   }
 };
 
-Discovery::Discovery(asio::io_context& io, tcp::endpoint server, Callbacks callbacks, Waits waits)
-    : io_(io), server_(std::move(server)), callbacks_(std::move(callbacks)), waits_(waits) {}
+Discovery::Discovery(asio::io_context& io, tcp::endpoint server, Callbacks callbacks, Timeouts timeouts)
+    : io_(io), server_(std::move(server)), callbacks_(std::move(callbacks)), timeouts_(timeouts) {}
 
 Discovery::~Discovery() {
   stop();
 }
 
 void Discovery::stop() {
-  if (call_)
-    call_->giveUp();
-  call_.reset();
+  if (connection_)
+    connection_->close();
+  connection_.reset();
 }
 
 void Discovery::watch() {
   stop();
-  call(version_ ? Kind::first : Kind::list);
+  send(version_ ? RequestType::firstPoll : RequestType::snapshot);
 }
 
-void Discovery::moveTo(tcp::endpoint server) {
+void Discovery::switchServer(tcp::endpoint server) {
   server_ = std::move(server);
-  // Danger: its versions may count from elsewhere, and changes on top of a list that it never told would
-  // leave hosts in ours for good. So the whole list is asked for; ours stays until that is here.
+  // Its versions may count from another start, and a delta to a list that it never sent would leave removed
+  // endpoints in ours forever. So a snapshot is requested; our list stays in effect until that has come.
   version_.reset();
   watch();
 }
 
-// The first call of a watch does not wait, so that the module hears at once that it is on; the next ones,
-// each sent as soon as the last is answered, do.
-void Discovery::call(Kind kind) {
-  if (!call_ || !call_->socket.is_open())
-    call_ = std::make_shared<Call>(*this);
-  const std::chrono::milliseconds wait = kind == Kind::next ? waits_.watch : std::chrono::milliseconds(1);
+void Discovery::send(RequestType type) {
+  if (!connection_ || !connection_->socket.is_open())
+    connection_ = std::make_shared<Connection>(*this);
+  const std::chrono::milliseconds wait =
+      type == RequestType::poll ? timeouts_.watch : std::chrono::milliseconds(1);
   std::string target = kPath;
-  if (kind != Kind::list)
+  if (type != RequestType::snapshot)
     target += "?since=" + std::to_string(*version_) + "&timeout_ms=" + std::to_string(wait.count());
-  call_->request = {http::verb::get, target, 11};
-  call_->request.set(http::field::host, textOf(server_));
-  call_->start(kind, wait + waits_.answer);
+  connection_->request = {http::verb::get, target, 11};
+  connection_->request.set(http::field::host, textOf(server_));
+  connection_->start(type, wait + timeouts_.answer);
 }
 
-void Discovery::ended(Kind kind, const std::optional<EndpointList>& list) {
+void Discovery::complete(RequestType type, const std::optional<EndpointList>& list) {
   if (!list)
     return fail();
-  // Danger: discovery that was set up anew counts from the start; changes to a list that we don't hold would
-  // leave hosts in ours for good.
-  const bool whole = list->full;
-  if (!whole && (kind == Kind::list || (version_ && list->version < *version_))) {
+  // A server that was set up anew counts versions from the start. A delta to a list that we don't hold would
+  // leave removed endpoints in ours forever.
+  if (!list->snapshot && (type == RequestType::snapshot || (version_ && list->version < *version_))) {
     version_.reset();
     return fail();
   }
   version_ = list->version;
-  call(Kind::next);
-  callbacks_.told(*list);
+  send(RequestType::poll);
+  callbacks_.onEndpoints(*list);
 }
 
 void Discovery::fail() {
   stop();
-  callbacks_.failed();
+  callbacks_.onFailure();
 }
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/discovery.hpp
+++ b/src/gateway/discovery.hpp
@@ -1,4 +1,5 @@
-// The watch on discovery. When to begin one anew after a failure is decided by the module.
+/// Client of the discovery service: watches the endpoint list by long polls. When to start a new watch after
+/// a failure is decided by the balancer.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,42 +22,48 @@
 class Discovery {
  public:
   struct Callbacks {
-    std::function<void(const EndpointList&)> told;
-    std::function<void()> failed;  // the watch is over
+    std::function<void(const EndpointList&)> onEndpoints;
+    std::function<void()> onFailure;  ///< the watch has ended
   };
-  struct Waits {
-    std::chrono::milliseconds watch{20000};  // a watch may wait so long,
-    // and any call so much longer before it counts as lost. Danger: what a lost watch had to tell counts as
-    // told 2 s after its wait, and the module lets up to 1.5 s pass before it asks anew.
+  struct Timeouts {
+    std::chrono::milliseconds watch{20000};  ///< how long a long poll may wait for a change
+    /// How much longer any call may take before it counts as failed. A change that a failed poll did not
+    /// deliver has to be applied within 2 s after the poll's wait, and the balancer's backoff takes up to 1.5
+    /// s of that.
     std::chrono::milliseconds answer{1000};
   };
 
   Discovery(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint server, Callbacks callbacks,
-            Waits waits);
+            Timeouts timeouts);
   ~Discovery();
   Discovery(const Discovery&) = delete;
   Discovery& operator=(const Discovery&) = delete;
 
-  void knows(std::int64_t version) { version_ = version; }  // of the list held already
+  /// Sets the version of the list that is held already, so that a watch asks for changes to it.
+  void setKnownVersion(std::int64_t version) { version_ = version; }
   const boost::asio::ip::tcp::endpoint& server() const { return server_; }
-  void watch();                                        // begins a watch; one that is on is given up
-  void moveTo(boost::asio::ip::tcp::endpoint server);  // and begins a watch there
+  /// Starts a watch; one that is under way is abandoned.
+  void watch();
+  /// Continues with another discovery server and starts a watch there, from a snapshot on.
+  void switchServer(boost::asio::ip::tcp::endpoint server);
   void stop();
 
  private:
-  struct Call;
-  enum class Kind { list, first, next };
+  struct Connection;
+  /// firstPoll returns at once, so that the balancer learns that the watch is up; later ones wait for a
+  /// change.
+  enum class RequestType { snapshot, firstPoll, poll };
 
-  void call(Kind kind);
-  void ended(Kind kind, const std::optional<EndpointList>& list);
+  void send(RequestType type);
+  void complete(RequestType type, const std::optional<EndpointList>& list);
   void fail();
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint server_;
   Callbacks callbacks_;
-  Waits waits_;
+  Timeouts timeouts_;
   std::optional<std::int64_t> version_;
-  std::shared_ptr<Call> call_;
+  std::shared_ptr<Connection> connection_;
 };
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/endpoint_list.cpp
+++ b/src/gateway/endpoint_list.cpp
@@ -26,59 +26,65 @@
 
 namespace {
 
-constexpr std::int64_t kLastMs = 253402300799999;  // the year 9999: past it the clock's sums overflow
+using balancer::EndpointState;
 
-// Absent: `none`.
-std::int64_t whole(const nlohmann::json& object, const char* name, std::int64_t none, std::int64_t most) {
+constexpr std::int64_t kMaxUnixMs = 253402300799999;  // the year 9999: past it the clock's sums overflow
+
+/// The integer field `name`, or `fallback` if it is absent.
+std::int64_t integerOr(const nlohmann::json& object, const char* name, std::int64_t fallback,
+                       std::int64_t maximum) {
   const auto it = object.find(name);
-  return it == object.end() ? none : wholeNumber(*it, most);
+  return it == object.end() ? fallback : wholeNumber(*it, maximum);
+}
+
+/// The state as discovery spells it.
+EndpointState parseState(const std::string& text) {
+  if (text == "SERVING")
+    return EndpointState::serving;
+  if (text == "DRAINING")
+    return EndpointState::draining;
+  if (text == "DELETED")
+    return EndpointState::removed;
+  throw std::invalid_argument("unknown state '" + text + "'");
 }
 
-ListedHost parseHost(const nlohmann::json& target) {
-  ListedHost host;
-  host.uid = target.at("uid").get<std::string>();
-  if (host.uid.empty())
+ListedEndpoint parseListedEndpoint(const nlohmann::json& target) {
+  ListedEndpoint endpoint;
+  endpoint.uid = target.at("uid").get<std::string>();
+  if (endpoint.uid.empty())
     throw std::invalid_argument("a host has no uid");
-  const auto state = target.at("state").get<std::string>();
-  if (state == "SERVING")
-    host.state = HostState::serving;
-  else if (state == "DRAINING")
-    host.state = HostState::draining;
-  else if (state == "DELETED")
-    host.state = HostState::gone;
-  else
-    throw std::invalid_argument("unknown state '" + state + "'");
-  // One that is gone needs no address.
-  if (host.state != HostState::gone || target.contains("endpoint")) {
-    host.endpoint = parseEndpoint(target.at("endpoint").get<std::string>());
-    if (host.endpoint.port() == 0)
-      throw std::invalid_argument("host " + host.uid + " has no port");
+  endpoint.state = parseState(target.at("state").get<std::string>());
+  // A removed one needs no address.
+  if (endpoint.state != EndpointState::removed || target.contains("endpoint")) {
+    endpoint.address = parseEndpoint(target.at("endpoint").get<std::string>());
+    if (endpoint.address.port() == 0)
+      throw std::invalid_argument("host " + endpoint.uid + " has no port");
   }
-  host.zone = target.value("az", std::string());
-  host.kind = target.value("model", std::string());
-  host.cell = whole(target, "pod_group", 0, INT64_MAX);
+  endpoint.zone = target.value("az", std::string());
+  endpoint.machineType = target.value("model", std::string());
+  endpoint.cell = integerOr(target, "pod_group", 0, INT64_MAX);
   if (target.contains("capacity_hint"))
-    host.weight = realNumber(target["capacity_hint"], 1e9);
-  host.bootMs = whole(target, "boot_ms", 0, kLastMs);
-  return host;
+    endpoint.weight = realNumber(target["capacity_hint"], 1e9);
+  endpoint.startUnixMs = integerOr(target, "boot_ms", 0, kMaxUnixMs);
+  return endpoint;
 }
 
 }  // namespace
 
-EndpointList parseHostList(const nlohmann::json& json) {
+EndpointList parseEndpointList(const nlohmann::json& json) {
   try {
     EndpointList list;
     list.version = wholeNumber(json.at("rev"), INT64_MAX);
-    list.full = json.value("all", false);
-    // Danger: what is no list would pass for an empty one, and an empty whole list drops all hosts.
+    list.snapshot = json.value("all", false);
+    // Anything else would be read as an empty list, and an empty snapshot removes all endpoints.
     if (!json.at("targets").is_array())
       throw std::invalid_argument("targets is no list");
     std::unordered_set<std::string> uids;
     for (const auto& target : json.at("targets")) {
-      list.hosts.push_back(parseHost(target));
-      // Of changes the later one holds.
-      if (list.full && !uids.insert(list.hosts.back().uid).second)
-        throw std::invalid_argument("host " + list.hosts.back().uid + " is listed twice");
+      list.endpoints.push_back(parseListedEndpoint(target));
+      // In a delta the last change of an endpoint holds.
+      if (list.snapshot && !uids.insert(list.endpoints.back().uid).second)
+        throw std::invalid_argument("host " + list.endpoints.back().uid + " is listed twice");
     }
     return list;
   } catch (const nlohmann::json::exception& bad) {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -52,16 +52,16 @@
 
 }  // namespace
 
-Gateway::Gateway(asio::io_context& io, const Config& config, Waits waits, Log& log)
+Gateway::Gateway(asio::io_context& io, const Config& config, Options options, Log& log)
     : io_(io),
       start_(Clock::now()),
       startTimes_(clocks()),
       log_(log),
       listen_(config.listen),
       sockets_(config.sockets),
-      clientsMost_(waits.clients.connections),
+      clientsMost_(options.clients.connections),
       bodyBytes_(config.memoryBytes / 4),
-      abortOnViolation_(waits.abortOnViolation),
+      abortOnViolation_(options.abortOnViolation),
       budget_(std::make_shared<MemoryBudget>(bodyBytes_)),
       validator_(config.module),
       balancer_(config.module, now()),
@@ -77,27 +77,28 @@
           }),
       discovery_(io, config.discovery,
                  {[this](const EndpointList& list) {
-                    told(list, list.full ? EndpointListKind::snapshot : EndpointListKind::delta);
+                    told(list, list.snapshot ? EndpointListKind::snapshot : EndpointListKind::delta);
                   },
                   [this] {
                     balancer_.onEndpoints(now(), EndpointListKind::unavailable, {});
                     drainActions();
                   }},
-                 waits.discovery),
+                 options.discovery),
       waker_(io),
       shutDownTimer_(io),
       openTimer_(io),
       clients_(io,
-               {.connections = std::min(waits.clients.connections, shareOf(config.sockets, 3, 5)),
-                .first = waits.clients.first,
-                .slow = waits.clients.slow,
-                .idle = waits.clients.idle},
+               {.connections = std::min(options.clients.connections, shareOf(config.sockets, 3, 5)),
+                .first = options.clients.first,
+                .slow = options.clients.slow,
+                .idle = options.clients.idle},
                {[this](ClientRequest request) { received(std::move(request)); },
                 [this](DownstreamRequestId exchange) { clientGone(exchange); },
                 [this](DownstreamRequestId exchange) { uploaded(exchange); },
                 [this](const std::string& target, bool busy) {
-                  statistics_.answered(statistics_.classOf(firstPathSegment(target)),
-                                       busy ? Statistics::End::busy : Statistics::End::failure, std::nullopt);
+                  statistics_.recordOutcome(statistics_.findClass(firstPathSegment(target)),
+                                            busy ? Statistics::Outcome::busy : Statistics::Outcome::failure,
+                                            std::nullopt);
                 },
                 [this](DownstreamRequestId exchange, CloseReason reason) {
                   ++counters_.closedUnanswered;
@@ -108,7 +109,7 @@
                budget_) {
   take(config.module);
   if (config.known)
-    discovery_.knows(config.known->version);
+    discovery_.setKnownVersion(config.known->version);
   // The module asks discovery once it was given a list, an empty one too.
   told(config.known ? *config.known : EndpointList{0, true, {}}, EndpointListKind::cached);
   if (config.management) {
@@ -119,12 +120,12 @@
                                               [this] { return fleet_ ? fleet_->text() : std::string(); }});
     if (listen_.port() != 0)  // a port that the kernel picks is shared with nobody
       hotRestart_.emplace(io, config.tmp, listen_, [this] { share(); });
-    if (hotRestart_ && !hotRestart_->announced())
+    if (hotRestart_ && !hotRestart_->isAnnounced())
       log_.write(LogLevel::warning, "upgrade",
                  "cannot announce this process in " + config.tmp + " for now, and tries again");
   }
   join(config);
-  if (hotRestart_ && hotRestart_->otherPresent()) {
+  if (hotRestart_ && hotRestart_->isOtherPresent()) {
     share();
     openTimer_.expires_after(kOpenLast);  // the first look at discovery opens it sooner
     openTimer_.async_wait([this](error_code ec) {
@@ -157,17 +158,17 @@
   settings_ = settings;
   validator_ = RequestValidator(settings_);
   for (const balancer::ClassSettings& requestClass : settings_.classes)
-    statistics_.show(requestClass.name);
+    statistics_.registerClass(requestClass.name);
 }
 
 void Gateway::reload(const Config& config) {
   take(config.module);
   hosts_.setTimes(config.connectTimeout, config.module.idleTimeout);
   balancer_.onSettings(now(), config.module);
-  statistics_.reconfigured(true);
+  statistics_.recordReload(Statistics::ReloadResult::applied);
   join(config);
   if (config.discovery != discovery_.server())
-    discovery_.moveTo(config.discovery);
+    discovery_.switchServer(config.discovery);
   drainActions();
 }
 
@@ -204,56 +205,54 @@
   if (clients_.takesClients() || shuttingDown_)
     return;
   clients_.listen(listen_, management_.has_value());
-  if (hotRestart_ && hotRestart_->otherPresent())
-    HotRestart::steerToLatest(clients_.listener());
+  if (hotRestart_ && hotRestart_->isOtherPresent())
+    HotRestart::steerToLatestListener(clients_.listener());
 }
 
 // The descriptors that one process may hold are those of both.
 void Gateway::share() {
-  const std::size_t parts = hotRestart_->otherPresent() ? 10 : 5;
+  const std::size_t parts = hotRestart_->isOtherPresent() ? 10 : 5;
   clients_.allow(std::min(clientsMost_, shareOf(sockets_, 3, parts)));
   hosts_.allow(shareOf(sockets_, 2, parts));
-  budget_->limit(hotRestart_->otherPresent() ? bodyBytes_ / 2 : bodyBytes_);
+  budget_->limit(hotRestart_->isOtherPresent() ? bodyBytes_ / 2 : bodyBytes_);
   log_.write(LogLevel::info, "upgrade",
-             hotRestart_->otherPresent() ? "another process serves the address: the limits are shared"
-                                         : "no other process serves the address");
+             hotRestart_->isOtherPresent() ? "another process serves the address: the limits are shared"
+                                           : "no other process serves the address");
 }
 
 // --- Events ---------------------------------------------------------------------------------------------
 
 void Gateway::told(const EndpointList& list, EndpointListKind kind) {
-  const auto source = kind == EndpointListKind::cached ? ServerStartTimes::Source::remembered
+  const auto source = kind == EndpointListKind::cached ? ServerStartTimes::Source::cached
                                                        : ServerStartTimes::Source::discovery;
-  const std::vector<Time> starts = startTimes_.of(list, source, clocks());
+  const std::vector<Time> starts = startTimes_.startTimesOf(list, source, clocks());
   std::vector<balancer::Endpoint> entries;
-  for (const ListedHost& host : list.hosts) {
+  for (const ListedEndpoint& host : list.endpoints) {
     balancer::Endpoint e;
     // The uid names a host to the module: it is the same at all gateways, and outlives a new address.
     e.address = host.uid;
     e.zone = host.zone;
-    e.machineType = host.kind;
+    e.machineType = host.machineType;
     e.cell = host.cell;
     e.weight = host.weight;
     e.upSince = starts[entries.size()];
-    e.state = host.state == HostState::serving    ? EndpointState::serving
-              : host.state == HostState::draining ? EndpointState::draining
-                                                  : EndpointState::removed;
+    e.state = host.state;
     entries.push_back(std::move(e));
   }
   balancer_.onEndpoints(now(), kind, entries);
   if (kind != EndpointListKind::delta)
     for (EndpointStatus& server : servers_)
       leaves(server, EndpointState::removed);  // what a whole list leaves out is gone
-  for (std::size_t i = 0; i < list.hosts.size(); ++i) {
-    const ListedHost& host = list.hosts[i];
+  for (std::size_t i = 0; i < list.endpoints.size(); ++i) {
+    const ListedEndpoint& host = list.endpoints[i];
     const HostId id = balancer_.findHost(host.uid);
     note(id, entries[i]);
-    if (host.endpoint.port() != 0)
-      hosts_.setEndpoint(id, host.endpoint);
-    if (host.state != HostState::serving)
+    if (host.address.port() != 0)
+      hosts_.setEndpoint(id, host.address);
+    if (host.state != EndpointState::serving)
       hosts_.drain(id);
   }
-  ready_ = ready_ || !list.hosts.empty() || kind != EndpointListKind::cached;
+  ready_ = ready_ || !list.endpoints.empty() || kind != EndpointListKind::cached;
   if (kind != EndpointListKind::cached && !clients_.takesClients()) {
     openTimer_.expires_at(std::min(openTimer_.expiry(), start_ + kOpenFirst));
     openTimer_.async_wait([this](error_code ec) {
@@ -307,9 +306,9 @@
 void Gateway::reject(const ClientRequest& request, const RequestRejection& rejection) {
   HttpResponse response = plain(rejection.status);
   response.keep_alive(false);
-  const std::size_t counted = statistics_.classOf(firstPathSegment(request.message.target()));
+  const std::size_t counted = statistics_.findClass(firstPathSegment(request.message.target()));
   clients_.answer(request.exchange, std::move(response), [this, counted](bool) {
-    statistics_.answered(counted, Statistics::End::failure, std::nullopt);
+    statistics_.recordOutcome(counted, Statistics::Outcome::failure, std::nullopt);
   });
 }
 
@@ -317,8 +316,8 @@
   // Danger: a connection may wait to be accepted until its client has given up; the request and the end of
   // the client's side are then found together.
   if (!clients_.present(request.exchange)) {
-    statistics_.answered(statistics_.classOf(settings_.classes[asked.classIndex].name),
-                         Statistics::End::failure, std::nullopt);
+    statistics_.recordOutcome(statistics_.findClass(settings_.classes[asked.classIndex].name),
+                              Statistics::Outcome::failure, std::nullopt);
     return clients_.leave(request.exchange);
   }
   asked.id = ++lastRequest_;
@@ -329,7 +328,7 @@
   RequestContext& exchange = contexts_[asked.id];
   exchange.client = request.exchange;
   const balancer::ClassSettings& cls = settings_.classes[asked.classIndex];
-  exchange.counted = statistics_.classOf(cls.name);
+  exchange.counted = statistics_.findClass(cls.name);
   exchange.terms.idempotency = cls.idempotency;
   exchange.terms.deduplicationScope = cls.deduplicationScope;
   exchange.terms.deduplicationWindow = cls.deduplicationWindow;
@@ -344,7 +343,7 @@
                          {"class", cls.name},
                          {"left_ms", std::to_string(left / std::chrono::milliseconds(1))}});
   if (exchange.taken)
-    statistics_.taken();
+    statistics_.incrementInFlight();
   exchange.message = std::move(request.message);
   byClient_.emplace(request.exchange, asked.id);
   balancer_.onRequest(now(), asked);
@@ -359,7 +358,7 @@
   byClient_.erase(known);
   RequestContext& exchange = contexts_.at(id);
   exchange.ended = true;
-  counting(exchange, Statistics::End::failure)(false);
+  counting(exchange, Statistics::Outcome::failure)(false);
   if (log_.tracing())
     log_.trace("client_left", {{"request", idOf(exchange)}});
   over_.push_back(id);
@@ -439,7 +438,7 @@
 
 std::vector<prometheus::MetricFamily> Gateway::metrics() const {
   auto families = fleet_ ? fleet_->metrics() : std::vector<prometheus::MetricFamily>();
-  for (auto& family : metricsOf(counters_, guard_, clients_.closed()))
+  for (auto& family : collectRequestMetrics(counters_, guard_, clients_.closed()))
     families.push_back(std::move(family));
   return families;
 }
@@ -452,7 +451,7 @@
   RequestContext& exchange = contexts_.at(known->second);
   exchange.taken = true;
   exchange.came = Clock::now();
-  statistics_.taken();
+  statistics_.incrementInFlight();
   for (std::uint32_t attempt = 0; attempt < exchange.begun; ++attempt)
     hosts_.uploaded({known->second, attempt}, exchange.left);
   balancer_.onUploaded(now(), known->second, exchange.left);
@@ -470,13 +469,13 @@
   RequestContext& exchange = it->second;
   --exchange.out;
   exchange.history.ended(end.key.attempt, end.outcome);
-  counters_.ended(end.outcome);
+  counters_.recordAttempt(end.outcome);
   traceAttempt("attempt_ended", exchange, end.key, end.host, nameOf(end.outcome));
   over_.push_back(end.key.request);
   if (end.outcome == Outcome::served && !exchange.ended) {
     removeHopByHopHeaders(end.answer);
     end.answer.erase("X-Load");
-    answer(exchange, std::move(end.answer), Statistics::End::success, std::move(end.body), end.length);
+    answer(exchange, std::move(end.answer), Statistics::Outcome::success, std::move(end.body), end.length);
   }
   balancer::AttemptResult result;
   result.request = end.key.request;
@@ -576,7 +575,7 @@
   if (it == contexts_.end() || it->second.ended)
     return;
   over_.push_back(action.request);
-  counters_.gaveUp(action.reason);
+  counters_.recordRejection(action.reason);
   if (log_.tracing())
     log_.trace(action.kind == ActionKind::reject ? "refused" : "failed",
                {{"request", idOf(it->second)}, {"reason", std::string(nameOf(action.reason))}});
@@ -588,17 +587,17 @@
     response.set(http::field::retry_after, text.data());
   }
   answer(it->second, std::move(response),
-         action.kind == ActionKind::reject ? Statistics::End::busy : Statistics::End::failure);
+         action.kind == ActionKind::reject ? Statistics::Outcome::busy : Statistics::Outcome::failure);
 }
 
-DownstreamServer::Answered Gateway::counting(const RequestContext& exchange, Statistics::End end) {
+DownstreamServer::Answered Gateway::counting(const RequestContext& exchange, Statistics::Outcome end) {
   const std::string id = log_.access() ? exchange.message["X-Request-Id"].to_string() : std::string();
   return [this, cls = exchange.counted, end, taken = exchange.taken, came = exchange.came, id](bool whole) {
     std::optional<Clock::duration> took;
     if (taken)
-      took = Clock::now() - came, statistics_.ended();
-    const Statistics::End ended = whole ? end : Statistics::End::failure;
-    statistics_.answered(cls, ended, took);
+      took = Clock::now() - came, statistics_.decrementInFlight();
+    const Statistics::Outcome ended = whole ? end : Statistics::Outcome::failure;
+    statistics_.recordOutcome(cls, ended, took);
     if (!log_.access())
       return;
     const double ms = took ? std::chrono::duration<double, std::milli>(*took).count() : -1;
@@ -611,7 +610,7 @@
   return {hosts_.written(), hosts.listed, hosts.unavailable};
 }
 
-void Gateway::answer(RequestContext& exchange, HttpResponse response, Statistics::End end,
+void Gateway::answer(RequestContext& exchange, HttpResponse response, Statistics::Outcome end,
                      std::shared_ptr<BodyStream> body, std::optional<std::uint64_t> length) {
   exchange.ended = true;
   byClient_.erase(exchange.client);
@@ -646,7 +645,7 @@
   down_ = std::move(done);
   openTimer_.cancel();
   if (fleet_)
-    fleet_->leave(hotRestart_ && hotRestart_->otherPresent());
+    fleet_->leave(hotRestart_ && hotRestart_->isOtherPresent());
   clients_.lastAnswers();
   shutDownTimer_.expires_after(kAcceptOn);
   shutDownTimer_.async_wait([this](error_code ec) {
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -36,16 +36,16 @@
 
 class Gateway {
  public:
-  struct Waits {  // shorter in tests only
+  struct Options {  // shorter in tests only
     DownstreamServer::Limits clients;
-    Discovery::Waits discovery;
+    Discovery::Timeouts discovery;
     // A broken rule ends the process, so that a test or a soak finds it; in service it is counted and logged.
     bool abortOnViolation = false;
   };
 
   // Asks discovery at once, and listens at once too unless another process serves the address: then as soon
   // as it can take over. Throws boost::system::system_error if it can't listen. The log has to outlive it.
-  Gateway(boost::asio::io_context& io, const Config& config, Waits waits, Log& log);
+  Gateway(boost::asio::io_context& io, const Config& config, Options options, Log& log);
   ~Gateway();
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
@@ -56,7 +56,7 @@
   // New settings bind requests from here on. If discovery has a new address, the list held stays until that
   // tells more.
   void reload(const Config& config);
-  void reloadFailed() { statistics_.reconfigured(false); }
+  void reloadFailed() { statistics_.recordReload(Statistics::ReloadResult::rejected); }
   // A graceful shutdown: finishes what was taken, then closes all and calls `done`.
   void shutDown(std::function<void()> done);
 
@@ -104,9 +104,9 @@
   void send(const balancer::Action& action);
   void giveUp(const balancer::Action& action);
   void settle(AttemptCompletion end);
-  void answer(RequestContext& exchange, HttpResponse response, Statistics::End end,
+  void answer(RequestContext& exchange, HttpResponse response, Statistics::Outcome outcome,
               std::shared_ptr<BodyStream> body = nullptr, std::optional<std::uint64_t> length = {});
-  DownstreamServer::Answered counting(const RequestContext& exchange, Statistics::End end);
+  DownstreamServer::Answered counting(const RequestContext& exchange, Statistics::Outcome outcome);
   Statistics::Gauges gauges() const;
   bool takesClients() const { return ready_ && !shuttingDown_ && clients_.takesClients(); }
   void take(const balancer::Settings& settings);
--- a/src/gateway/hot_restart.hpp
+++ b/src/gateway/hot_restart.hpp
@@ -1,4 +1,5 @@
-// The other process of an upgrade: both serve one address for a while and share its limits.
+/// Hot restart: detects the other process of an upgrade. Both serve one address for a while and divide its
+/// descriptors and memory between them.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,30 +12,32 @@
 
 class HotRestart {
  public:
-  // Announces this process, by a locked file in `folder`, to the others that serve `address`. `changed` is
-  // called when another comes or the last goes. An announcement that fails is made again at each look.
-  HotRestart(boost::asio::io_context& io, const std::string& folder,
-             const boost::asio::ip::tcp::endpoint& address, std::function<void()> changed);
+  /// Announces this process to the others that serve `address` by a locked file in `directory`. `onChange` is
+  /// called when another process appears or the last one ends. A failed announcement is retried at each scan.
+  HotRestart(boost::asio::io_context& io, const std::string& directory,
+             const boost::asio::ip::tcp::endpoint& address, std::function<void()> onChange);
   ~HotRestart();
   HotRestart(const HotRestart&) = delete;
   HotRestart& operator=(const HotRestart&) = delete;
 
-  bool otherPresent() const { return otherPresent_; }
-  bool announced() const { return file_ >= 0; }
+  bool isOtherPresent() const { return isOtherPresent_; }
+  bool isAnnounced() const { return file_ >= 0; }
 
-  // Leads every new connection of the address to the listener that joined its group last.
-  static void steerToLatest(int listener);
+  /// Directs every new connection to the listener that joined the SO_REUSEPORT group of the address last.
+  static void steerToLatestListener(int listener);
 
  private:
   void announce();
-  bool look();
-  void watch();
+  void restoreAnnouncement();
+  bool scanForOthers();
+  void scheduleScan();
 
-  std::string folder_, prefix_, own_;  // own_: the path of this process's file, once it is announced
-  std::function<void()> changed_;
+  std::string directory_, filePrefix_;
+  std::string ownPath_;  // of this process's file, once it is announced
+  std::function<void()> onChange_;
   boost::asio::steady_timer timer_;
   int file_ = -1;
-  bool otherPresent_ = false;
+  bool isOtherPresent_ = false;
 };
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/management.cpp
+++ b/src/gateway/management.cpp
@@ -18,38 +18,39 @@
 using tcp = asio::ip::tcp;
 using Clock = std::chrono::steady_clock;
 
-constexpr std::uint32_t kHeadLimit = 8 << 10;
-constexpr std::uint64_t kCallBody = 4 << 10;  // no call needs one
-constexpr auto kSweep = std::chrono::milliseconds(100);
-constexpr auto kAcceptAgain = std::chrono::milliseconds(20);  // when no descriptor was left
-
-using Answer = http::response<http::string_body>;
-
-Answer text(http::status status, std::string body) {
-  Answer answer{status, 11};
-  answer.set(http::field::content_type, "text/plain; charset=utf-8");
-  answer.set(http::field::cache_control, "no-store");
-  answer.body() = std::move(body);
-  return answer;
+constexpr std::uint32_t kMaxHeaderBytes = 8 << 10;
+constexpr std::uint64_t kMaxBodyBytes = 4 << 10;  // no request needs one
+constexpr auto kSweepInterval = std::chrono::milliseconds(100);
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);  // while no descriptor is free
+
+using Response = http::response<http::string_body>;
+
+Response textResponse(http::status status, std::string body) {
+  Response response{status, 11};
+  response.set(http::field::content_type, "text/plain; charset=utf-8");
+  response.set(http::field::cache_control, "no-store");
+  response.body() = std::move(body);
+  return response;
 }
 
 }  // namespace
 
-class Management::Call : public std::enable_shared_from_this<Call> {
+class Management::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Call(Management& owner, tcp::socket socket) : owner_(&owner), socket_(std::move(socket)) {
-    parser_.header_limit(kHeadLimit);
-    parser_.body_limit(kCallBody);
+  Connection(Management& owner, tcp::socket socket) : owner_(&owner), socket_(std::move(socket)) {
+    parser_.header_limit(kMaxHeaderBytes);
+    parser_.body_limit(kMaxBodyBytes);
   }
 
   void start() {
     http::async_read(socket_, buffer_, parser_, [self = shared_from_this()](error_code ec, std::size_t) {
       if (!self->owner_)
         return;
-      // Nothing to tell to one that left.
+      // A client that left gets no response.
       if (ec == http::error::end_of_stream || (ec && ec.category() == asio::error::get_system_category()))
         return self->close();
-      self->answer(ec ? text(http::status::bad_request, "no proper HTTP/1.1 call\n") : self->decide());
+      self->respond(ec ? textResponse(http::status::bad_request, "no proper HTTP/1.1 call\n")
+                       : self->route());
     });
   }
 
@@ -59,56 +60,56 @@
     Management& owner = *std::exchange(owner_, nullptr);
     error_code ignored;
     socket_.close(ignored);
-    owner.calls_.remove(shared_from_this());
+    owner.connections_.remove(shared_from_this());
   }
 
-  bool overdue(Clock::time_point now) const { return now - since_ > owner_->whole_; }
+  bool isOverdue(Clock::time_point now) const { return now - openedAt_ > owner_->connectionLifetime_; }
 
  private:
-  Answer decide() const {
-    const auto& call = parser_.get();
-    if (call.version() != 11 || call.count(http::field::host) != 1)
-      return text(http::status::bad_request, "no proper HTTP/1.1 call\n");
-    const auto target = call.target().substr(0, call.target().find('?'));
+  Response route() const {
+    const auto& request = parser_.get();
+    if (request.version() != 11 || request.count(http::field::host) != 1)
+      return textResponse(http::status::bad_request, "no proper HTTP/1.1 call\n");
+    const auto target = request.target().substr(0, request.target().find('?'));
     const bool readiness = target == "/ops/readiness";
     const bool metrics = target == "/metrics";
     std::string fleet;
-    if (target == "/ops/fleet" && owner_->callbacks_.fleet)
-      fleet = owner_->callbacks_.fleet();
+    if (target == "/ops/fleet" && owner_->callbacks_.renderFleet)
+      fleet = owner_->callbacks_.renderFleet();
     if (!readiness && !metrics && fleet.empty() && target != "/ops/stats")
-      return text(http::status::not_found, "no such call\n");
-    if (call.method() != http::verb::get) {
-      Answer answer = text(http::status::method_not_allowed, "only GET\n");
-      answer.set(http::field::allow, "GET");
-      return answer;
+      return textResponse(http::status::not_found, "no such call\n");
+    if (request.method() != http::verb::get) {
+      Response response = textResponse(http::status::method_not_allowed, "only GET\n");
+      response.set(http::field::allow, "GET");
+      return response;
     }
     if (!fleet.empty()) {
-      Answer answer = text(http::status::ok, std::move(fleet));
-      answer.set(http::field::content_type, "application/json");
-      return answer;
+      Response response = textResponse(http::status::ok, std::move(fleet));
+      response.set(http::field::content_type, "application/json");
+      return response;
     }
     if (metrics) {
-      Answer answer = text(http::status::ok, owner_->callbacks_.metrics());
-      answer.set(http::field::content_type, "text/plain; version=0.0.4; charset=utf-8");
-      return answer;
+      Response response = textResponse(http::status::ok, owner_->callbacks_.renderMetrics());
+      response.set(http::field::content_type, "text/plain; version=0.0.4; charset=utf-8");
+      return response;
     }
     if (!readiness)
-      return text(http::status::ok, owner_->callbacks_.stats());
-    return owner_->callbacks_.ready() ? text(http::status::ok, "ready\n")
-                                      : text(http::status::service_unavailable, "not ready\n");
+      return textResponse(http::status::ok, owner_->callbacks_.renderStatistics());
+    return owner_->callbacks_.isReady() ? textResponse(http::status::ok, "ready\n")
+                                        : textResponse(http::status::service_unavailable, "not ready\n");
   }
 
-  void answer(Answer answer) {
-    answer_ = std::move(answer);
-    answer_.keep_alive(false);
-    answer_.prepare_payload();
-    text_ = serialized(answer_);
-    writeAll(socket_, asio::buffer(text_), [self = shared_from_this()](error_code ec) {
+  void respond(Response response) {
+    response_ = std::move(response);
+    response_.keep_alive(false);
+    response_.prepare_payload();
+    serializedResponse_ = serialized(response_);
+    writeAll(socket_, asio::buffer(serializedResponse_), [self = shared_from_this()](error_code ec) {
       if (!self->owner_)
         return;
       if (ec)
         return self->close();
-      // Danger: closed with bytes unread, the connection is reset, and that may overtake the answer.
+      // A connection closed with unread bytes is reset, and the reset may overtake the response.
       error_code ignored;
       self->socket_.shutdown(tcp::socket::shutdown_send, ignored);
       self->discard();
@@ -117,7 +118,7 @@
 
   void discard() {
     buffer_.clear();
-    socket_.async_read_some(buffer_.prepare(kHeadLimit),
+    socket_.async_read_some(buffer_.prepare(kMaxHeaderBytes),
                             [self = shared_from_this()](error_code ec, std::size_t) {
                               if (!self->owner_)
                                 return;
@@ -130,43 +131,42 @@
 
   Management* owner_;  // null once closed
   tcp::socket socket_;
-  boost::beast::flat_buffer buffer_{kHeadLimit + kCallBody};
+  boost::beast::flat_buffer buffer_{kMaxHeaderBytes + kMaxBodyBytes};
   http::request_parser<http::string_body> parser_;
-  Answer answer_;
-  std::string text_;  // of the answer, being written
-  const Clock::time_point since_ = Clock::now();
+  Response response_;
+  std::string serializedResponse_;  // while it is written
+  const Clock::time_point openedAt_ = Clock::now();
 };
 
 Management::Management(asio::io_context& io, const tcp::endpoint& listen, Callbacks callbacks,
-                       std::chrono::milliseconds whole)
+                       std::chrono::milliseconds connectionLifetime)
     : io_(io),
       acceptor_(io, listen, true),
       callbacks_(std::move(callbacks)),
-      whole_(whole),
-      sweeper_(io),
-      again_(io) {
+      connectionLifetime_(connectionLifetime),
+      sweepTimer_(io),
+      acceptRetryTimer_(io) {
   acceptor_.non_blocking(true);
-  // Danger: without it Asio takes an aborted connection for a reason to wait, in this call, for the next one.
+  // Without it Asio treats an aborted connection as a reason to block in accept() until the next one.
   acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
   accept();
-  sweep();
+  closeOverdue();
 }
 
 Management::~Management() {
-  while (!calls_.empty()) {
-    const auto call = calls_.front();
-    call->close();
+  while (!connections_.empty()) {
+    closeOldest();
   }
 }
 
 void Management::accept() {
   acceptor_.async_wait(tcp::acceptor::wait_read, [this](error_code ec) {
     if (!ec)
-      takeWaiting();
+      acceptPending();
   });
 }
 
-void Management::takeWaiting() {
+void Management::acceptPending() {
   for (;;) {
     error_code ec;
     tcp::socket socket(io_);
@@ -174,38 +174,43 @@
     if (wouldBlock(ec))
       return accept();
     if (ec && !isLocalShortage(ec))
-      return accept();  // of the connection that waited first, which is gone
-    if (ec) {  // Danger: with no descriptor left the listener stays readable, and the loop would spin.
-      if (!calls_.empty()) {
-        const auto oldest = calls_.front();
-        oldest->close();
-      }
-      again_.expires_after(kAcceptAgain);
-      return again_.async_wait([this](error_code waitError) {
-        if (!waitError)
-          accept();
-      });
-    }
-    if (calls_.size() >= kConnections) {
-      const auto oldest = calls_.front();
-      oldest->close();
+      return accept();  // the error concerns the first pending connection, which is closed
+    if (ec)
+      return retryAcceptLater();
+    if (connections_.size() >= kMaxConnections) {
+      closeOldest();
     }
     socket.non_blocking(true, ec);
-    calls_.push_back(std::make_shared<Call>(*this, std::move(socket)));
-    calls_.back()->start();
+    connections_.push_back(std::make_shared<Connection>(*this, std::move(socket)));
+    connections_.back()->start();
   }
 }
 
-void Management::sweep() {
+// With no descriptor free the listener stays readable, so accepting again at once would spin.
+void Management::retryAcceptLater() {
+  if (!connections_.empty())
+    closeOldest();
+  acceptRetryTimer_.expires_after(kAcceptRetryDelay);
+  acceptRetryTimer_.async_wait([this](error_code waitError) {
+    if (!waitError)
+      accept();
+  });
+}
+
+void Management::closeOldest() {
+  const auto oldest = connections_.front();  // close() removes it from the list
+  oldest->close();
+}
+
+void Management::closeOverdue() {
   const auto now = Clock::now();
-  while (!calls_.empty() && calls_.front()->overdue(now)) {
-    const auto oldest = calls_.front();
-    oldest->close();
+  while (!connections_.empty() && connections_.front()->isOverdue(now)) {
+    closeOldest();
   }
-  sweeper_.expires_after(kSweep);
-  sweeper_.async_wait([this](error_code ec) {
+  sweepTimer_.expires_after(kSweepInterval);
+  sweepTimer_.async_wait([this](error_code ec) {
     if (!ec)
-      sweep();
+      closeOverdue();
   });
 }
 
--- a/src/gateway/management.hpp
+++ b/src/gateway/management.hpp
@@ -1,4 +1,5 @@
-// The operators' side: a second listener that answers one call a connection. Reads figures, decides nothing.
+/// The management endpoint for operators: a second listener that serves one request per connection. It only
+/// reads figures.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,16 +16,16 @@
 
 class Management {
  public:
-  static constexpr std::size_t kConnections = 8;  // the longest unfinished one makes room for the next
+  static constexpr std::size_t kMaxConnections = 8;  ///< beyond it the oldest is closed
   struct Callbacks {
-    std::function<bool()> ready;
-    std::function<std::string()> stats, metrics;
-    std::function<std::string()> fleet = {};  // its text is empty while that part is off
+    std::function<bool()> isReady;
+    std::function<std::string()> renderStatistics, renderMetrics;
+    std::function<std::string()> renderFleet = {};  ///< empty text while membership is off
   };
 
-  // Listens at once. Throws boost::system::system_error.
+  /// Starts listening. Throws boost::system::system_error. `connectionLifetime` bounds each connection.
   Management(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen, Callbacks callbacks,
-             std::chrono::milliseconds whole = std::chrono::milliseconds(2500));
+             std::chrono::milliseconds connectionLifetime = std::chrono::milliseconds(2500));
   ~Management();
   Management(const Management&) = delete;
   Management& operator=(const Management&) = delete;
@@ -32,18 +33,20 @@
   boost::asio::ip::tcp::endpoint listening() const { return acceptor_.local_endpoint(); }
 
  private:
-  class Call;
+  class Connection;
 
   void accept();
-  void takeWaiting();
-  void sweep();
+  void acceptPending();
+  void retryAcceptLater();
+  void closeOldest();
+  void closeOverdue();
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::acceptor acceptor_;
   Callbacks callbacks_;
-  std::chrono::milliseconds whole_;  // a connection lasts so long at most
-  boost::asio::steady_timer sweeper_, again_;
-  std::list<std::shared_ptr<Call>> calls_;  // the oldest first
+  std::chrono::milliseconds connectionLifetime_;
+  boost::asio::steady_timer sweepTimer_, acceptRetryTimer_;
+  std::list<std::shared_ptr<Connection>> connections_;  // the oldest first
 };
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/request_metrics.cpp
+++ b/src/gateway/request_metrics.cpp
@@ -6,9 +6,9 @@
 namespace hollyrun::gateway {
 namespace {
 
-constexpr std::array<std::string_view, kOutcomes> kOutcomeNames = {
+constexpr std::array<std::string_view, kOutcomeCount> kOutcomeNames = {
     "served", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "not_sent"};
-constexpr std::array<std::string_view, balancer::kRejectReasonCount> kGiveUpNames = {
+constexpr std::array<std::string_view, balancer::kRejectReasonCount> kRejectReasonNames = {
     "none",           "cutoff",  "out_of_time",  "attempts_used",
     "queue_too_long", "no_host", "retry_budget", "not_wanted"};
 constexpr std::string_view kClosedUnanswered = "closed_unanswered";
@@ -21,7 +21,8 @@
   return family;
 }
 
-void add(prometheus::MetricFamily& family, const char* label, std::string_view value, std::uint64_t count) {
+void addCounter(prometheus::MetricFamily& family, const char* label, std::string_view value,
+                std::uint64_t count) {
   prometheus::ClientMetric& metric = family.metric.emplace_back();
   metric.label = {{label, std::string(value)}};
   metric.counter.value = static_cast<double>(count);
@@ -34,33 +35,33 @@
 }
 
 std::string_view nameOf(balancer::RejectReason reason) {
-  return kGiveUpNames[static_cast<std::size_t>(reason)];
+  return kRejectReasonNames[static_cast<std::size_t>(reason)];
 }
 
-std::vector<prometheus::MetricFamily> metricsOf(const RequestCounters& counters,
-                                                const balancer::DispatchGuard& guard,
-                                                const CloseCounts& closed) {
+std::vector<prometheus::MetricFamily> collectRequestMetrics(const RequestCounters& counters,
+                                                            const balancer::DispatchGuard& guard,
+                                                            const CloseCounts& closed) {
   auto attempts = counterFamily("hollyrun_attempts_ended_total", "Attempts that have ended, by outcome.");
-  for (std::size_t i = 0; i < kOutcomes; ++i)
-    add(attempts, "outcome", kOutcomeNames[i], counters.attemptsEnded[i]);
-  auto givenUp = counterFamily("hollyrun_given_up_total", "Requests refused or failed here, by reason.");
+  for (std::size_t i = 0; i < kOutcomeCount; ++i)
+    addCounter(attempts, "outcome", kOutcomeNames[i], counters.attemptOutcomes[i]);
+  auto rejections = counterFamily("hollyrun_given_up_total", "Requests refused or failed here, by reason.");
   for (std::size_t i = 1; i < balancer::kRejectReasonCount; ++i)
-    add(givenUp, "reason", kGiveUpNames[i], counters.givenUp[i]);
+    addCounter(rejections, "reason", kRejectReasonNames[i], counters.rejections[i]);
   auto denied = counterFamily("hollyrun_dispatch_denied_total", "Attempts denied as they began, by reason.");
   auto violations =
       counterFamily("hollyrun_violations_total", "Broken rules, by rule. Each is a fault of this program.");
   for (std::size_t i = 0; i < balancer::kDenialReasonCount; ++i) {
     const auto reason = static_cast<balancer::DenialReason>(i);
     auto& family = balancer::isViolation(reason) ? violations : denied;
-    add(family, balancer::isViolation(reason) ? "rule" : "reason", balancer::nameOf(reason),
-        guard.denied(reason));
+    addCounter(family, balancer::isViolation(reason) ? "rule" : "reason", balancer::nameOf(reason),
+               guard.denied(reason));
   }
-  add(violations, "rule", kClosedUnanswered, counters.closedUnanswered);
+  addCounter(violations, "rule", kClosedUnanswered, counters.closedUnanswered);
   auto closes = counterFamily("hollyrun_client_connections_closed_total",
                               "Clients' connections, by reason of their end.");
   for (std::size_t i = 0; i < kCloseReasons; ++i)
-    add(closes, "reason", nameOf(static_cast<CloseReason>(i)), closed[i]);
-  return {std::move(attempts), std::move(givenUp), std::move(denied), std::move(violations),
+    addCounter(closes, "reason", nameOf(static_cast<CloseReason>(i)), closed[i]);
+  return {std::move(attempts), std::move(rejections), std::move(denied), std::move(violations),
           std::move(closes)};
 }
 
--- a/src/gateway/server_start_times.cpp
+++ b/src/gateway/server_start_times.cpp
@@ -9,10 +9,10 @@
 using balancer::Time;
 
 // A start that is known but lies before the balancer's clock began.
-constexpr Time kBeforeAll{1};
+constexpr Time kEarliestStart{1};
 
-std::chrono::nanoseconds unixTimeOf(std::int64_t bootMs) {
-  return std::chrono::milliseconds(bootMs);
+std::chrono::nanoseconds toUnixTime(std::int64_t startUnixMs) {
+  return std::chrono::milliseconds(startUnixMs);
 }
 
 }  // namespace
@@ -20,57 +20,58 @@
 ServerStartTimes::ServerStartTimes(const Clocks& atStart)
     : offsetAtStart_(atStart.monotonic - atStart.unix) {}
 
-std::vector<Time> ServerStartTimes::of(const EndpointList& list, Source source, const Clocks& now) {
-  for (const ListedHost& host : list.hosts)
-    bound(host, now);
+std::vector<Time> ServerStartTimes::startTimesOf(const EndpointList& list, Source source, const Clocks& now) {
+  for (const ListedEndpoint& endpoint : list.endpoints)
+    updateOffsetBounds(endpoint, now);
   std::vector<Time> starts;
-  starts.reserve(list.hosts.size());
-  for (const ListedHost& host : list.hosts) {
-    if (host.bootMs <= 0) {
-      known_.erase(host.uid);
+  starts.reserve(list.endpoints.size());
+  for (const ListedEndpoint& endpoint : list.endpoints) {
+    if (endpoint.startUnixMs <= 0) {
+      startByUid_.erase(endpoint.uid);
       starts.push_back(Time{});
       continue;
     }
-    const auto [it, fresh] = known_.try_emplace(host.uid);
-    if (fresh || it->second.bootMs != host.bootMs) {
-      const Time start = std::clamp(unixTimeOf(host.bootMs) + offset(now), kBeforeAll, now.monotonic);
-      it->second = {host.bootMs, start};
+    const auto [it, isNew] = startByUid_.try_emplace(endpoint.uid);
+    if (isNew || it->second.startUnixMs != endpoint.startUnixMs) {
+      const Time start =
+          std::clamp(toUnixTime(endpoint.startUnixMs) + estimateOffset(now), kEarliestStart, now.monotonic);
+      it->second = {endpoint.startUnixMs, start};
     }
     starts.push_back(it->second.start);
   }
-  if (list.full)
-    forgetAllBut(list);
+  if (list.snapshot)
+    forgetUnlisted(list);
   if (source == Source::discovery)
-    lastAnswer_ = now.monotonic;
+    lastDiscoveryAnswer_ = now.monotonic;
   return starts;
 }
 
-// What a start that is told now says of the distance of the two clocks.
-void ServerStartTimes::bound(const ListedHost& host, const Clocks& now) {
-  if (host.bootMs <= 0)
+// What a start that is listed now implies for the offset of the two clocks.
+void ServerStartTimes::updateOffsetBounds(const ListedEndpoint& endpoint, const Clocks& now) {
+  if (endpoint.startUnixMs <= 0)
     return;
-  most_ = std::min(most_, now.monotonic - unixTimeOf(host.bootMs));
-  const auto known = known_.find(host.uid);
-  const bool appears = known == known_.end() || known->second.bootMs != host.bootMs;
-  if (!appears || !lastAnswer_)
+  maxOffset_ = std::min(maxOffset_, now.monotonic - toUnixTime(endpoint.startUnixMs));
+  const auto known = startByUid_.find(endpoint.uid);
+  const bool isNewProcess = known == startByUid_.end() || known->second.startUnixMs != endpoint.startUnixMs;
+  if (!isNewProcess || !lastDiscoveryAnswer_)
     return;
-  const Offset least = *lastAnswer_ - unixTimeOf(host.bootMs);
-  least_ = std::max(least_.value_or(least), least);
+  const Offset bound = *lastDiscoveryAnswer_ - toUnixTime(endpoint.startUnixMs);
+  minOffset_ = std::max(minOffset_.value_or(bound), bound);
 }
 
-// Of the distance at the start and the one now, which differ once the wall clock was stepped, the one that
-// makes servers younger.
-ServerStartTimes::Offset ServerStartTimes::offset(const Clocks& now) const {
+// Of the offset at the start and the one now, which differ once the wall clock was stepped, the one that
+// makes hosts younger.
+ServerStartTimes::Offset ServerStartTimes::estimateOffset(const Clocks& now) const {
   const Offset wall = std::max(offsetAtStart_, now.monotonic - now.unix);
-  const bool contradicted = least_ && wall < *least_;
-  return contradicted ? most_ : std::min(wall, most_);
+  const bool contradicted = minOffset_ && wall < *minOffset_;
+  return contradicted ? maxOffset_ : std::min(wall, maxOffset_);
 }
 
-void ServerStartTimes::forgetAllBut(const EndpointList& list) {
+void ServerStartTimes::forgetUnlisted(const EndpointList& list) {
   std::unordered_set<std::string_view> listed;
-  for (const ListedHost& host : list.hosts)
-    listed.insert(host.uid);
-  std::erase_if(known_, [&](const auto& entry) { return !listed.contains(entry.first); });
+  for (const ListedEndpoint& endpoint : list.endpoints)
+    listed.insert(endpoint.uid);
+  std::erase_if(startByUid_, [&](const auto& entry) { return !listed.contains(entry.first); });
 }
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/statistics.cpp
+++ b/src/gateway/statistics.cpp
@@ -10,50 +10,62 @@
 namespace {
 
 // Seconds. From a warm answer to the longest that a client waits, doubled each time.
-const prometheus::Histogram::BucketBoundaries kBuckets{0.002, 0.004, 0.008, 0.016, 0.032, 0.064,
-                                                       0.128, 0.256, 0.512, 1.024, 2.048};
-constexpr const char* kEnds[] = {"success", "busy", "failure"};
+const prometheus::Histogram::BucketBoundaries kDurationBuckets{0.002, 0.004, 0.008, 0.016, 0.032, 0.064,
+                                                               0.128, 0.256, 0.512, 1.024, 2.048};
+constexpr const char* kOutcomeNames[] = {"success", "busy", "failure"};
 
-prometheus::MetricFamily family(const char* name, const char* help, prometheus::MetricType type) {
-  prometheus::MetricFamily f;
-  f.name = std::string("hollyrun_") + name;
-  f.help = help;
-  f.type = type;
-  return f;
+prometheus::MetricFamily makeFamily(const char* name, const char* help, prometheus::MetricType type) {
+  prometheus::MetricFamily family;
+  family.name = std::string("hollyrun_") + name;
+  family.help = help;
+  family.type = type;
+  return family;
 }
 
 }  // namespace
 
-void Statistics::show(std::string_view name) {
-  if (!byName_.emplace(std::string(name), classes_.size()).second)
+void Statistics::registerClass(std::string_view name) {
+  if (!classIndexByName_.emplace(std::string(name), classes_.size()).second)
     return;
-  Class& c = classes_.emplace_back();
-  c.name = name;
-  for (auto& times : c.times)
-    times = std::make_unique<prometheus::Histogram>(kBuckets);
+  ClassStatistics& added = classes_.emplace_back();
+  added.name = name;
+  for (auto& histogram : added.durations)
+    histogram = std::make_unique<prometheus::Histogram>(kDurationBuckets);
 }
 
-std::size_t Statistics::classOf(std::string_view name) const {
-  const auto it = byName_.find(std::string(name));
-  return it == byName_.end() ? kNoClass : it->second;
+std::size_t Statistics::findClass(std::string_view name) const {
+  const auto it = classIndexByName_.find(std::string(name));
+  return it == classIndexByName_.end() ? kNoClass : it->second;
 }
 
-const std::string& Statistics::nameOf(std::size_t cls) const {
+const std::string& Statistics::nameOf(std::size_t classIndex) const {
   static const std::string none = "-";
-  return cls < classes_.size() ? classes_[cls].name : none;
+  return classIndex < classes_.size() ? classes_[classIndex].name : none;
 }
 
-const char* Statistics::nameOf(End end) {
-  return kEnds[static_cast<std::size_t>(end)];
+const char* Statistics::nameOf(Outcome outcome) {
+  return kOutcomeNames[static_cast<std::size_t>(outcome)];
 }
 
-void Statistics::answered(std::size_t cls, End end, std::optional<std::chrono::nanoseconds> took) {
-  if (cls == kNoClass)
+void Statistics::recordOutcome(std::size_t classIndex, Outcome outcome,
+                               std::optional<std::chrono::nanoseconds> duration) {
+  if (classIndex == kNoClass)
     return;
-  Class& c = classes_[cls];
-  if (took)
-    c.times[static_cast<std::size_t>(end)]->Observe(std::chrono::duration<double>(*took).count());
-  ++(end == End::success ? c.success : end == End::busy ? c.busy : c.failure);
+  ClassStatistics& statistics = classes_[classIndex];
+  if (duration)
+    statistics.durations[static_cast<std::size_t>(outcome)]->Observe(
+        std::chrono::duration<double>(*duration).count());
+  switch (outcome) {
+    case Outcome::success:
+      ++statistics.success;
+      break;
+    case Outcome::busy:
+      ++statistics.busy;
+      break;
+    case Outcome::failure:
+      ++statistics.failure;
+      break;
+  }
 }
 
 std::string Statistics::render(const Gauges& gauges) const {
@@ -61,52 +73,53 @@
   const auto line = [&](const std::string& name, std::uint64_t value) {
     text += "app." + name + "=" + std::to_string(value) + "\n";
   };
-  for (const Class& c : classes_)
-    line("success." + c.name, c.success);
-  for (const Class& c : classes_)
-    line("busy." + c.name, c.busy);
-  for (const Class& c : classes_)
-    line("failure." + c.name, c.failure);
-  line("backend_calls", gauges.backendCalls);
-  line("inflight", inflight_);
-  line("hosts_listed", gauges.hostsListed);
-  line("hosts_down", gauges.hostsDown);
-  line("reconfig_ok", reconfigOk_);
-  line("reconfig_failed", reconfigFailed_);
+  for (const ClassStatistics& requestClass : classes_)
+    line("success." + requestClass.name, requestClass.success);
+  for (const ClassStatistics& requestClass : classes_)
+    line("busy." + requestClass.name, requestClass.busy);
+  for (const ClassStatistics& requestClass : classes_)
+    line("failure." + requestClass.name, requestClass.failure);
+  line("backend_calls", gauges.upstreamAttempts);
+  line("inflight", inFlight_);
+  line("hosts_listed", gauges.endpointsListed);
+  line("hosts_down", gauges.endpointsUnavailable);
+  line("reconfig_ok", reloadsApplied_);
+  line("reconfig_failed", reloadsRejected_);
   return text;
 }
 
-std::string Statistics::metrics(const Gauges& gauges, std::vector<prometheus::MetricFamily> more) const {
+std::string Statistics::metrics(const Gauges& gauges, std::vector<prometheus::MetricFamily> families) const {
   using prometheus::MetricType;
-  std::vector<prometheus::MetricFamily>& families = more;
-  auto requests = family("requests_total", "Requests answered, by class and outcome.", MetricType::Counter);
-  auto times =
-      family("request_seconds", "From a request's last byte to its answer's last.", MetricType::Histogram);
-  for (const Class& c : classes_) {
-    const std::uint64_t counts[] = {c.success, c.busy, c.failure};
-    for (std::size_t end = 0; end < c.times.size(); ++end) {
-      prometheus::ClientMetric counted, timed = c.times[end]->Collect();
-      counted.label = timed.label = {{"class", c.name}, {"outcome", kEnds[end]}};
-      counted.counter.value = static_cast<double>(counts[end]);
+  auto requests =
+      makeFamily("requests_total", "Requests answered, by class and outcome.", MetricType::Counter);
+  auto times = makeFamily("request_seconds", "From a request's last byte to its answer's last.",
+                          MetricType::Histogram);
+  for (const ClassStatistics& requestClass : classes_) {
+    const std::uint64_t counts[] = {requestClass.success, requestClass.busy, requestClass.failure};
+    for (std::size_t outcome = 0; outcome < requestClass.durations.size(); ++outcome) {
+      prometheus::ClientMetric counted, timed = requestClass.durations[outcome]->Collect();
+      counted.label = timed.label = {{"class", requestClass.name}, {"outcome", kOutcomeNames[outcome]}};
+      counted.counter.value = static_cast<double>(counts[outcome]);
       requests.metric.push_back(std::move(counted));
       times.metric.push_back(std::move(timed));
     }
   }
   families.push_back(std::move(requests));
   families.push_back(std::move(times));
-  const auto one = [&](const char* name, const char* help, MetricType type, std::uint64_t value) {
-    auto f = family(name, help, type);
-    prometheus::ClientMetric& metric = f.metric.emplace_back();
+  const auto addSingle = [&](const char* name, const char* help, MetricType type, std::uint64_t value) {
+    auto family = makeFamily(name, help, type);
+    prometheus::ClientMetric& metric = family.metric.emplace_back();
     (type == MetricType::Counter ? metric.counter.value : metric.gauge.value) = static_cast<double>(value);
-    families.push_back(std::move(f));
+    families.push_back(std::move(family));
   };
-  one("backend_calls_total", "Attempts written whole to record servers.", MetricType::Counter,
-      gauges.backendCalls);
-  one("inflight", "Requests taken and not ended.", MetricType::Gauge, inflight_);
-  one("hosts_listed", "Record servers in the list.", MetricType::Gauge, gauges.hostsListed);
-  one("hosts_down", "Of these, the ones that are avoided now.", MetricType::Gauge, gauges.hostsDown);
-  one("reconfig_ok_total", "Files taken at SIGHUP.", MetricType::Counter, reconfigOk_);
-  one("reconfig_failed_total", "Files turned down at SIGHUP.", MetricType::Counter, reconfigFailed_);
+  addSingle("backend_calls_total", "Attempts written whole to record servers.", MetricType::Counter,
+            gauges.upstreamAttempts);
+  addSingle("inflight", "Requests taken and not ended.", MetricType::Gauge, inFlight_);
+  addSingle("hosts_listed", "Record servers in the list.", MetricType::Gauge, gauges.endpointsListed);
+  addSingle("hosts_down", "Of these, the ones that are avoided now.", MetricType::Gauge,
+            gauges.endpointsUnavailable);
+  addSingle("reconfig_ok_total", "Files taken at SIGHUP.", MetricType::Counter, reloadsApplied_);
+  addSingle("reconfig_failed_total", "Files turned down at SIGHUP.", MetricType::Counter, reloadsRejected_);
   std::ostringstream out;
   prometheus::TextSerializer().Serialize(out, families);
   return out.str();
--- a/src/gateway/statistics.hpp
+++ b/src/gateway/statistics.hpp
@@ -1,4 +1,5 @@
-// Counters from the start of the process, kept where a thing ends and rendered when asked for.
+/// Counters of requests by class and outcome since the start of the process, as the operators' pages show
+/// them.
 #pragma once
 
 #include <prometheus/histogram.h>
@@ -19,40 +20,52 @@
 
 class Statistics {
  public:
-  enum class End { success, busy, failure };  // as the client received it
+  /// How a request ended, as its client saw it. The texts that nameOf() returns are label values of /metrics.
+  enum class Outcome { success, busy, failure };
+  enum class ReloadResult { applied, rejected };
   static constexpr std::size_t kNoClass = SIZE_MAX;
 
-  struct Gauges {  // read from their owners when the text is rendered
-    std::uint64_t backendCalls = 0;
-    std::size_t hostsListed = 0, hostsDown = 0;
+  /// Read from their owners when the text is rendered.
+  struct Gauges {
+    std::uint64_t upstreamAttempts = 0;  ///< attempts written up to their last byte
+    std::size_t endpointsListed = 0;
+    std::size_t endpointsUnavailable = 0;  ///< of the listed ones
   };
 
-  // Each class shows from here on with its counts, also once no settings name it any more.
-  void show(std::string_view name);
-  std::size_t classOf(std::string_view name) const;  // kNoClass if never shown
+  /// The class is reported from here on, also once no settings name it any more.
+  void registerClass(std::string_view name);
+  /// kNoClass if it was never registered.
+  std::size_t findClass(std::string_view name) const;
 
-  const std::string& nameOf(std::size_t cls) const;  // "-" for kNoClass
-  static const char* nameOf(End end);
+  /// "-" for kNoClass.
+  const std::string& nameOf(std::size_t classIndex) const;
+  static const char* nameOf(Outcome outcome);
 
-  void taken() { ++inflight_; }
-  void ended() { --inflight_; }  // one that was taken
-  /// `took`: from the request's last byte to its answer's last; none for what was turned away for its form.
-  void answered(std::size_t cls, End end, std::optional<std::chrono::nanoseconds> took);
-  void reconfigured(bool taken) { ++(taken ? reconfigOk_ : reconfigFailed_); }
+  void incrementInFlight() { ++inFlight_; }
+  void decrementInFlight() { --inFlight_; }
+  /// `duration`: from the request's last byte to its answer's last; none for a request that was rejected by
+  /// validation.
+  void recordOutcome(std::size_t classIndex, Outcome outcome,
+                     std::optional<std::chrono::nanoseconds> duration);
+  void recordReload(ReloadResult result) {
+    ++(result == ReloadResult::applied ? reloadsApplied_ : reloadsRejected_);
+  }
 
-  std::string render(const Gauges& gauges) const;  // a line app.NAME[.CLASS]=N for each
-  // The same and the times, as Prometheus text, with what other parts have to show.
-  std::string metrics(const Gauges& gauges, std::vector<prometheus::MetricFamily> more = {}) const;
+  /// A line app.NAME[.CLASS]=N for each figure.
+  std::string render(const Gauges& gauges) const;
+  /// The same and the durations as Prometheus text, together with the families of other components.
+  std::string metrics(const Gauges& gauges, std::vector<prometheus::MetricFamily> families = {}) const;
 
  private:
-  struct Class {
+  struct ClassStatistics {
     std::string name;
     std::uint64_t success = 0, busy = 0, failure = 0;
-    std::array<std::unique_ptr<prometheus::Histogram>, 3> times;  // by End, in seconds
+    std::array<std::unique_ptr<prometheus::Histogram>, 3> durations;  // by Outcome, in seconds
   };
-  std::vector<Class> classes_;
-  std::unordered_map<std::string, std::size_t> byName_;
-  std::uint64_t inflight_ = 0, reconfigOk_ = 0, reconfigFailed_ = 0;
+  std::vector<ClassStatistics> classes_;
+  std::unordered_map<std::string, std::size_t> classIndexByName_;
+  std::uint64_t inFlight_ = 0;
+  std::uint64_t reloadsApplied_ = 0, reloadsRejected_ = 0;
 };
 
 }  // namespace hollyrun::gateway
--- a/src/lab/rig/hollow_gateway.cpp
+++ b/src/lab/rig/hollow_gateway.cpp
@@ -83,9 +83,9 @@
 
 void HollowGateway::told(const EndpointList& list) {
   revision_ = list.version;
-  if (list.full)
+  if (list.snapshot)
     ++wholeLists_;
-  balancer_.onEndpoints(now(), list.full ? EndpointListKind::snapshot : EndpointListKind::delta, {});
+  balancer_.onEndpoints(now(), list.snapshot ? EndpointListKind::snapshot : EndpointListKind::delta, {});
   carryOut();
   changed_();
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -63,9 +63,9 @@
   Config config = readConfig(environment);
   Log log(config.name, config.log);
   warn(config, log);
-  Gateway::Waits waits;
-  waits.abortOnViolation = environment("HOLLYRUN_ABORT_ON_VIOLATION") != nullptr;  // for soaks
-  Gateway gateway(io, config, waits, log);
+  Gateway::Options options;
+  options.abortOnViolation = environment("HOLLYRUN_ABORT_ON_VIOLATION") != nullptr;  // for soaks
+  Gateway gateway(io, config, options, log);
   reloadAtEach(hangups, gateway, config, environment, log);
   stops.async_wait([&](boost::system::error_code ec, int) {
     if (!ec)
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -41,7 +41,7 @@
   EXPECT_EQ(c.module.streamsPerConnection, 1u) << "on sockets a connection carries one request at a time";
   ASSERT_TRUE(c.known);
   EXPECT_EQ(c.known->version, 41);
-  EXPECT_EQ(c.known->hosts.at(0).state, HostState::draining);
+  EXPECT_EQ(c.known->endpoints.at(0).state, balancer::EndpointState::draining);
 }
 
 TEST(Config, AVariableGoesBeforeTheFile) {
@@ -102,12 +102,12 @@
 
 TEST(EndpointList, WhatContradictsItselfIsNoList) {
   const json good = {{"rev", 3}, {"all", true}, {"targets", {target("s-1", loopback(81))}}};
-  EXPECT_EQ(parseHostList(good).hosts.size(), 1u);
-  EXPECT_TRUE(parseHostList({{"rev", 3}, {"all", true}, {"targets", json::array()}}).hosts.empty());
+  EXPECT_EQ(parseEndpointList(good).endpoints.size(), 1u);
+  EXPECT_TRUE(parseEndpointList({{"rev", 3}, {"all", true}, {"targets", json::array()}}).endpoints.empty());
   const auto bad = [&](const char* where, const json& value) {
     json j = good;
     j[json::json_pointer(where)] = value;
-    EXPECT_THROW(parseHostList(j), std::invalid_argument) << where << " " << value;
+    EXPECT_THROW(parseEndpointList(j), std::invalid_argument) << where << " " << value;
   };
   for (const json& value : {json(nullptr), json::object(), json("x"), json(0)})
     bad("/targets", value);
@@ -115,7 +115,7 @@
   json changes = good;
   changes["all"] = false;
   changes["targets"].push_back(target("s-1", loopback(81), "a", "DRAINING"));
-  EXPECT_EQ(parseHostList(changes).hosts.size(), 2u) << "one host may change twice";
+  EXPECT_EQ(parseEndpointList(changes).endpoints.size(), 2u) << "one host may change twice";
   for (const json& value : {json(-1), json(1.5), json("3"), json(true), json(1e300)}) {
     bad("/rev", value);
     bad("/targets/0/boot_ms", value);
@@ -171,9 +171,9 @@
 }
 
 TEST(EndpointList, RefusesNonsense) {
-  EXPECT_THROW(parseHostList(json::array()), std::invalid_argument);
-  EXPECT_THROW(parseHostList({{"rev", 1}}), std::invalid_argument);
-  EXPECT_THROW(parseHostList({{"rev", 1}, {"targets", {{{"uid", ""}, {"state", "SERVING"}}}}}),
+  EXPECT_THROW(parseEndpointList(json::array()), std::invalid_argument);
+  EXPECT_THROW(parseEndpointList({{"rev", 1}}), std::invalid_argument);
+  EXPECT_THROW(parseEndpointList({{"rev", 1}, {"targets", {{{"uid", ""}, {"state", "SERVING"}}}}}),
                std::invalid_argument);
   EXPECT_THROW(parseEndpoint("1.2.3.4"), std::invalid_argument);
   EXPECT_THROW(parseEndpoint("1.2.3.4:99999"), std::invalid_argument);
--- a/tests/gateway_fixture.hpp
+++ b/tests/gateway_fixture.hpp
@@ -15,7 +15,7 @@
   FakeDiscovery discovery{io};
   std::vector<std::unique_ptr<Peer>> hosts;
   json config = configJson();
-  Gateway::Waits waits{.clients = {}, .discovery = {}, .abortOnViolation = true};
+  Gateway::Options waits{.clients = {}, .discovery = {}, .abortOnViolation = true};
   Log log{"n0", {.level = LogLevel::off}};
   std::unique_ptr<Gateway> gateway;
   int serial = 0;
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -521,7 +521,7 @@
 
 TEST_F(GatewayTest, ALostWatchIsAskedAgainBeforeTheDrainGraceIsOver) {
   const std::chrono::milliseconds told{2000}, grace{1000}, backoff{1500};  // the module's after one failure
-  EXPECT_LE(Discovery::Waits{}.answer + backoff, told + grace);
+  EXPECT_LE(Discovery::Timeouts{}.answer + backoff, told + grace);
 }
 
 TEST_F(GatewayTest, AMovedDiscoveryIsWatchedAtItsNewAddress) {
--- a/tests/management_test.cpp
+++ b/tests/management_test.cpp
@@ -83,7 +83,7 @@
   addHost("a", always(answerText(200, "", "")));
   start();
   std::vector<std::shared_ptr<Client>> silent;
-  for (std::size_t i = 0; i < 3 * Management::kConnections; ++i) {
+  for (std::size_t i = 0; i < 3 * Management::kMaxConnections; ++i) {
     silent.push_back(caller());
     if (i % 2)
       silent.back()->send("GET /ops/st");
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -25,7 +25,6 @@
 
 using gateway::Discovery;
 using gateway::EndpointList;
-using gateway::HostState;
 
 constexpr std::uint32_t kTestAddresses = 0x7f3c0001;  // 127.60.0.1, where no rig has its servers
 std::string program, lab;                             // set once, by main
@@ -203,7 +202,7 @@
     client.emplace(io, discovery.endpoint(address),
                    Discovery::Callbacks{[this](const EndpointList& list) { told.push_back(list); },
                                         [this] { ++failures; }},
-                   Discovery::Waits{});
+                   Discovery::Timeouts{});
   }
 
   asio::io_context io;
@@ -216,16 +215,16 @@
 TEST_F(HollowDiscoveryTest, AClientTakesTheWholeListAndThenEachChange) {
   client->watch();
   ASSERT_TRUE(playUntil(io, [&] { return told.size() == 1; }));
-  EXPECT_TRUE(told[0].full);
-  EXPECT_EQ(told[0].hosts.size(), 30u);
+  EXPECT_TRUE(told[0].snapshot);
+  EXPECT_EQ(told[0].endpoints.size(), 30u);
   // A watch is asked for once the list was taken; the change may come before or after it.
   const std::int64_t revision = discovery.change(4);
   ASSERT_TRUE(playUntil(io, [&] { return told.size() == 2; }));
-  EXPECT_FALSE(told[1].full);
+  EXPECT_FALSE(told[1].snapshot);
   EXPECT_EQ(told[1].version, revision);
-  ASSERT_EQ(told[1].hosts.size(), 1u);
-  EXPECT_EQ(told[1].hosts[0].uid, "server-4");
-  EXPECT_EQ(told[1].hosts[0].state, HostState::draining);
+  ASSERT_EQ(told[1].endpoints.size(), 1u);
+  EXPECT_EQ(told[1].endpoints[0].uid, "server-4");
+  EXPECT_EQ(told[1].endpoints[0].state, balancer::EndpointState::draining);
   EXPECT_EQ(failures, 0u);
   const auto& counts = discovery.counts(address);
   EXPECT_EQ(counts.wholeLists, 1u);
@@ -245,15 +244,15 @@
   discovery.resume(false);
   client->watch();
   ASSERT_TRUE(playUntil(io, [&] { return told.size() == 2; }));
-  EXPECT_FALSE(told[1].full);
+  EXPECT_FALSE(told[1].snapshot);
   EXPECT_EQ(told[1].version, revision);
   discovery.suspend();
   ASSERT_TRUE(playUntil(io, [&] { return failures == 3; }));
   discovery.resume(true);
   client->watch();
   ASSERT_TRUE(playUntil(io, [&] { return told.size() == 3; }));
-  EXPECT_TRUE(told[2].full);
-  EXPECT_EQ(told[2].hosts.size(), 30u);
+  EXPECT_TRUE(told[2].snapshot);
+  EXPECT_EQ(told[2].endpoints.size(), 30u);
 }
 
 TEST(HollowServerTest, EachOfManyAddressesAnswers) {
--- a/tests/server_start_times_test.cpp
+++ b/tests/server_start_times_test.cpp
@@ -20,17 +20,17 @@
     return {kBegin + since, kTrueUnix + since + wrong};
   }
   // A server that really started `since` after the begin.
-  static ListedHost server(const std::string& uid, std::chrono::milliseconds since) {
-    ListedHost host;
+  static ListedEndpoint server(const std::string& uid, std::chrono::milliseconds since) {
+    ListedEndpoint host;
     host.uid = uid;
-    host.bootMs = (kTrueUnix + since).count();
+    host.startUnixMs = (kTrueUnix + since).count();
     return host;
   }
-  static EndpointList list(std::vector<ListedHost> hosts, bool full = true) {
-    return {.version = 1, .full = full, .hosts = std::move(hosts)};
+  static EndpointList list(std::vector<ListedEndpoint> hosts, bool snapshot = true) {
+    return {.version = 1, .snapshot = snapshot, .endpoints = std::move(hosts)};
   }
-  static ListedHost longAgo(const std::string& uid) {
-    ListedHost host;
+  static ListedEndpoint longAgo(const std::string& uid) {
+    ListedEndpoint host;
     host.uid = uid;
     return host;
   }
@@ -38,23 +38,23 @@
 
 TEST_F(StartTimes, AreThoseThatDiscoveryTellsWhileTheClockIsRight) {
   ServerStartTimes times(at(0s, 0s));
-  EXPECT_EQ(times.of(list({longAgo("a"), server("b", -3s)}), Source::discovery, at(1s, 0s)),
+  EXPECT_EQ(times.startTimesOf(list({longAgo("a"), server("b", -3s)}), Source::discovery, at(1s, 0s)),
             (std::vector<Time>{Time{}, kBegin - 3s}));
-  EXPECT_EQ(times.of(list({server("c", 4s)}, false), Source::discovery, at(5s, 0s)),
+  EXPECT_EQ(times.startTimesOf(list({server("c", 4s)}, false), Source::discovery, at(5s, 0s)),
             std::vector<Time>{kBegin + 4s});
 }
 
 TEST_F(StartTimes, StayTheSameForTheSameProcessWhateverTheClockDoes) {
   ServerStartTimes times(at(0s, 0s));
-  const auto before = times.of(list({server("a", -3s)}), Source::remembered, at(0s, 0s));
+  const auto before = times.startTimesOf(list({server("a", -3s)}), Source::cached, at(0s, 0s));
   for (const auto wrong : {-3600s, -5s, 5s, 3600s})
-    EXPECT_EQ(times.of(list({server("a", -3s)}), Source::discovery, at(2s, wrong)), before);
+    EXPECT_EQ(times.startTimesOf(list({server("a", -3s)}), Source::discovery, at(2s, wrong)), before);
 }
 
 TEST_F(StartTimes, AreNeverInTheFuture) {
   ServerStartTimes times(at(0s, -3600s));
   const auto starts =
-      times.of(list({server("a", -3s), server("b", -20s)}), Source::discovery, at(1s, -3600s));
+      times.startTimesOf(list({server("a", -3s), server("b", -20s)}), Source::discovery, at(1s, -3600s));
   EXPECT_EQ(starts[0], kBegin + 1s) << "the youngest is as young as can be";
   EXPECT_EQ(starts[1], kBegin - 16s) << "and the others are as much older as they were told";
 }
@@ -62,9 +62,9 @@
 TEST_F(StartTimes, OfAServerThatAppearsAreNotBeforeTheListWithoutIt) {
   for (const auto wrong : {5s, 3600s}) {
     ServerStartTimes times(at(0s, wrong));
-    times.of(list({longAgo("a")}), Source::discovery, at(1s, wrong));
-    times.of(list({}, false), Source::discovery, at(8s, wrong));
-    const auto starts = times.of(list({server("b", 8s)}, false), Source::discovery, at(9s, wrong));
+    times.startTimesOf(list({longAgo("a")}), Source::discovery, at(1s, wrong));
+    times.startTimesOf(list({}, false), Source::discovery, at(8s, wrong));
+    const auto starts = times.startTimesOf(list({server("b", 8s)}, false), Source::discovery, at(9s, wrong));
     EXPECT_GE(starts[0], kBegin + 8s);
     EXPECT_LE(starts[0], kBegin + 9s);
   }
@@ -72,16 +72,16 @@
 
 TEST_F(StartTimes, OfAServerThatStartsAnewAreNotBeforeTheListOfItsFormerProcess) {
   ServerStartTimes times(at(0s, 3600s));
-  times.of(list({server("a", -100s)}), Source::discovery, at(1s, 3600s));
-  const auto starts = times.of(list({server("a", 2s)}, false), Source::discovery, at(3s, 3600s));
+  times.startTimesOf(list({server("a", -100s)}), Source::discovery, at(1s, 3600s));
+  const auto starts = times.startTimesOf(list({server("a", 2s)}, false), Source::discovery, at(3s, 3600s));
   EXPECT_GE(starts[0], kBegin + 1s);
 }
 
 TEST_F(StartTimes, AClockThatIsSteppedDuringTheLifeMakesNoServerOlder) {
   for (const auto step : {-3600s, -5s, 5s, 3600s}) {
     ServerStartTimes times(at(0s, 0s));
-    times.of(list({longAgo("a")}), Source::discovery, at(1s, 0s));
-    const auto starts = times.of(list({server("b", 30s)}, false), Source::discovery, at(31s, step));
+    times.startTimesOf(list({longAgo("a")}), Source::discovery, at(1s, 0s));
+    const auto starts = times.startTimesOf(list({server("b", 30s)}, false), Source::discovery, at(31s, step));
     EXPECT_GE(starts[0], kBegin + 30s) << step.count();
     EXPECT_LE(starts[0], kBegin + 31s) << step.count();
   }
@@ -89,21 +89,22 @@
 
 TEST_F(StartTimes, AListThatWasRememberedBoundsNothingFromBelow) {
   ServerStartTimes times(at(0s, 0s));
-  times.of(list({}), Source::remembered, at(0s, 0s));  // it may be of any age
-  EXPECT_EQ(times.of(list({server("a", -3s)}), Source::discovery, at(1s, 0s)),
+  times.startTimesOf(list({}), Source::cached, at(0s, 0s));  // it may be of any age
+  EXPECT_EQ(times.startTimesOf(list({server("a", -3s)}), Source::discovery, at(1s, 0s)),
             std::vector<Time>{kBegin - 3s});
 }
 
 TEST_F(StartTimes, OfAServerThatWasOnceGoneAreJudgedAnew) {
   ServerStartTimes times(at(0s, 3600s));
-  times.of(list({server("a", -100s)}), Source::discovery, at(1s, 3600s));
-  times.of(list({longAgo("b")}), Source::discovery, at(2s, 3600s));
-  EXPECT_GE(times.of(list({server("a", 3s)}, false), Source::discovery, at(4s, 3600s))[0], kBegin + 2s);
+  times.startTimesOf(list({server("a", -100s)}), Source::discovery, at(1s, 3600s));
+  times.startTimesOf(list({longAgo("b")}), Source::discovery, at(2s, 3600s));
+  EXPECT_GE(times.startTimesOf(list({server("a", 3s)}, false), Source::discovery, at(4s, 3600s))[0],
+            kBegin + 2s);
 }
 
 TEST_F(StartTimes, BeforeTheClockBeganAreStillStarts) {
   ServerStartTimes times(at(0s, 0s));
-  EXPECT_GT(times.of(list({server("a", -48h)}), Source::discovery, at(1s, 0s))[0], Time{});
+  EXPECT_GT(times.startTimesOf(list({server("a", -48h)}), Source::discovery, at(1s, 0s))[0], Time{});
 }
 
 }  // namespace
