--- a/src/gateway/downstream_server.cpp
+++ b/src/gateway/downstream_server.cpp
@@ -52,6 +52,10 @@
 // Sessions whose socket is asked for unread bytes in a search for room; the next turn reads what these have.
 constexpr std::size_t kRoomCandidates = 16;
 
+RejectionKind kindOf(http::status status) {
+  return status == http::status::service_unavailable ? RejectionKind::overloaded : RejectionKind::invalid;
+}
+
 }  // namespace
 
 class DownstreamServer::Session : public std::enable_shared_from_this<Session> {
@@ -104,7 +108,7 @@
     const bool owed = state_ == State::waiting || state_ == State::uploading;
     const bool excused = reason == CloseReason::clientLeft || reason == CloseReason::processEnd;
     if (owed && !excused)
-      server_->callbacks_.closedUnanswered(exchange_, counted);
+      server_->observer_.onClosedUnanswered(exchange_, counted);
     enter(State::closed);
     error_code ignored;
     socket_.close(ignored);
@@ -127,9 +131,11 @@
     watch();
   }
 
-  bool idle() const { return state_ == State::idle && !unread(socket_); }
+  bool idle() const { return state_ == State::idle && !hasUnreadBytes(socket_); }
   // A part of a request has come, and nothing waits to be read.
-  bool unfinished() const { return (state_ == State::head || state_ == State::body) && !unread(socket_); }
+  bool unfinished() const {
+    return (state_ == State::head || state_ == State::body) && !hasUnreadBytes(socket_);
+  }
   bool fresh(Clock::time_point now) const { return first_ && now - connected_ <= kFresh; }
   Clock::time_point lastCame() const { return lastCame_; }
 
@@ -151,7 +157,7 @@
     const DownstreamRequestId exchange = exchange_;
     server_->waiting_.erase(exchange);
     close(CloseReason::clientLeft);
-    server_->callbacks_.gone(exchange);
+    server_->observer_.onClientDisconnected(exchange);
   }
 
   // What has to happen by itself, looked for from time to time.
@@ -423,12 +429,12 @@
       return watch();
     if (state_ == State::uploading)
       return uploadCame();
-    ClientRequest request = handOver(State::waiting);
+    DownstreamRequest request = handOver(State::waiting);
     request.message.body() = std::move(parser_->get().body());
     held_.resize(request.message.body().size());
-    request.held = std::move(held_);
+    request.reservation = std::move(held_);
     watchAhead();
-    server_->callbacks_.request(std::move(request));
+    server_->observer_.onRequest(std::move(request));
   }
 
   // False if it was answered.
@@ -509,11 +515,11 @@
       self->watch();
     };
     const auto keep = shared_from_this();
-    ClientRequest request = handOver(State::uploading);
+    DownstreamRequest request = handOver(State::uploading);
     request.upload = upload_;
     if (const auto length = parser_->content_length())
-      request.length = *length;
-    server_->callbacks_.request(std::move(request));
+      request.uploadLength = *length;
+    server_->observer_.onRequest(std::move(request));
   }
 
   void uploadCame() {
@@ -523,20 +529,20 @@
     enter(State::waiting);
     watchAhead();
     const DownstreamRequestId exchange = exchange_;
-    server_->callbacks_.uploaded(exchange);
+    server_->observer_.onUploadComplete(exchange);
     upload->finish();
   }
 
-  ClientRequest handOver(State next) {
+  DownstreamRequest handOver(State next) {
     keepAlive_ = parser_->get().keep_alive();
     first_ = first_ && !parser_->is_done();
     enter(next);
     exchange_ = ++server_->lastExchange_;
     server_->waiting_.emplace(exchange_, shared_from_this());
-    ClientRequest request;
-    request.exchange = exchange_;
+    DownstreamRequest request;
+    request.id = exchange_;
     request.message.base() = std::move(parser_->get().base());
-    request.came = lastCame_;
+    request.receivedAt = lastCame_;
     return request;
   }
 
@@ -551,9 +557,9 @@
     buffer_.consume(buffer_.size());
     answer(std::move(response), nullptr);
     if (known)
-      server_->callbacks_.gone(exchange);
+      server_->observer_.onClientDisconnected(exchange);
     else
-      server_->callbacks_.refused(target, status == http::status::service_unavailable);
+      server_->observer_.onLocalRejection(target, kindOf(status));
     watch();
     return false;
   }
@@ -588,12 +594,12 @@
   bool feeding_ = false, lastChunk_ = false;
 };
 
-DownstreamServer::DownstreamServer(asio::io_context& io, Limits limits, Callbacks callbacks,
+DownstreamServer::DownstreamServer(asio::io_context& io, Limits limits, DownstreamObserver& observer,
                                    std::shared_ptr<MemoryBudget> budget)
     : io_(io),
       acceptor_(io),
       limits_(limits),
-      callbacks_(std::move(callbacks)),
+      observer_(observer),
       budget_(std::move(budget)),
       sweeper_(io),
       again_(io) {
@@ -621,8 +627,7 @@
 }
 
 DownstreamServer::~DownstreamServer() {
-  onEmpty = nullptr;
-  callbacks_.gone = callbacks_.uploaded = [](DownstreamRequestId) {};
+  destroying_ = true;
   waiting_.clear();
   const std::vector<std::shared_ptr<Session>> all(sessions_.begin(), sessions_.end());
   for (const auto& session : all)
@@ -778,11 +783,8 @@
 void DownstreamServer::ended(const std::shared_ptr<Session>& session) {
   sessions_.erase(session);
   std::erase(leaving_, session);
-  if (sessions_.empty() && !acceptor_.is_open() && onEmpty)
-    asio::post(io_, [this] {
-      if (onEmpty)
-        onEmpty();
-    });
+  if (sessions_.empty() && !acceptor_.is_open() && !destroying_)
+    asio::post(io_, [this] { observer_.onDrained(); });
 }
 
 void DownstreamServer::lastAnswers() {
@@ -798,8 +800,7 @@
     ::setsockopt(acceptor_.native_handle(), SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof program);
     while (takeWaiting() == Accepted::some) {
     }
-    if (onLastAccept)
-      onLastAccept();
+    observer_.onLastAccept();
   }
   error_code ignored;
   acceptor_.close(ignored);
@@ -809,8 +810,8 @@
   for (const auto& session : all)
     if (session->idle() && !session->fresh(now))
       session->linger(CloseReason::stopping);
-  if (sessions_.empty() && onEmpty)
-    onEmpty();
+  if (sessions_.empty())
+    observer_.onDrained();
 }
 
 void DownstreamServer::sweep() {
--- a/src/gateway/downstream_server.hpp
+++ b/src/gateway/downstream_server.hpp
@@ -17,21 +17,11 @@
 
 #include "gateway/body_stream.hpp"
 #include "gateway/close_reason.hpp"
-#include "gateway/upstream_pool.hpp"
+#include "gateway/downstream_observer.hpp"
+#include "gateway/http_message.hpp"
 
 namespace hollyrun::gateway {
 
-using DownstreamRequestId = std::uint64_t;  // one request of a client with its answer; never used again
-
-struct ClientRequest {
-  DownstreamRequestId exchange = 0;
-  HttpRequest message;                         // with its body, if that is held whole
-  std::chrono::steady_clock::time_point came;  // its last byte; of an upload, its head
-  MemoryReservation held;
-  std::shared_ptr<BodyStream> upload;   // its body, if that comes in pieces
-  std::optional<std::uint64_t> length;  // of the upload, if it is known
-};
-
 class DownstreamServer {
  public:
   struct Limits {
@@ -40,20 +30,10 @@
     std::chrono::milliseconds slow{5000};   // a later one after its first byte
     std::chrono::milliseconds idle{75000};  // between requests
   };
-  struct Callbacks {
-    std::function<void(ClientRequest)> request;         // to be answered by answer(), now or later
-    std::function<void(DownstreamRequestId)> gone;      // its client left; no answer is wanted
-    std::function<void(DownstreamRequestId)> uploaded;  // the last byte of its upload has come
-    // Answered here, for its form or, if `busy`, for lack of room; no target if it had no whole head.
-    std::function<void(const std::string& target, bool busy)> refused;
-    // A connection whose client waits for its answer was closed by this side: a lost request.
-    std::function<void(DownstreamRequestId, CloseReason)> closedUnanswered = [](DownstreamRequestId,
-                                                                                CloseReason) {};
-  };
-
   using Answered = std::function<void(bool whole)>;  // the answer left whole, or its client before that
 
-  DownstreamServer(boost::asio::io_context& io, Limits limits, Callbacks callbacks,
+  // The observer has to outlive the server.
+  DownstreamServer(boost::asio::io_context& io, Limits limits, DownstreamObserver& observer,
                    std::shared_ptr<MemoryBudget> budget);
   ~DownstreamServer();
   DownstreamServer(const DownstreamServer&) = delete;
@@ -70,17 +50,14 @@
   void answer(DownstreamRequestId exchange, HttpResponse head, std::shared_ptr<BodyStream> body,
               std::optional<std::uint64_t> length, Answered answered);
   // Whether the client that waits for this answer is still there, asked of its socket: what the event loop
-  // has not come to yet counts, too. For one that left, `gone` is due: see leave().
+  // has not come to yet counts, too. For one that left, its disconnection is to be reported: see leave().
   bool present(DownstreamRequestId exchange) const;
-  void leave(DownstreamRequestId exchange);  // its client left: closes the connection and tells `gone`
+  void leave(DownstreamRequestId exchange);  // its client left: closes the connection and reports it
   void lastAnswers();                        // from now on every answer closes its connection
   void stopAccepting();  // takes what waits to be accepted, then closes the listener and idle connections
   std::size_t connections() const { return sessions_.size(); }
   const CloseCounts& closed() const { return closed_; }  // connections so far, by reason
 
-  std::function<void()> onEmpty;       // after stopAccepting: the last connection is closed
-  std::function<void()> onLastAccept;  // a seam for tests: what waited is taken, the listener still open
-
  private:
   class Session;
   using SessionList = std::list<Session*>;
@@ -103,7 +80,7 @@
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::acceptor acceptor_;
   Limits limits_;
-  Callbacks callbacks_;
+  DownstreamObserver& observer_;
   std::shared_ptr<MemoryBudget> budget_;
   boost::asio::steady_timer sweeper_, again_;
   // What may be closed to make room, by state, the oldest first. Danger: the accept queue of a flood is long,
@@ -114,7 +91,7 @@
   std::unordered_map<DownstreamRequestId, std::shared_ptr<Session>> waiting_;
   DownstreamRequestId lastExchange_ = 0;
   CloseCounts closed_{};
-  bool last_ = false;
+  bool last_ = false, destroying_ = false;
 };
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -75,16 +75,8 @@
       abortOnViolation_(waits.abortOnViolation),
       budget_(std::make_shared<MemoryBudget>(bodyBytes_)),
       balancer_(config.module, now()),
-      hosts_(
-          io, {shareOf(config.sockets, 2, 5), config.connectTimeout, config.module.idleTimeout},
-          [this](AttemptCompletion end) {
-            ends_.push_back(std::move(end));
-            drainActions();
-          },
-          budget_,
-          [this](const AttemptKey& attempt, HostId host, UpstreamPool::Step step, Duration left) {
-            return permit(attempt, host, step, left);
-          }),
+      hosts_(io, {shareOf(config.sockets, 2, 5), config.connectTimeout, config.module.idleTimeout}, *this,
+             budget_),
       discovery_(io, config.discovery,
                  {[this](const EndpointList& list) {
                     told(list, list.full ? EndpointListKind::snapshot : EndpointListKind::delta);
@@ -102,20 +94,7 @@
                 .first = waits.clients.first,
                 .slow = waits.clients.slow,
                 .idle = waits.clients.idle},
-               {[this](ClientRequest request) { received(std::move(request)); },
-                [this](DownstreamRequestId exchange) { clientGone(exchange); },
-                [this](DownstreamRequestId exchange) { uploaded(exchange); },
-                [this](const std::string& target, bool busy) {
-                  statistics_.answered(statistics_.classOf(firstPart(target)),
-                                       busy ? Statistics::End::busy : Statistics::End::failure, std::nullopt);
-                },
-                [this](DownstreamRequestId exchange, CloseReason reason) {
-                  ++counters_.closedUnanswered;
-                  const auto it = byClient_.find(exchange);
-                  violated("closed_unanswered, " + std::string(nameOf(reason)),
-                           it == byClient_.end() ? "-" : idOf(contexts_.at(it->second)));
-                }},
-               budget_) {
+               *this, budget_) {
   take(config.module);
   if (config.known)
     discovery_.knows(config.known->version);
@@ -300,14 +279,25 @@
     leaves(server, entry.state);
 }
 
-void Gateway::received(ClientRequest request) {
+void Gateway::onLocalRejection(const std::string& target, RejectionKind kind) {
+  const auto end = kind == RejectionKind::overloaded ? Statistics::End::busy : Statistics::End::failure;
+  statistics_.answered(statistics_.classOf(firstPart(target)), end, std::nullopt);
+}
+
+void Gateway::onClosedUnanswered(DownstreamRequestId id, CloseReason reason) {
+  ++counters_.closedUnanswered;
+  const auto it = byClient_.find(id);
+  violated("closed_unanswered, " + std::string(nameOf(reason)),
+           it == byClient_.end() ? "-" : idOf(contexts_.at(it->second)));
+}
+
+void Gateway::onRequest(DownstreamRequest request) {
   const HttpRequest& message = request.message;
   balancer::Request asked;
   http::status status = judgeFraming(message, request.upload || !message.body().empty());
   if (status == http::status::ok && message.target() == "/up" && message.method() == http::verb::get)
-    return clients_.answer(request.exchange,
-                           plain(takesClients() ? http::status::ok : http::status::service_unavailable),
-                           nullptr);
+    return clients_.answer(
+        request.id, plain(takesClients() ? http::status::ok : http::status::service_unavailable), nullptr);
   if (status == http::status::ok && !toOriginForm(request.message))
     status = http::status::bad_request;
   if (status == http::status::ok)
@@ -317,35 +307,35 @@
     HttpResponse response = plain(status);
     response.keep_alive(false);
     const std::size_t counted = statistics_.classOf(firstPart(message.target()));
-    return clients_.answer(request.exchange, std::move(response), [this, counted](bool) {
+    return clients_.answer(request.id, std::move(response), [this, counted](bool) {
       statistics_.answered(counted, Statistics::End::failure, std::nullopt);
     });
   }
   // Danger: a connection may wait to be accepted until its client has given up; the request and the end of
   // the client's side are then found together.
-  if (!clients_.present(request.exchange)) {
+  if (!clients_.present(request.id)) {
     statistics_.answered(statistics_.classOf(settings_.classes[asked.classIndex].name),
                          Statistics::End::failure, std::nullopt);
-    return clients_.leave(request.exchange);
+    return clients_.leave(request.id);
   }
   asked.id = ++lastRequest_;
   const Duration left = asked.remaining - kAnswerMargin;
-  asked.remaining = left - (Clock::now() - request.came);
+  asked.remaining = left - (Clock::now() - request.receivedAt);
   asked.uploading = request.upload != nullptr;
   stripHop(request.message);
   RequestContext& exchange = contexts_[asked.id];
-  exchange.client = request.exchange;
+  exchange.client = request.id;
   const balancer::ClassSettings& cls = settings_.classes[asked.classIndex];
   exchange.counted = statistics_.classOf(cls.name);
   exchange.terms.idempotency = cls.idempotency;
   exchange.terms.deduplicationScope = cls.deduplicationScope;
   exchange.terms.deduplicationWindow = cls.deduplicationWindow;
   exchange.left = left;
-  exchange.held = std::move(request.held);
+  exchange.held = std::move(request.reservation);
   exchange.upload = std::move(request.upload);
-  exchange.length = request.length;
+  exchange.length = request.uploadLength;
   exchange.taken = !exchange.upload;
-  exchange.came = request.came;
+  exchange.came = request.receivedAt;
   if (log_.tracing())
     log_.trace("taken", {{"request", request.message["X-Request-Id"].to_string()},
                          {"class", cls.name},
@@ -353,7 +343,7 @@
   if (exchange.taken)
     statistics_.taken();
   exchange.message = std::move(request.message);
-  byClient_.emplace(request.exchange, asked.id);
+  byClient_.emplace(request.id, asked.id);
   balancer_.onRequest(now(), asked);
   drainActions();
 }
@@ -404,7 +394,7 @@
   return http::status::ok;
 }
 
-void Gateway::clientGone(DownstreamRequestId client) {
+void Gateway::onClientDisconnected(DownstreamRequestId client) {
   const auto known = byClient_.find(client);
   if (known == byClient_.end())
     return;
@@ -436,14 +426,15 @@
 }
 
 // Each step of an attempt is admitted by the facts of its own moment, and only here.
-UpstreamPool::Permission Gateway::permit(const AttemptKey& attempt, HostId host, UpstreamPool::Step step,
-                                         Duration left) {
+AdmissionResult Gateway::admit(const AttemptStart& start) {
+  const AttemptKey attempt = start.key;
+  const HostId host = start.host;
   const auto it = contexts_.find(attempt.request);
   if (it == contexts_.end())
     return {Outcome::abandoned, {}};
   RequestContext& exchange = it->second;
   // The client's time does not run before the last byte of its upload.
-  const Duration counted = exchange.taken ? left : exchange.left;
+  const Duration counted = exchange.taken ? start.timeLeft : exchange.left;
   const balancer::Admission admission = guard_.admit({.now = now(),
                                                       .clientPresent = clientPresent(exchange),
                                                       .attempt = attempt.attempt,
@@ -458,7 +449,7 @@
     const bool gone = *admission.denied == balancer::DenialReason::clientDisconnected;
     return {gone ? Outcome::abandoned : Outcome::localFailure, {}};
   }
-  if (step == UpstreamPool::Step::write) {
+  if (start.step == AttemptStep::write) {
     exchange.history.wrote(attempt.attempt, servers_.at(host), now());
     if (log_.tracing())
       traceAttempt("attempt_begun", exchange, attempt, host,
@@ -498,7 +489,7 @@
 }
 
 // The time of an upload runs from its last byte.
-void Gateway::uploaded(DownstreamRequestId client) {
+void Gateway::onUploadComplete(DownstreamRequestId client) {
   const auto known = byClient_.find(client);
   if (known == byClient_.end())
     return;
@@ -512,6 +503,11 @@
   drainActions();
 }
 
+void Gateway::onAttemptComplete(AttemptCompletion completion) {
+  ends_.push_back(std::move(completion));
+  drainActions();
+}
+
 void Gateway::settle(AttemptCompletion end) {
   const auto it = contexts_.find(end.key.request);
   if (it == contexts_.end() || it->second.ended) {
@@ -527,16 +523,16 @@
   traceAttempt("attempt_ended", exchange, end.key, end.host, nameOf(end.outcome));
   over_.push_back(end.key.request);
   if (end.outcome == Outcome::served && !exchange.ended) {
-    stripHop(end.answer);
-    end.answer.erase("X-Load");
-    answer(exchange, std::move(end.answer), Statistics::End::success, std::move(end.body), end.length);
+    stripHop(end.response);
+    end.response.erase("X-Load");
+    answer(exchange, std::move(end.response), Statistics::End::success, std::move(end.body), end.length);
   }
   balancer::AttemptResult result;
   result.request = end.key.request;
   result.attempt = end.key.attempt;
   result.host = end.host;
   result.outcome = end.outcome;
-  result.elapsed = end.taken;
+  result.elapsed = end.elapsed;
   result.terminal = exchange.ended;
   balancer_.onResult(now(), result);
 }
@@ -705,9 +701,12 @@
   shutDownTimer_.async_wait([this](error_code ec) {
     if (ec)
       return;
-    clients_.onEmpty = [this] { down_(); };
     clients_.stopAccepting();
   });
 }
 
+void Gateway::onDrained() {
+  down_();
+}
+
 }  // namespace hollyrun::gateway
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -33,7 +33,7 @@
 // After a stop was asked for, connections are still accepted for so long: clients hear of it late.
 inline constexpr std::chrono::milliseconds kAcceptOn{700};
 
-class Gateway {
+class Gateway : private DownstreamObserver, private UpstreamObserver {
  public:
   struct Waits {  // shorter in tests only
     DownstreamServer::Limits clients;
@@ -45,7 +45,7 @@
   // Asks discovery at once, and listens at once too unless another process serves the address: then as soon
   // as it can take over. Throws boost::system::system_error if it can't listen. The log has to outlive it.
   Gateway(boost::asio::io_context& io, const Config& config, Waits waits, Log& log);
-  ~Gateway();
+  ~Gateway() override;
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
@@ -80,18 +80,22 @@
   balancer::Time now() const;
   ServerStartTimes::Clocks clocks() const;
 
-  void received(ClientRequest request);
+  void onRequest(DownstreamRequest request) override;
+  void onClientDisconnected(DownstreamRequestId id) override;
+  void onUploadComplete(DownstreamRequestId id) override;
+  void onLocalRejection(const std::string& target, RejectionKind kind) override;
+  void onClosedUnanswered(DownstreamRequestId id, CloseReason reason) override;
+  void onDrained() override;
+  void onAttemptComplete(AttemptCompletion completion) override;
+  AdmissionResult admit(const AttemptStart& start) override;
+
   boost::beast::http::status describe(const HttpRequest& message, balancer::Request& request) const;
-  void clientGone(DownstreamRequestId exchange);
-  UpstreamPool::Permission permit(const AttemptKey& attempt, balancer::HostId host, UpstreamPool::Step step,
-                                  balancer::Duration left);
   bool clientPresent(const RequestContext& exchange);
   static std::string idOf(const RequestContext& exchange);
   void violated(std::string_view rule, const std::string& requestId);
   std::vector<prometheus::MetricFamily> metrics() const;
   void traceAttempt(std::string_view step, const RequestContext& exchange, const AttemptKey& attempt,
                     balancer::HostId host, std::string_view detail);
-  void uploaded(DownstreamRequestId exchange);
   void told(const EndpointList& list, balancer::EndpointListKind kind);
   void note(balancer::HostId id, const balancer::Endpoint& entry);
   void leaves(balancer::EndpointStatus& server, balancer::EndpointState state);
--- a/src/gateway/socket_io.cpp
+++ b/src/gateway/socket_io.cpp
@@ -56,6 +56,11 @@
          error == errc::resource_unavailable_try_again || isInterrupted(error) || lacksBuffer(error);
 }
 
+bool hasUnreadBytes(const tcp::socket& socket) {
+  error_code error;
+  return socket.available(error) > 0 && !error;
+}
+
 void writeAll(tcp::socket& socket, asio::const_buffer data, WriteDone done) {
   error_code error;
   while (data.size() > 0) {
--- a/src/gateway/socket_io.hpp
+++ b/src/gateway/socket_io.hpp
@@ -18,6 +18,9 @@
 /// Of this machine, which has no port, descriptor, buffer or route left: it says nothing of the peer.
 bool isLocalShortage(const boost::system::error_code& error);
 
+/// Whether bytes have arrived that were not read yet, including those that the event loop has not reported.
+bool hasUnreadBytes(const boost::asio::ip::tcp::socket& socket);
+
 using WriteDone = std::function<void(boost::system::error_code)>;
 
 /// Writes all of `data`, then calls `done`, never from within this call. The caller keeps the bytes and the
--- a/src/gateway/upstream_pool.cpp
+++ b/src/gateway/upstream_pool.cpp
@@ -131,20 +131,19 @@
 
   // Asks for this step of the attempt; false if it has ended instead. The deadline that the server is told is
   // made here, from the time that is left now: one made earlier does not know how long the connection took.
-  bool permitted(Step step) {
-    if (!pool->permit_)
-      return true;
-    const Permission permission = pool->permit_(key, host, step, deadline - Clock::now());
-    if (permission.denied) {
-      end(*permission.denied, step == Step::write);
+  bool permitted(AttemptStep step) {
+    const AdmissionResult admission = pool->observer_.admit({key, host, step, deadline - Clock::now()});
+    if (admission.denied) {
+      end(*admission.denied, step == AttemptStep::write);
       return false;
     }
-    request.set("X-Deadline-Ms", std::to_string(permission.told.count()));
+    if (admission.advertisedDeadline)
+      request.set("X-Deadline-Ms", std::to_string(admission.advertisedDeadline->count()));
     return true;
   }
 
   void connect(const tcp::endpoint& endpoint) {
-    if (!permitted(Step::dial))
+    if (!permitted(AttemptStep::connect))
       return;
     // Until the connection is up nothing has been written, so the end of the attempt's own time proves here
     // that it never ran, as the end of the time for connecting does.
@@ -169,7 +168,7 @@
   }
 
   void write() {
-    if (!permitted(Step::write))
+    if (!permitted(AttemptStep::write))
       return;
     phase = Phase::writing;
     if (upload)
@@ -348,13 +347,13 @@
     pool->busy_.erase(key);
     pool->relaying_.insert(shared_from_this());
     AttemptCompletion done{key, host, Outcome::served, Clock::now() - sentAt, {}};
-    done.answer.base() = parser->get().base();
+    done.response.base() = parser->get().base();
     done.body = download;
     if (const auto length = parser->content_length())
       done.length = *length;
     held = {};
     relay();
-    pool->ended_(std::move(done));
+    pool->observer_.onAttemptComplete(std::move(done));
   }
 
   void relay() {
@@ -421,15 +420,15 @@
     // Danger: a read that is given up may have its bytes already and still put them to the parser, so that
     // stays until the connection is used again or goes.
     if (outcome == Outcome::served) {
-      done.answer.base() = std::move(parser->get().base());
-      done.answer.body() = std::move(parser->get().body());
+      done.response.base() = std::move(parser->get().base());
+      done.response.body() = std::move(parser->get().body());
     }
     pool->busy_.erase(key);
     if (keep)
       rest();
     else
       close();
-    pool->ended_(std::move(done));
+    pool->observer_.onAttemptComplete(std::move(done));
   }
 
   void rest() {
@@ -453,7 +452,7 @@
       self->watching = false;
       if (self->phase != Phase::idle)
         return;
-      if (unread(self->socket))
+      if (hasUnreadBytes(self->socket))
         self->unasked();
       self->pool->dropIdle(self);
     });
@@ -473,14 +472,9 @@
   }
 };
 
-UpstreamPool::UpstreamPool(asio::io_context& io, Limits limits, Ended ended,
-                           std::shared_ptr<MemoryBudget> budget, Permit permit)
-    : io_(io),
-      limits_(limits),
-      ended_(std::move(ended)),
-      permit_(std::move(permit)),
-      budget_(std::move(budget)),
-      sweeper_(io) {
+UpstreamPool::UpstreamPool(asio::io_context& io, Limits limits, UpstreamObserver& observer,
+                           std::shared_ptr<MemoryBudget> budget)
+    : io_(io), limits_(limits), observer_(observer), budget_(std::move(budget)), sweeper_(io) {
   sweep();
 }
 
@@ -562,7 +556,7 @@
   const bool fresh = !connection;
   if (fresh) {
     if (open_ >= limits_.connections && !closeOldestIdle())
-      return ended_({key, host, Outcome::localFailure, {}, {}});
+      return observer_.onAttemptComplete({key, host, Outcome::localFailure, {}, {}});
     connection = std::make_shared<Connection>(*this, host);
   }
   connection->key = key;
--- a/src/gateway/upstream_pool.hpp
+++ b/src/gateway/upstream_pool.hpp
@@ -5,12 +5,9 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
-#include <boost/beast/http/message.hpp>
-#include <boost/beast/http/string_body.hpp>
 #include <chrono>
 #include <cstddef>
 #include <cstdint>
-#include <functional>
 #include <memory>
 #include <optional>
 #include <unordered_map>
@@ -18,37 +15,12 @@
 #include <vector>
 
 #include "gateway/body_stream.hpp"
+#include "gateway/http_message.hpp"
+#include "gateway/upstream_observer.hpp"
 #include "hollyrun/balancer.hpp"
 
 namespace hollyrun::gateway {
 
-using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
-using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
-
-inline constexpr std::uint32_t kHeaderLimit = 16 << 10;
-
-// Whether bytes wait to be read, also when the event loop has not come to them yet.
-inline bool unread(const boost::asio::ip::tcp::socket& socket) {
-  boost::system::error_code ec;
-  return socket.available(ec) > 0 && !ec;
-}
-
-struct AttemptKey {
-  balancer::RequestId request = 0;
-  std::uint32_t attempt = 0;
-  bool operator==(const AttemptKey&) const = default;
-};
-
-struct AttemptCompletion {
-  AttemptKey key;
-  balancer::HostId host = balancer::kNone;
-  balancer::Outcome outcome = balancer::Outcome::reset;
-  balancer::Duration taken{};
-  HttpResponse answer;                         // with Outcome::served: whole, or
-  std::shared_ptr<BodyStream> body = nullptr;  // its body comes in pieces,
-  std::optional<std::uint64_t> length = {};    // so many bytes, if that is known
-};
-
 class UpstreamPool {
  public:
   struct Limits {
@@ -56,19 +28,9 @@
     balancer::Duration connectTimeout{};  // for a new one
     balancer::Duration idleTimeout{};     // the host closes idle ones after this at the latest; 0 = never
   };
-  using Ended = std::function<void(AttemptCompletion)>;  // may be called from within start() and cancel()
-  enum class Step { dial, write };
-  struct Permission {
-    std::optional<balancer::Outcome> denied;  // the attempt ends so, and nothing of it was written
-    std::chrono::milliseconds told{};         // else the deadline that goes into the request
-  };
-  // Asked just before an attempt dials and just before its first byte; `left` is of the attempt's own time.
-  // Nothing else lets a request's first byte out.
-  using Permit =
-      std::function<Permission(const AttemptKey&, balancer::HostId, Step, balancer::Duration left)>;
-
-  UpstreamPool(boost::asio::io_context& io, Limits limits, Ended ended, std::shared_ptr<MemoryBudget> budget,
-               Permit permit = nullptr);
+  // The observer has to outlive the pool.
+  UpstreamPool(boost::asio::io_context& io, Limits limits, UpstreamObserver& observer,
+               std::shared_ptr<MemoryBudget> budget);
   ~UpstreamPool();
   UpstreamPool(const UpstreamPool&) = delete;
   UpstreamPool& operator=(const UpstreamPool&) = delete;
@@ -101,11 +63,6 @@
     std::vector<std::shared_ptr<Connection>> idle;       // the latest used last
     std::chrono::steady_clock::time_point restsUntil{};  // it spoke unasked: new uses wait a little
   };
-  struct KeyHash {
-    std::size_t operator()(const AttemptKey& k) const {
-      return std::hash<std::uint64_t>{}(k.request * 16 + k.attempt);
-    }
-  };
 
   bool openSocket(boost::asio::ip::tcp::socket& socket, const boost::asio::ip::tcp::endpoint& endpoint);
   void begin(AttemptKey key, balancer::HostId host, HttpRequest request, balancer::Duration limit,
@@ -119,11 +76,10 @@
 
   boost::asio::io_context& io_;
   Limits limits_;
-  Ended ended_;
-  Permit permit_;
+  UpstreamObserver& observer_;
   std::vector<Host> hosts_;
   std::shared_ptr<MemoryBudget> budget_;
-  std::unordered_map<AttemptKey, std::shared_ptr<Connection>, KeyHash> busy_;
+  std::unordered_map<AttemptKey, std::shared_ptr<Connection>, AttemptKeyHash> busy_;
   std::unordered_set<std::shared_ptr<Connection>> relaying_;  // answers whose attempt has ended
   std::size_t open_ = 0;
   std::uint64_t written_ = 0;
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -6,6 +6,7 @@
 
 #include <filesystem>
 
+#include "connection_observers.hpp"
 #include "gateway_fixture.hpp"
 #include "leaving_clients.hpp"
 
@@ -313,13 +314,9 @@
 class Listening : public ::testing::Test {  // the clients' side alone
  protected:
   asio::io_context io;
-  std::vector<ClientRequest> requests;
-  DownstreamServer server{
-      io,
-      {},
-      {[this](ClientRequest r) { requests.push_back(std::move(r)); }, [](DownstreamRequestId) {},
-       [](DownstreamRequestId) {}, [](const std::string&, bool) {}},
-      std::make_shared<MemoryBudget>(1 << 20)};
+  RecordingDownstreamObserver observer;
+  std::vector<DownstreamRequest>& requests = observer.requests;
+  DownstreamServer server{io, {}, observer, std::make_shared<MemoryBudget>(1 << 20)};
   template <class Predicate>
   bool until(Predicate predicate) {
     const auto end = Clock::now() + kPatience;
@@ -340,7 +337,7 @@
   c.send("GET /read HTTP/1.1\r\nHost: x\r\n\r\n");
   ASSERT_TRUE(until([&] { return requests.size() == 1 || !c.open(); }));
   ASSERT_EQ(requests.size(), 1u);
-  server.answer(requests[0].exchange, HttpResponse{}, nullptr);
+  server.answer(requests[0].id, HttpResponse{}, nullptr);
   EXPECT_TRUE(until([&] { return !c.open(); }));
   EXPECT_NE(c.come.find("200 OK"), std::string::npos);
   EXPECT_FALSE(c.reset);
@@ -348,19 +345,17 @@
 
 TEST_F(Listening, AConnectionThatSendsNothingDoesNotHoldUpTheStop) {
   PlainClient c(io, server.listening());
-  bool empty = false;
-  server.onEmpty = [&] { empty = true; };
   server.lastAnswers();
   server.stopAccepting();
   EXPECT_TRUE(until([&] { return !c.open(); }));
   c.halfClose();
-  EXPECT_TRUE(until([&] { return empty; }));
+  EXPECT_TRUE(until([&] { return observer.drained; }));
 }
 
 TEST_F(Listening, NoConnectionCompletesBetweenTheLastAcceptAndTheClose) {
   const auto at = server.listening();
   bool came = false;
-  server.onLastAccept = [&] {
+  observer.beforeListenerCloses = [&] {
     tcp::socket late(io, tcp::v4());
     late.native_non_blocking(true);
     const bool up = ::connect(late.native_handle(), at.data(), static_cast<socklen_t>(at.size())) == 0;
@@ -430,10 +425,11 @@
 
 class Attempts : public Crossings {  // the pool alone
  protected:
-  std::vector<AttemptCompletion> ends;
+  RecordingUpstreamObserver observer;
+  std::vector<AttemptCompletion>& ends = observer.completions;
   UpstreamPool pool{io,
                     {.connections = 8, .connectTimeout = 20s, .idleTimeout = 60s},
-                    [this](AttemptCompletion end) { ends.push_back(std::move(end)); },
+                    observer,
                     std::make_shared<MemoryBudget>(1 << 20)};
   HttpRequest get() {
     HttpRequest r{http::verb::get, "/read", 11};
--- a/tests/departures_test.cpp
+++ b/tests/departures_test.cpp
@@ -3,6 +3,7 @@
 // room and with one that is full.
 #include <sys/socket.h>
 
+#include "connection_observers.hpp"
 #include "gateway_fixture.hpp"
 #include "leaving_clients.hpp"
 
@@ -171,11 +172,8 @@
 class AcceptQueue : public ::testing::Test {
  protected:
   asio::io_context io;
-  DownstreamServer server{io,
-                          {},
-                          {[](ClientRequest) {}, [](DownstreamRequestId) {}, [](DownstreamRequestId) {},
-                           [](const std::string&, bool) {}},
-                          std::make_shared<MemoryBudget>(1 << 20)};
+  RecordingDownstreamObserver observer;
+  DownstreamServer server{io, {}, observer, std::make_shared<MemoryBudget>(1 << 20)};
 };
 
 TEST_F(AcceptQueue, IsTakenInBatchesSoThatOtherEventsComeBetween) {
