--- a/src/gateway/downstream_server.cpp
+++ b/src/gateway/downstream_server.cpp
@@ -19,6 +19,8 @@
 #include <utility>
 #include <vector>
 
+#include "gateway/chunked_encoding.hpp"
+#include "gateway/incremental_body.hpp"
 #include "gateway/message_text.hpp"
 #include "gateway/socket_io.hpp"
 
@@ -90,7 +92,7 @@
     error_code ignored;
     socket_.set_option(asio::socket_base::send_buffer_size(kRelayBuffer), ignored);
     download_ = std::move(body);
-    download_->onData = [weak = weak_from_this(), chunked = !length] {
+    download_->onReadable = [weak = weak_from_this(), chunked = !length] {
       if (const auto self = weak.lock())
         self->pump(chunked);
     };
@@ -279,7 +281,7 @@
 
   void dropBodies() {
     if (const auto upload = std::exchange(upload_, nullptr)) {
-      upload->onRoom = nullptr;
+      upload->onWritable = nullptr;
       upload->fail();
     }
     if (const auto download = std::exchange(download_, nullptr))
@@ -307,17 +309,17 @@
       return;
     // Danger: what breaks off must not look whole; the rest of the told length, or the last chunk, is
     // missing.
-    const std::string piece = download_->take();
+    const std::string piece = download_->consume();
     if (!piece.empty())
-      return write(chunked ? chunkOf(piece) : piece, chunked);
-    if (download_->failed())
+      return write(chunked ? encodeChunk(piece) : piece, chunked);
+    if (download_->hasFailed())
       return close(CloseReason::brokenAnswer);
-    if (!download_->finished())
+    if (!download_->isFinished())
       return;
     if (chunked && !std::exchange(lastChunk_, true))
-      return write(chunkOf({}), chunked);
+      return write(encodeChunk({}), chunked);
     lastChunk_ = false;
-    download_->onData = nullptr;
+    download_->onReadable = nullptr;
     download_.reset();
     answered({});
   }
@@ -328,7 +330,7 @@
     parser_.emplace();
     parser_->eager(true);
     parser_->header_limit(kHeaderLimit);
-    parser_->body_limit(kMostBody);
+    parser_->body_limit(kMaxRequestBody);
     held_ = {};
     bodyBytes_ = 0;
     enter(State::idle);
@@ -443,7 +445,7 @@
     bodyBegan_ = Clock::now();
     const auto& head = parser_->get();
     const auto length = parser_->content_length();
-    if (length && *length > kMostBody)
+    if (length && *length > kMaxRequestBody)
       return refuse(http::status::payload_too_large);
     if (parser_->is_done())
       return true;
@@ -455,11 +457,11 @@
         return false;
       }
     }
-    const std::size_t held = length && *length <= kHeldBody ? *length : kHeldBody;
-    if (!server_->budget_->room(held))
+    const std::size_t held = length && *length <= kBufferedBodyLimit ? *length : kBufferedBodyLimit;
+    if (!server_->budget_->hasCapacity(held))
       return refuse(http::status::service_unavailable);
     held_ = MemoryReservation(server_->budget_, held);
-    if (length && *length > kHeldBody)
+    if (length && *length > kBufferedBodyLimit)
       beginUpload();
     return state_ == State::body || state_ == State::uploading;
   }
@@ -481,11 +483,11 @@
     std::string& body = parser_->get().body();
     const auto come = bodyBytes_ + (upload_ ? body.size() : body.size() - std::min(bodyBytes_, body.size()));
     bodyBytes_ = come;
-    if (state_ == State::body && body.size() > kHeldBody)
+    if (state_ == State::body && body.size() > kBufferedBodyLimit)
       beginUpload();
     if (state_ != State::uploading)
       return state_ == State::body;
-    if (bodyBytes_ > kMostBody) {
+    if (bodyBytes_ > kMaxRequestBody) {
       reject(http::error::body_limit);
       return false;
     }
@@ -496,20 +498,20 @@
     feeding_ = false;
     if (state_ != State::uploading || parser_->is_done())
       return state_ == State::uploading;
-    if (!upload->full())
+    if (!upload->isFull())
       return true;
     paused_ = Clock::now();
-    return false;  // onRoom watches on
+    return false;  // onWritable watches on
   }
 
   void beginUpload() {
     held_ = {};
     upload_ = std::make_shared<BodyStream>(server_->budget_);
-    upload_->onRoom = [weak = weak_from_this()] {
+    upload_->onWritable = [weak = weak_from_this()] {
       const auto self = weak.lock();
       if (!self || self->watching_ || self->feeding_ || self->state_ != State::uploading)
         return;
-      if (self->upload_->abandoned() || self->upload_->full())
+      if (self->upload_->isAbandoned() || self->upload_->isFull())
         return;
       self->bodyBegan_ += Clock::now() - std::exchange(self->paused_, Clock::now());
       self->watch();
@@ -524,7 +526,7 @@
 
   void uploadCame() {
     const auto upload = std::exchange(upload_, nullptr);
-    upload->onRoom = nullptr;
+    upload->onWritable = nullptr;
     first_ = false;
     enter(State::waiting);
     watchAhead();
@@ -573,7 +575,7 @@
   DownstreamServer* server_;
   tcp::socket socket_;
   boost::beast::flat_buffer buffer_{kHeaderLimit + 2 * kBodyChunk};
-  std::optional<http::request_parser<PieceBody>> parser_;
+  std::optional<http::request_parser<IncrementalBody>> parser_;
   Answered answered_;
   MemoryReservation held_;
   std::shared_ptr<BodyStream> upload_, download_;
--- /dev/null
+++ b/src/gateway/incremental_body.hpp
@@ -0,0 +1,42 @@
+/// A Beast body type whose content can be moved out while the message is still being parsed.
+#pragma once
+
+#include <boost/asio/buffer.hpp>
+#include <boost/beast/http/message.hpp>
+#include <cstddef>
+#include <string>
+
+namespace hollyrun::gateway {
+
+/// The parser appends, and its owner moves the string out in between. Beast's own string_body would reserve
+/// all the bytes that a peer announces, so that a peer could exhaust the memory by its head alone.
+struct IncrementalBody {
+  using value_type = std::string;
+  class reader {
+   public:
+    template <bool request, class Fields>
+    reader(boost::beast::http::header<request, Fields>&, value_type& body) : body_(body) {}
+    template <class Length>
+    void init(const Length&, boost::system::error_code& ec) {
+      ec = {};
+    }
+    template <class Buffers>
+    std::size_t put(const Buffers& buffers, boost::system::error_code& ec) {
+      ec = {};
+      std::size_t bytes = 0;
+      for (auto it = boost::asio::buffer_sequence_begin(buffers);
+           it != boost::asio::buffer_sequence_end(buffers); ++it) {
+        const boost::asio::const_buffer buffer(*it);
+        body_.append(static_cast<const char*>(buffer.data()), buffer.size());
+        bytes += buffer.size();
+      }
+      return bytes;
+    }
+    void finish(boost::system::error_code& ec) { ec = {}; }
+
+   private:
+    value_type& body_;
+  };
+};
+
+}  // namespace hollyrun::gateway
--- a/src/gateway/upstream_pool.cpp
+++ b/src/gateway/upstream_pool.cpp
@@ -13,6 +13,8 @@
 #include <sstream>
 #include <utility>
 
+#include "gateway/chunked_encoding.hpp"
+#include "gateway/incremental_body.hpp"
 #include "gateway/message_text.hpp"
 #include "gateway/socket_io.hpp"
 
@@ -59,7 +61,7 @@
   tcp::socket socket;
   asio::steady_timer timer;
   boost::beast::flat_buffer buffer{kHeaderLimit + 2 * kChunk};
-  std::optional<http::response_parser<PieceBody>> parser;
+  std::optional<http::response_parser<IncrementalBody>> parser;
   HttpRequest request;
   std::shared_ptr<BodyStream> upload, download;
   MemoryReservation held;
@@ -87,12 +89,12 @@
 
   void dropBodies() {
     if (const auto mine = std::exchange(upload, nullptr)) {
-      mine->onData = nullptr;
+      mine->onReadable = nullptr;
       if (mine->touched())
         mine->abandon();  // else another attempt may take it
     }
     if (const auto mine = std::exchange(download, nullptr)) {
-      mine->onRoom = nullptr;
+      mine->onWritable = nullptr;
       mine->fail();
     }
     held = {};
@@ -197,7 +199,7 @@
 
   // Reads meanwhile: a host that turns the request away says so before its end.
   void writeUpload() {
-    upload->onData = [weak = weak_from_this()] {
+    upload->onReadable = [weak = weak_from_this()] {
       if (const auto self = weak.lock())
         self->pump();
     };
@@ -226,17 +228,17 @@
   void pump() {
     if (phase != Phase::writing || pieceOut || !upload)
       return;
-    if (upload->failed())
+    if (upload->hasFailed())
       return end(Outcome::cancelled);
-    const std::string next = upload->take();
+    const std::string next = upload->consume();
     const bool chunked = request.chunked();
     if (!next.empty())
-      return writePiece(chunked ? chunkOf(next) : next);
-    if (!upload->finished())
+      return writePiece(chunked ? encodeChunk(next) : next);
+    if (!upload->isFinished())
       return;
     if (chunked && !std::exchange(lastChunk, true))
-      return writePiece(chunkOf({}));
-    upload->onData = nullptr;
+      return writePiece(encodeChunk({}));
+    upload->onReadable = nullptr;
     upload.reset();
     limit(deadline, Outcome::timeout);
     written();
@@ -304,8 +306,8 @@
     held.resize(come);
     if (phase == Phase::reading && mayGrow() && !std::exchange(waitsShort, true))
       limit(std::min(deadline, Clock::now() + kHoldUnknown), Outcome::timeout);
-    const bool whole = std::max<std::uint64_t>(come, length ? *length : 0) <= kHeldBody &&
-                       (come == 0 || pool->budget_->room(kHeldBody));
+    const bool whole = std::max<std::uint64_t>(come, length ? *length : 0) <= kBufferedBodyLimit &&
+                       (come == 0 || pool->budget_->hasCapacity(kBufferedBodyLimit));
     if (whole)
       return receive();
     if (phase != Phase::reading || parser->get().result() != http::status::ok)
@@ -315,7 +317,7 @@
 
   void broken(error_code ec) {
     // Danger: with all of the body given to the socket, the last byte may be out though we have not heard.
-    const bool last = upload && upload->finished();
+    const bool last = upload && upload->isFinished();
     if (phase == Phase::writing)
       return end(last ? Outcome::reset : Outcome::connectFailed);
     if (phase == Phase::reading)
@@ -340,7 +342,7 @@
     timer.cancel();
     phase = Phase::relaying;
     download = std::make_shared<BodyStream>(pool->budget_);
-    download->onRoom = [weak = weak_from_this()] {
+    download->onWritable = [weak = weak_from_this()] {
       if (const auto self = weak.lock())
         self->relayOn();
     };
@@ -365,7 +367,7 @@
       return;  // closed meanwhile
     if (!parser->is_done())
       return relayOn();
-    download->onRoom = nullptr;
+    download->onWritable = nullptr;
     std::exchange(download, nullptr)->finish();
     const auto self = shared_from_this();
     pool->relaying_.erase(self);
@@ -378,9 +380,9 @@
   void relayOn() {
     if (phase != Phase::relaying || receiving || feeding || !download)
       return;
-    if (download->abandoned())
+    if (download->isAbandoned())
       return late(Outcome::cancelled);
-    if (download->full()) {
+    if (download->isFull()) {
       ++turn;
       timer.cancel();
       return;
--- a/tests/bodies_test.cpp
+++ b/tests/bodies_test.cpp
@@ -1,4 +1,5 @@
 // Bodies in pieces and the forms of HTTP/1.1 that carry them.
+#include "gateway/chunked_encoding.hpp"
 #include "gateway_fixture.hpp"
 
 namespace hollyrun::gateway::testing {
@@ -15,7 +16,7 @@
   static std::string chunked(const std::string& body) {
     std::string text;
     for (std::size_t at = 0; at < body.size(); at += 50'000)
-      text += chunkOf(body.substr(at, 50'000));
+      text += encodeChunk(body.substr(at, 50'000));
     return text;
   }
   std::string chunkedWrite(const std::string& chunks) {
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -122,7 +122,7 @@
 // Its body waits for its turn, too: a part of it here, the rest in the socket, and the client's end behind
 // that.
 TEST_P(PausedUploads, AreNotSentOnceTheirClientHasLeft) {
-  leaveInTurn("write", std::string(kHeldBody + 32'000, 'x'), "", GetParam());
+  leaveInTurn("write", std::string(kBufferedBodyLimit + 32'000, 'x'), "", GetParam());
 }
 
 INSTANTIATE_TEST_SUITE_P(Crossings, PausedUploads,
--- a/tests/deadline_test.cpp
+++ b/tests/deadline_test.cpp
@@ -79,7 +79,7 @@
   start();
   hosts[0]->pause();
   auto c = client();
-  const std::string body(kHeldBody + 8'000, 'x');  // comes in pieces, and all of it is read at once
+  const std::string body(kBufferedBodyLimit + 8'000, 'x');  // comes in pieces, and all of it is read at once
   c->send(text("write", waitHeader(), body));
   const auto sent = Clock::now();
   holdUntilSpent(*hosts[0], sent);
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -280,18 +280,18 @@
   EXPECT_EQ(ask("GET /alive HTTP/1.1\r\n\r\n").result_int(), 404u);
   EXPECT_EQ(ask("GET /write HTTP/1.1\r\nX-Request-Id: r\r\n\r\n").result_int(), 405u);
   EXPECT_EQ(ask("POST /write HTTP/1.1\r\nHost: x\r\nX-Request-Id: r\r\nContent-Length: " +
-                std::to_string(kMostBody + 1) + "\r\n\r\n")
+                std::to_string(kMaxRequestBody + 1) + "\r\n\r\n")
                 .result_int(),
             413u);
   EXPECT_EQ(ask(text("read", "X-Long: " + std::string(kHeaderLimit, 'x') + "\r\n")).result_int(), 431u);
   EXPECT_TRUE(reached.empty());
-  EXPECT_EQ(ask(text("write", "", std::string(kHeldBody, 'x'))).result_int(), 200u);
+  EXPECT_EQ(ask(text("write", "", std::string(kBufferedBodyLimit, 'x'))).result_int(), 200u);
 }
 
 TEST_F(GatewayTest, AChunkHeadWithoutEndIsTooLargeAndEndsNothingElse) {
   twoHosts(always(answerText(200, "", "ok")));
   EXPECT_EQ(ask("POST /write HTTP/1.1\r\nX-Request-Id: r\r\nTransfer-Encoding: chunked\r\n\r\n5;" +
-                std::string(2 * (kHeldBody + kHeaderLimit), 'x'))
+                std::string(2 * (kBufferedBodyLimit + kHeaderLimit), 'x'))
                 .result_int(),
             413u);
   EXPECT_EQ(ask(text("write")).result_int(), 200u);
