--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -65,16 +65,8 @@
       budget_(std::make_shared<MemoryBudget>(bodyBytes_)),
       validator_(config.module),
       balancer_(config.module, now()),
-      hosts_(
-          io, {shareOf(config.sockets, 2, 5), config.connectTimeout, config.module.idleTimeout},
-          [this](AttemptCompletion end) {
-            ends_.push_back(std::move(end));
-            drainActions();
-          },
-          budget_,
-          [this](const AttemptKey& attempt, HostId host, UpstreamPool::Step step, Duration left) {
-            return permit(attempt, host, step, left);
-          }),
+      hosts_(io, {shareOf(config.sockets, 2, 5), config.connectTimeout, config.module.idleTimeout}, *this,
+             budget_),
       discovery_(io, config.discovery,
                  {[this](const EndpointList& list) {
                     told(list, list.snapshot ? EndpointListKind::snapshot : EndpointListKind::delta);
@@ -92,21 +84,7 @@
                 .first = options.clients.first,
                 .slow = options.clients.slow,
                 .idle = options.clients.idle},
-               {[this](ClientRequest request) { received(std::move(request)); },
-                [this](DownstreamRequestId exchange) { clientGone(exchange); },
-                [this](DownstreamRequestId exchange) { uploaded(exchange); },
-                [this](const std::string& target, bool busy) {
-                  statistics_.recordOutcome(statistics_.findClass(firstPathSegment(target)),
-                                            busy ? Statistics::Outcome::busy : Statistics::Outcome::failure,
-                                            std::nullopt);
-                },
-                [this](DownstreamRequestId exchange, CloseReason reason) {
-                  ++counters_.closedUnanswered;
-                  const auto it = byClient_.find(exchange);
-                  violated("closed_unanswered, " + std::string(nameOf(reason)),
-                           it == byClient_.end() ? "-" : idOf(contexts_.at(it->second)));
-                }},
-               budget_) {
+               *this, budget_) {
   take(config.module);
   if (config.known)
     discovery_.setKnownVersion(config.known->version);
@@ -284,7 +262,20 @@
     leaves(server, entry.state);
 }
 
-void Gateway::received(ClientRequest request) {
+void Gateway::onLocalRejection(const std::string& target, RejectionKind kind) {
+  const auto outcome =
+      kind == RejectionKind::overloaded ? Statistics::Outcome::busy : Statistics::Outcome::failure;
+  statistics_.recordOutcome(statistics_.findClass(firstPathSegment(target)), outcome, std::nullopt);
+}
+
+void Gateway::onClosedUnanswered(DownstreamRequestId id, CloseReason reason) {
+  ++counters_.closedUnanswered;
+  const auto it = byClient_.find(id);
+  violated("closed_unanswered, " + std::string(nameOf(reason)),
+           it == byClient_.end() ? "-" : idOf(contexts_.at(it->second)));
+}
+
+void Gateway::onRequest(DownstreamRequest request) {
   const bool hasBody = request.upload || !request.message.body().empty();
   const ValidationResult result =
       validator_.validate(request.message, hasBody ? BodyPresence::present : BodyPresence::absent);
@@ -293,7 +284,7 @@
   else if (const auto* rejection = std::get_if<RequestRejection>(&result))
     reject(request, *rejection);
   else
-    answerHealthCheck(request.exchange);
+    answerHealthCheck(request.id);
 }
 
 void Gateway::answerHealthCheck(DownstreamRequestId client) {
@@ -303,41 +294,41 @@
 
 // Where such a message ends is doubtful, so the connection is closed: what follows must not be read as a
 // request.
-void Gateway::reject(const ClientRequest& request, const RequestRejection& rejection) {
+void Gateway::reject(const DownstreamRequest& request, const RequestRejection& rejection) {
   HttpResponse response = plain(rejection.status);
   response.keep_alive(false);
   const std::size_t counted = statistics_.findClass(firstPathSegment(request.message.target()));
-  clients_.answer(request.exchange, std::move(response), [this, counted](bool) {
+  clients_.answer(request.id, std::move(response), [this, counted](bool) {
     statistics_.recordOutcome(counted, Statistics::Outcome::failure, std::nullopt);
   });
 }
 
-void Gateway::accept(ClientRequest request, balancer::Request asked) {
+void Gateway::accept(DownstreamRequest request, balancer::Request asked) {
   // Danger: a connection may wait to be accepted until its client has given up; the request and the end of
   // the client's side are then found together.
-  if (!clients_.present(request.exchange)) {
+  if (!clients_.present(request.id)) {
     statistics_.recordOutcome(statistics_.findClass(settings_.classes[asked.classIndex].name),
                               Statistics::Outcome::failure, std::nullopt);
-    return clients_.leave(request.exchange);
+    return clients_.leave(request.id);
   }
   asked.id = ++lastRequest_;
   const Duration left = asked.remaining - kAnswerMargin;
-  asked.remaining = left - (Clock::now() - request.came);
+  asked.remaining = left - (Clock::now() - request.receivedAt);
   asked.uploading = request.upload != nullptr;
   removeHopByHopHeaders(request.message);
   RequestContext& exchange = contexts_[asked.id];
-  exchange.client = request.exchange;
+  exchange.client = request.id;
   const balancer::ClassSettings& cls = settings_.classes[asked.classIndex];
   exchange.counted = statistics_.findClass(cls.name);
   exchange.terms.idempotency = cls.idempotency;
   exchange.terms.deduplicationScope = cls.deduplicationScope;
   exchange.terms.deduplicationWindow = cls.deduplicationWindow;
   exchange.left = left;
-  exchange.held = std::move(request.held);
+  exchange.held = std::move(request.reservation);
   exchange.upload = std::move(request.upload);
-  exchange.length = request.length;
+  exchange.length = request.uploadLength;
   exchange.taken = !exchange.upload;
-  exchange.came = request.came;
+  exchange.came = request.receivedAt;
   if (log_.tracing())
     log_.trace("taken", {{"request", request.message["X-Request-Id"].to_string()},
                          {"class", cls.name},
@@ -345,12 +336,12 @@
   if (exchange.taken)
     statistics_.incrementInFlight();
   exchange.message = std::move(request.message);
-  byClient_.emplace(request.exchange, asked.id);
+  byClient_.emplace(request.id, asked.id);
   balancer_.onRequest(now(), asked);
   drainActions();
 }
 
-void Gateway::clientGone(DownstreamRequestId client) {
+void Gateway::onClientDisconnected(DownstreamRequestId client) {
   const auto known = byClient_.find(client);
   if (known == byClient_.end())
     return;
@@ -382,14 +373,15 @@
 }
 
 // Each step of an attempt is admitted by the facts of its own moment, and only here.
-UpstreamPool::Permission Gateway::permit(const AttemptKey& attempt, HostId host, UpstreamPool::Step step,
-                                         Duration left) {
+AdmissionResult Gateway::admit(const AttemptStart& start) {
+  const AttemptKey attempt = start.key;
+  const HostId host = start.host;
   const auto it = contexts_.find(attempt.request);
   if (it == contexts_.end())
     return {Outcome::abandoned, {}};
   RequestContext& exchange = it->second;
   // The client's time does not run before the last byte of its upload.
-  const Duration counted = exchange.taken ? left : exchange.left;
+  const Duration counted = exchange.taken ? start.timeLeft : exchange.left;
   const balancer::Admission admission = guard_.admit({.now = now(),
                                                       .clientPresent = clientPresent(exchange),
                                                       .attempt = attempt.attempt,
@@ -404,7 +396,7 @@
     const bool gone = *admission.denied == balancer::DenialReason::clientDisconnected;
     return {gone ? Outcome::abandoned : Outcome::localFailure, {}};
   }
-  if (step == UpstreamPool::Step::write) {
+  if (start.step == AttemptStep::write) {
     exchange.history.wrote(attempt.attempt, servers_.at(host), now());
     if (log_.tracing())
       traceAttempt("attempt_begun", exchange, attempt, host,
@@ -444,7 +436,7 @@
 }
 
 // The time of an upload runs from its last byte.
-void Gateway::uploaded(DownstreamRequestId client) {
+void Gateway::onUploadComplete(DownstreamRequestId client) {
   const auto known = byClient_.find(client);
   if (known == byClient_.end())
     return;
@@ -458,6 +450,11 @@
   drainActions();
 }
 
+void Gateway::onAttemptComplete(AttemptCompletion completion) {
+  ends_.push_back(std::move(completion));
+  drainActions();
+}
+
 void Gateway::settle(AttemptCompletion end) {
   const auto it = contexts_.find(end.key.request);
   if (it == contexts_.end() || it->second.ended) {
@@ -473,16 +470,16 @@
   traceAttempt("attempt_ended", exchange, end.key, end.host, nameOf(end.outcome));
   over_.push_back(end.key.request);
   if (end.outcome == Outcome::served && !exchange.ended) {
-    removeHopByHopHeaders(end.answer);
-    end.answer.erase("X-Load");
-    answer(exchange, std::move(end.answer), Statistics::Outcome::success, std::move(end.body), end.length);
+    removeHopByHopHeaders(end.response);
+    end.response.erase("X-Load");
+    answer(exchange, std::move(end.response), Statistics::Outcome::success, std::move(end.body), end.length);
   }
   balancer::AttemptResult result;
   result.request = end.key.request;
   result.attempt = end.key.attempt;
   result.host = end.host;
   result.outcome = end.outcome;
-  result.elapsed = end.taken;
+  result.elapsed = end.elapsed;
   result.terminal = exchange.ended;
   balancer_.onResult(now(), result);
 }
@@ -651,9 +648,12 @@
   shutDownTimer_.async_wait([this](error_code ec) {
     if (ec)
       return;
-    clients_.onEmpty = [this] { down_(); };
     clients_.stopAccepting();
   });
 }
 
+void Gateway::onDrained() {
+  down_();
+}
+
 }  // namespace hollyrun::gateway
--- a/src/gateway/request_validation.hpp
+++ b/src/gateway/request_validation.hpp
@@ -11,7 +11,7 @@
 #include <variant>
 #include <vector>
 
-#include "gateway/upstream_pool.hpp"
+#include "gateway/http_message.hpp"
 #include "hollyrun/balancer.hpp"
 
 namespace hollyrun::gateway {
