--- /dev/null
+++ b/src/gateway/action_executor.cpp
@@ -0,0 +1,151 @@
+#include "gateway/action_executor.hpp"
+
+#include <boost/beast/http/verb.hpp>
+#include <chrono>
+#include <utility>
+#include <vector>
+
+namespace hollyrun::gateway {
+namespace {
+
+namespace http = boost::beast::http;
+using balancer::Action;
+using balancer::ActionKind;
+using balancer::Duration;
+using balancer::HostId;
+using balancer::Outcome;
+using balancer::Time;
+using boost::system::error_code;
+
+// Limit of an attempt while its upload is still arriving. The pool's own connect timeout is shorter.
+constexpr Duration kUploadConnectTimeout = std::chrono::seconds(10);
+
+}  // namespace
+
+ActionExecutor::ActionExecutor(boost::asio::io_context& io, GatewayState& state,
+                               const EndpointTable& endpoints, AttemptAdmission& admission,
+                               RequestCompletion& completion, Targets targets)
+    : state_(state),
+      endpoints_(endpoints),
+      admission_(admission),
+      completion_(completion),
+      targets_(targets),
+      wakeTimer_(io) {}
+
+void ActionExecutor::onAttemptComplete(AttemptCompletion completion) {
+  completions_.push_back(std::move(completion));
+  executePending();
+}
+
+// An action that ends an attempt at once must not feed the balancer while earlier actions of the same batch
+// are still to be carried out, so results are queued and reported one by one between the batches.
+void ActionExecutor::executePending() {
+  if (isExecuting_)
+    return;
+  isExecuting_ = true;
+  for (;;) {
+    disconnectDepartedClients();
+    const std::vector<Action> actions = std::exchange(state_.balancer.actions(), {});
+    for (const Action& action : actions)
+      execute(action);
+    // Clients that left come before the results of the attempts that were not started because of it.
+    if (admission_.hasDisconnectedClients())
+      continue;
+    if (!state_.balancer.actions().empty())
+      continue;
+    // Contexts are removed only after all actions that name them are carried out.
+    state_.requests.removeFinished();
+    if (!completeNextAttempt())
+      break;
+  }
+  isExecuting_ = false;
+}
+
+void ActionExecutor::disconnectDepartedClients() {
+  for (const DownstreamRequestId client : admission_.takeDisconnectedClients())
+    targets_.downstream.leave(client);
+}
+
+bool ActionExecutor::completeNextAttempt() {
+  if (completions_.empty())
+    return false;
+  AttemptCompletion completion = std::move(completions_.front());
+  completions_.pop_front();
+  completion_.completeAttempt(std::move(completion));
+  return true;
+}
+
+void ActionExecutor::execute(const Action& action) {
+  switch (action.kind) {
+    case ActionKind::send:
+      return startAttempt(action);
+    case ActionKind::reject:
+    case ActionKind::fail:
+      return completion_.rejectRequest(action);
+    case ActionKind::cancel:
+      return targets_.upstream.cancel({action.request, action.attempt});
+    case ActionKind::close:
+      return targets_.upstream.closeIdle(action.host);
+    case ActionKind::wake:
+      return scheduleWake(action.wakeAt);
+    case ActionKind::pollDiscovery:
+      return targets_.discovery.watch();
+    case ActionKind::log:
+      return targets_.log.write(LogLevel::info, "balancer", action.text);
+  }
+}
+
+void ActionExecutor::startAttempt(const Action& action) {
+  RequestContext* const context = state_.requests.find(action.request);
+  if (!context || context->isFinished)
+    return;
+  ++context->attemptsInFlight;
+  context->attemptsStarted = action.attempt + 1;
+  context->attemptTerms.push_back(currentTerms(*context, action.host));
+  HttpRequest message = context->message;
+  message.version(11);
+  message.keep_alive(true);
+  if (context->upload)
+    return startUpload(*context, action, std::move(message));
+  if (message.method() != http::verb::get || !message.body().empty())
+    message.prepare_payload();
+  targets_.upstream.start({action.request, action.attempt}, action.host, std::move(message), action.timeLimit,
+                          action.latestStart);
+}
+
+// A body of which bytes were sent is not complete any more, and two attempts can't share one.
+void ActionExecutor::startUpload(RequestContext& context, const Action& action, HttpRequest message) {
+  if (context.upload->touched() || context.attemptsInFlight > 1) {
+    completions_.push_back({{action.request, action.attempt}, action.host, Outcome::abandoned, {}, {}});
+    return;
+  }
+  const Duration limit = context.isReceived ? action.timeLimit : kUploadConnectTimeout;
+  targets_.upstream.start({action.request, action.attempt}, action.host, std::move(message), context.upload,
+                          context.uploadLength, limit, action.latestStart);
+}
+
+// The settings in effect now decide this attempt; the class's promise is that of the request's arrival.
+balancer::AttemptTerms ActionExecutor::currentTerms(const RequestContext& context, HostId host) const {
+  balancer::AttemptTerms terms = context.terms;
+  terms.maxAttempts = state_.settings.maxAttempts;
+  terms.allowHedging = state_.settings.allowHedging;
+  terms.serverUpSince = endpoints_.status(host).upSince;
+  return terms;
+}
+
+// Only the earliest wake counts: the balancer requests the next one at each event.
+void ActionExecutor::scheduleWake(Time at) {
+  if (wakeAt_ > Time{} && wakeAt_ <= at)
+    return;
+  wakeAt_ = at;
+  wakeTimer_.expires_at(state_.clock.toSteady(at));
+  wakeTimer_.async_wait([this](error_code ec) {
+    if (ec || state_.clock.now() < wakeAt_)
+      return;
+    wakeAt_ = Time{};
+    state_.balancer.onWake(state_.clock.now());
+    executePending();
+  });
+}
+
+}  // namespace hollyrun::gateway
--- /dev/null
+++ b/src/gateway/attempt_admission.cpp
@@ -0,0 +1,57 @@
+#include "gateway/attempt_admission.hpp"
+
+namespace hollyrun::gateway {
+
+using balancer::DenialReason;
+using balancer::Duration;
+using balancer::Outcome;
+
+AttemptAdmission::AttemptAdmission(GatewayState& state, const EndpointTable& endpoints,
+                                   const DownstreamServer& downstream)
+    : state_(state), endpoints_(endpoints), downstream_(downstream) {}
+
+AdmissionResult AttemptAdmission::admit(const AttemptStart& start) {
+  RequestContext* const context = state_.requests.find(start.key.request);
+  if (!context)
+    return {Outcome::abandoned, {}};
+  const std::uint32_t attempt = start.key.attempt;
+  // The client's time does not run before the last byte of its upload.
+  const Duration timeLeft = context->isReceived ? start.timeLeft : context->timeLimit;
+  const balancer::Admission admission = guard_.admit({.now = state_.clock.now(),
+                                                      .clientPresent = isClientPresent(*context),
+                                                      .attempt = attempt,
+                                                      .left = timeLeft,
+                                                      .terms = context->attemptTerms.at(attempt),
+                                                      .server = endpoints_.status(start.host),
+                                                      .history = context->history});
+  if (admission.denied)
+    return deny(*context, start, *admission.denied);
+  if (start.step == AttemptStep::write) {
+    context->history.wrote(attempt, endpoints_.status(start.host), state_.clock.now());
+    state_.requestLog.traceAttemptStarted(*context, attempt, start.host, admission.told);
+  }
+  return {std::nullopt, admission.told};
+}
+
+AdmissionResult AttemptAdmission::deny(const RequestContext& context, const AttemptStart& start,
+                                       DenialReason reason) {
+  state_.requestLog.traceAttempt("attempt_denied", context, start.key.attempt, start.host,
+                                 balancer::nameOf(reason));
+  if (balancer::isViolation(reason))
+    state_.requestLog.reportViolation(balancer::nameOf(reason), context.clientId());
+  const bool isClientGone = reason == DenialReason::clientDisconnected;
+  return {isClientGone ? Outcome::abandoned : Outcome::localFailure, {}};
+}
+
+// A client may disconnect in the same iteration of the event loop in which an attempt of its request starts.
+// Its socket shows that before the event loop reports it.
+bool AttemptAdmission::isClientPresent(const RequestContext& context) {
+  if (context.isFinished)
+    return false;
+  if (downstream_.present(context.client))
+    return true;
+  disconnectedClients_.push_back(context.client);
+  return false;
+}
+
+}  // namespace hollyrun::gateway
--- /dev/null
+++ b/src/gateway/attempt_admission.hpp
@@ -0,0 +1,41 @@
+/// Admission of attempts: each step that would let bytes out is checked against the facts of its own moment.
+#pragma once
+
+#include <utility>
+#include <vector>
+
+#include "balancer/dispatch_guard.hpp"
+#include "gateway/downstream_server.hpp"
+#include "gateway/endpoint_table.hpp"
+#include "gateway/gateway_state.hpp"
+#include "gateway/upstream_observer.hpp"
+
+namespace hollyrun::gateway {
+
+class AttemptAdmission {
+ public:
+  AttemptAdmission(GatewayState& state, const EndpointTable& endpoints, const DownstreamServer& downstream);
+
+  /// No attempt connects or writes its first byte without this.
+  AdmissionResult admit(const AttemptStart& start);
+
+  /// Clients that were found to have disconnected as an attempt was about to start.
+  std::vector<DownstreamRequestId> takeDisconnectedClients() {
+    return std::exchange(disconnectedClients_, {});
+  }
+  bool hasDisconnectedClients() const { return !disconnectedClients_.empty(); }
+  const balancer::DispatchGuard& guard() const { return guard_; }
+
+ private:
+  bool isClientPresent(const RequestContext& context);
+  AdmissionResult deny(const RequestContext& context, const AttemptStart& start,
+                       balancer::DenialReason reason);
+
+  GatewayState& state_;
+  const EndpointTable& endpoints_;
+  const DownstreamServer& downstream_;
+  balancer::DispatchGuard guard_;
+  std::vector<DownstreamRequestId> disconnectedClients_;
+};
+
+}  // namespace hollyrun::gateway
--- /dev/null
+++ b/src/gateway/balancer_clock.hpp
@@ -0,0 +1,29 @@
+/// The monotonic clock on which the balancer counts.
+#pragma once
+
+#include <chrono>
+
+#include "gateway/server_start_times.hpp"
+#include "hollyrun/balancer.hpp"
+
+namespace hollyrun::gateway {
+
+class BalancerClock {
+ public:
+  using Steady = std::chrono::steady_clock;
+
+  balancer::Time now() const { return kTimeAtStart + (Steady::now() - startedAt_); }
+  Steady::time_point toSteady(balancer::Time time) const { return startedAt_ + (time - kTimeAtStart); }
+  /// The monotonic and the wall clock, read together.
+  ServerStartTimes::Clocks readClocks() const {
+    return {now(), std::chrono::system_clock::now().time_since_epoch()};
+  }
+
+ private:
+  // Not zero, so that upstream hosts that started up to a day before this process have a time on this clock.
+  static constexpr balancer::Time kTimeAtStart = std::chrono::hours(24);
+
+  const Steady::time_point startedAt_ = Steady::now();
+};
+
+}  // namespace hollyrun::gateway
--- /dev/null
+++ b/src/gateway/endpoint_table.cpp
@@ -0,0 +1,79 @@
+#include "gateway/endpoint_table.hpp"
+
+#include <cstddef>
+#include <utility>
+
+namespace hollyrun::gateway {
+
+using balancer::Endpoint;
+using balancer::EndpointListKind;
+using balancer::EndpointState;
+using balancer::EndpointStatus;
+using balancer::HostId;
+
+EndpointTable::EndpointTable(GatewayState& state, UpstreamPool& upstream)
+    : state_(state), upstream_(upstream), startTimes_(state.clock.readClocks()) {}
+
+void EndpointTable::applyEndpointList(const EndpointList& list, EndpointListKind kind) {
+  const std::vector<Endpoint> endpoints = convert(list, kind);
+  state_.balancer.onEndpoints(state_.clock.now(), kind, endpoints);
+  // An endpoint that a snapshot leaves out is removed.
+  if (kind != EndpointListKind::delta)
+    for (EndpointStatus& status : statuses_)
+      takeOutOfService(status, EndpointState::removed);
+  for (std::size_t i = 0; i < list.endpoints.size(); ++i) {
+    const ListedEndpoint& listed = list.endpoints[i];
+    const HostId id = state_.balancer.findHost(listed.uid);
+    updateEndpoint(id, endpoints[i]);
+    if (listed.address.port() != 0)
+      upstream_.setEndpoint(id, listed.address);
+    if (listed.state != EndpointState::serving)
+      upstream_.drain(id);
+  }
+  isReady_ = isReady_ || !list.endpoints.empty() || kind != EndpointListKind::cached;
+}
+
+std::vector<Endpoint> EndpointTable::convert(const EndpointList& list, EndpointListKind kind) {
+  const auto source = kind == EndpointListKind::cached ? ServerStartTimes::Source::cached
+                                                       : ServerStartTimes::Source::discovery;
+  const std::vector<balancer::Time> startTimes =
+      startTimes_.startTimesOf(list, source, state_.clock.readClocks());
+  std::vector<Endpoint> endpoints;
+  for (const ListedEndpoint& listed : list.endpoints) {
+    Endpoint endpoint;
+    // The balancer identifies a host by its uid, which is the same at all gateways and survives a new
+    // address.
+    endpoint.address = listed.uid;
+    endpoint.zone = listed.zone;
+    endpoint.machineType = listed.machineType;
+    endpoint.cell = listed.cell;
+    endpoint.weight = listed.weight;
+    endpoint.upSince = startTimes[endpoints.size()];
+    endpoint.state = listed.state;
+    endpoints.push_back(std::move(endpoint));
+  }
+  return endpoints;
+}
+
+// The start of a drain is when this process first learned of it.
+void EndpointTable::takeOutOfService(EndpointStatus& status, EndpointState state) {
+  if (status.state == EndpointState::serving)
+    status.stateSince = state_.clock.now();
+  status.state = state;
+}
+
+void EndpointTable::updateEndpoint(HostId id, const Endpoint& endpoint) {
+  if (statuses_.size() <= id)
+    statuses_.resize(id + std::size_t{1});
+  EndpointStatus& status = statuses_[id];
+  status.id = id;
+  status.zone = endpoint.zone;
+  status.cell = endpoint.cell;
+  status.upSince = endpoint.upSince;
+  if (endpoint.state == EndpointState::serving)
+    status.state = EndpointState::serving;
+  else
+    takeOutOfService(status, endpoint.state);
+}
+
+}  // namespace hollyrun::gateway
--- /dev/null
+++ b/src/gateway/endpoint_table.hpp
@@ -0,0 +1,38 @@
+/// What the endpoint lists said: the status of each upstream host, applied to the balancer and the pool.
+#pragma once
+
+#include <vector>
+
+#include "balancer/dispatch_guard.hpp"
+#include "gateway/endpoint_list.hpp"
+#include "gateway/gateway_state.hpp"
+#include "gateway/server_start_times.hpp"
+#include "gateway/upstream_pool.hpp"
+
+namespace hollyrun::gateway {
+
+class EndpointTable {
+ public:
+  EndpointTable(GatewayState& state, UpstreamPool& upstream);
+
+  /// Applies a list to the balancer first, then to the statuses and the pool.
+  void applyEndpointList(const EndpointList& list, balancer::EndpointListKind kind);
+
+  /// Throws std::out_of_range if no list ever named this host.
+  const balancer::EndpointStatus& status(balancer::HostId host) const { return statuses_.at(host); }
+  /// Whether discovery has answered, or a cached list named an endpoint.
+  bool isReady() const { return isReady_; }
+
+ private:
+  std::vector<balancer::Endpoint> convert(const EndpointList& list, balancer::EndpointListKind kind);
+  void updateEndpoint(balancer::HostId id, const balancer::Endpoint& endpoint);
+  void takeOutOfService(balancer::EndpointStatus& status, balancer::EndpointState state);
+
+  GatewayState& state_;
+  UpstreamPool& upstream_;
+  ServerStartTimes startTimes_;
+  std::vector<balancer::EndpointStatus> statuses_;  // by HostId
+  bool isReady_ = false;
+};
+
+}  // namespace hollyrun::gateway
--- /dev/null
+++ b/src/gateway/process_lifecycle.cpp
@@ -0,0 +1,110 @@
+#include "gateway/process_lifecycle.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace hollyrun::gateway {
+namespace {
+
+using boost::system::error_code;
+
+// Descriptors for the listener, discovery, event loop, standard streams, what the libraries open, and the few
+// connections that linger beyond their limit.
+constexpr std::size_t kReservedDescriptors = 32;
+// Beside another process, discovery's first answer is awaited at most this long.
+constexpr auto kMaxListenDelay = std::chrono::milliseconds(2000);
+// The other process needs this long to detect this one and to reduce its own limits.
+constexpr auto kMinListenDelay = std::chrono::milliseconds(300);
+
+}  // namespace
+
+ConnectionLimits partitionDescriptors(std::size_t descriptors, std::size_t maxDownstream,
+                                      ServingProcesses processes) {
+  const std::size_t available = descriptors - kReservedDescriptors;
+  const std::size_t parts = processes == ServingProcesses::two ? 10 : 5;
+  return {.downstream = std::min(maxDownstream, available * 3 / parts), .upstream = available * 2 / parts};
+}
+
+ProcessLifecycle::ProcessLifecycle(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint address,
+                                   AddressSharing sharing, const Resources& resources,
+                                   std::shared_ptr<MemoryBudget> memory, DownstreamServer& downstream,
+                                   UpstreamPool& upstream, Log& log)
+    : io_(io),
+      address_(std::move(address)),
+      sharing_(sharing),
+      resources_(resources),
+      memory_(std::move(memory)),
+      downstream_(downstream),
+      upstream_(upstream),
+      log_(log),
+      listenTimer_(io),
+      stopAcceptingTimer_(io) {}
+
+void ProcessLifecycle::enableHotRestart(const std::string& directory) {
+  if (address_.port() == 0)
+    return;
+  hotRestart_.emplace(io_, directory, address_, [this] { partitionResources(); });
+  if (!hotRestart_->isAnnounced())
+    log_.write(LogLevel::warning, "hot_restart",
+               "cannot announce this process in " + directory + " for now; it will be retried");
+}
+
+void ProcessLifecycle::start() {
+  if (!isOtherProcessPresent())
+    return startListening();
+  partitionResources();
+  listenTimer_.expires_after(kMaxListenDelay);  // discovery's first answer brings it forward
+  startListeningAtTimer();
+}
+
+void ProcessLifecycle::onDiscoveryAnswer() {
+  if (downstream_.takesClients())
+    return;
+  listenTimer_.expires_at(std::min(listenTimer_.expiry(), startedAt_ + kMinListenDelay));
+  startListeningAtTimer();
+}
+
+void ProcessLifecycle::startListeningAtTimer() {
+  listenTimer_.async_wait([this](error_code ec) {
+    if (!ec)
+      startListening();
+  });
+}
+
+void ProcessLifecycle::startListening() {
+  if (downstream_.takesClients() || isShuttingDown_)
+    return;
+  downstream_.listen(address_, sharing_ == AddressSharing::shared);
+  if (isOtherProcessPresent())
+    HotRestart::steerToLatestListener(downstream_.listener());
+}
+
+void ProcessLifecycle::partitionResources() {
+  const auto processes = isOtherProcessPresent() ? ServingProcesses::two : ServingProcesses::one;
+  const ConnectionLimits limits =
+      partitionDescriptors(resources_.descriptors, resources_.maxDownstream, processes);
+  downstream_.allow(limits.downstream);
+  upstream_.allow(limits.upstream);
+  memory_->limit(processes == ServingProcesses::two ? resources_.bodyBytes / 2 : resources_.bodyBytes);
+  log_.write(LogLevel::info, "hot_restart",
+             processes == ServingProcesses::two
+                 ? "another process serves the address: descriptors and memory are divided"
+                 : "no other process serves the address");
+}
+
+void ProcessLifecycle::beginShutdown(std::function<void()> onDrained) {
+  isShuttingDown_ = true;
+  onDrained_ = std::move(onDrained);
+  listenTimer_.cancel();
+}
+
+void ProcessLifecycle::drainClients() {
+  downstream_.lastAnswers();
+  stopAcceptingTimer_.expires_after(kAcceptOn);
+  stopAcceptingTimer_.async_wait([this](error_code ec) {
+    if (!ec)
+      downstream_.stopAccepting();
+  });
+}
+
+}  // namespace hollyrun::gateway
--- /dev/null
+++ b/src/gateway/request_intake.cpp
@@ -0,0 +1,149 @@
+#include "gateway/request_intake.hpp"
+
+#include <boost/beast/http/status.hpp>
+#include <optional>
+#include <utility>
+#include <variant>
+
+#include "gateway/hop_by_hop_headers.hpp"
+
+namespace hollyrun::gateway {
+namespace {
+
+namespace http = boost::beast::http;
+using balancer::Duration;
+using Clock = std::chrono::steady_clock;
+
+HttpResponse emptyResponse(http::status status) {
+  HttpResponse response;
+  response.result(status);
+  return response;
+}
+
+}  // namespace
+
+RequestIntake::RequestIntake(GatewayState& state, RequestCompletion& completion, ActionExecutor& actions,
+                             UpstreamPool& upstream, DownstreamServer& downstream)
+    : state_(state),
+      completion_(completion),
+      actions_(actions),
+      upstream_(upstream),
+      downstream_(downstream),
+      validator_(state.settings) {}
+
+void RequestIntake::applySettings() {
+  validator_ = RequestValidator(state_.settings);
+  for (const balancer::ClassSettings& requestClass : state_.settings.classes)
+    state_.statistics.registerClass(requestClass.name);
+}
+
+void RequestIntake::receiveRequest(DownstreamRequest request, Readiness readiness) {
+  const bool hasBody = request.upload || !request.message.body().empty();
+  const ValidationResult result =
+      validator_.validate(request.message, hasBody ? BodyPresence::present : BodyPresence::absent);
+  if (const auto* valid = std::get_if<ValidatedRequest>(&result))
+    acceptRequest(std::move(request), valid->request);
+  else if (const auto* rejection = std::get_if<RequestRejection>(&result))
+    rejectInvalid(request, *rejection);
+  else
+    answerHealthCheck(request.id, readiness);
+}
+
+void RequestIntake::answerHealthCheck(DownstreamRequestId client, Readiness readiness) {
+  const http::status status =
+      readiness == Readiness::ready ? http::status::ok : http::status::service_unavailable;
+  downstream_.answer(client, emptyResponse(status), nullptr);
+}
+
+// Where an invalid message ends is doubtful, so its connection is closed: what follows must not be read as a
+// request.
+void RequestIntake::rejectInvalid(const DownstreamRequest& request, const RequestRejection& rejection) {
+  HttpResponse response = emptyResponse(rejection.status);
+  response.keep_alive(false);
+  const std::size_t classIndex = state_.statistics.findClass(firstPathSegment(request.message.target()));
+  downstream_.answer(request.id, std::move(response), [this, classIndex](bool) {
+    state_.statistics.recordOutcome(classIndex, Statistics::Outcome::failure, std::nullopt);
+  });
+}
+
+void RequestIntake::acceptRequest(DownstreamRequest request, balancer::Request validated) {
+  // A connection may wait in the accept queue until its client has given up. The request and the client's
+  // disconnection are then found together.
+  if (!downstream_.present(request.id)) {
+    const std::string& className = state_.settings.classes[validated.classIndex].name;
+    state_.statistics.recordOutcome(state_.statistics.findClass(className), Statistics::Outcome::failure,
+                                    std::nullopt);
+    return downstream_.leave(request.id);
+  }
+  const RequestContext& context = addContext(std::move(request), validated);
+  validated.id = context.id;
+  validated.remaining = context.timeLimit - (Clock::now() - context.receivedAt);
+  validated.uploading = !context.isReceived;
+  state_.balancer.onRequest(state_.clock.now(), validated);
+  actions_.executePending();
+}
+
+RequestContext& RequestIntake::addContext(DownstreamRequest request, const balancer::Request& validated) {
+  const balancer::ClassSettings& requestClass = state_.settings.classes[validated.classIndex];
+  removeHopByHopHeaders(request.message);
+  RequestContext& context = state_.requests.add(request.id);
+  context.statisticsClass = state_.statistics.findClass(requestClass.name);
+  context.terms.idempotency = requestClass.idempotency;
+  context.terms.deduplicationScope = requestClass.deduplicationScope;
+  context.terms.deduplicationWindow = requestClass.deduplicationWindow;
+  context.timeLimit = validated.remaining - kAnswerMargin;
+  context.reservation = std::move(request.reservation);
+  context.upload = std::move(request.upload);
+  context.uploadLength = request.uploadLength;
+  context.isReceived = !context.upload;
+  context.receivedAt = request.receivedAt;
+  context.message = std::move(request.message);
+  state_.requestLog.traceReceived(context, requestClass.name);
+  if (context.isReceived)
+    state_.statistics.incrementInFlight();
+  return context;
+}
+
+void RequestIntake::completeUpload(DownstreamRequestId client) {
+  RequestContext* const context = state_.requests.findByClient(client);
+  if (!context)
+    return;
+  context->isReceived = true;
+  context->receivedAt = Clock::now();
+  state_.statistics.incrementInFlight();
+  for (std::uint32_t attempt = 0; attempt < context->attemptsStarted; ++attempt)
+    upstream_.uploaded({context->id, attempt}, context->timeLimit);
+  state_.balancer.onUploaded(state_.clock.now(), context->id, context->timeLimit);
+  actions_.executePending();
+}
+
+void RequestIntake::disconnectClient(DownstreamRequestId client) {
+  RequestContext* const context = state_.requests.findByClient(client);
+  if (!context)
+    return;
+  completion_.abortRequest(*context);
+  // The context may be removed with the last of its attempts.
+  const balancer::RequestId id = context->id;
+  const std::uint32_t attemptsStarted = context->attemptsStarted;
+  state_.balancer.onClientDisconnected(state_.clock.now(), id);
+  actions_.executePending();
+  // Where attempts may not be cancelled, one that waits for its connection would still be sent.
+  for (std::uint32_t attempt = 0; attempt < attemptsStarted; ++attempt)
+    upstream_.drop({id, attempt});
+}
+
+void RequestIntake::recordLocalRejection(const std::string& target, RejectionKind kind) {
+  const auto outcome =
+      kind == RejectionKind::overloaded ? Statistics::Outcome::busy : Statistics::Outcome::failure;
+  state_.statistics.recordOutcome(state_.statistics.findClass(firstPathSegment(target)), outcome,
+                                  std::nullopt);
+}
+
+void RequestIntake::recordClosedUnanswered(DownstreamRequestId client, CloseReason reason) {
+  ++state_.counters.closedUnanswered;
+  const RequestContext* const context = state_.requests.findByClient(client);
+  state_.requestLog.reportViolation("closed_unanswered, " + std::string(nameOf(reason)),
+                                    context ? context->clientId() : "-");
+}
+
+}  // namespace hollyrun::gateway
--- /dev/null
+++ b/src/gateway/request_log.cpp
@@ -0,0 +1,75 @@
+#include "gateway/request_log.hpp"
+
+#include <cstdlib>
+
+#include "gateway/request_metrics.hpp"
+
+namespace hollyrun::gateway {
+namespace {
+
+using balancer::ActionKind;
+using balancer::Duration;
+using balancer::HostId;
+
+std::string inMilliseconds(Duration duration) {
+  return std::to_string(duration / std::chrono::milliseconds(1));
+}
+
+}  // namespace
+
+RequestLog::RequestLog(Log& log, const balancer::Balancer& balancer, ViolationPolicy policy)
+    : log_(log), balancer_(balancer), policy_(policy) {}
+
+void RequestLog::traceReceived(const RequestContext& context, std::string_view className) {
+  if (!log_.tracing())
+    return;
+  log_.trace("request_received", {{"request", context.clientId()},
+                                  {"class", std::string(className)},
+                                  {"left_ms", inMilliseconds(context.timeLimit)}});
+}
+
+void RequestLog::traceAttempt(std::string_view step, const RequestContext& context, std::uint32_t attempt,
+                              HostId host, std::string_view detail) {
+  if (!log_.tracing())
+    return;
+  const Duration timeLeft = context.timeLimit - (std::chrono::steady_clock::now() - context.receivedAt);
+  log_.trace(step, {{"request", context.clientId()},
+                    {"attempt", std::to_string(attempt)},
+                    {"host", balancer_.address(host)},
+                    {"detail", std::string(detail)},
+                    {"left_ms", inMilliseconds(timeLeft)}});
+}
+
+void RequestLog::traceAttemptStarted(const RequestContext& context, std::uint32_t attempt, HostId host,
+                                     std::chrono::milliseconds advertisedDeadline) {
+  if (log_.tracing())
+    traceAttempt("attempt_started", context, attempt, host,
+                 "deadline_ms=" + std::to_string(advertisedDeadline.count()));
+}
+
+void RequestLog::traceRejection(const RequestContext& context, const balancer::Action& action) {
+  if (!log_.tracing())
+    return;
+  log_.trace(action.kind == ActionKind::reject ? "request_rejected" : "request_failed",
+             {{"request", context.clientId()}, {"reason", std::string(nameOf(action.reason))}});
+}
+
+void RequestLog::traceClientDisconnected(const RequestContext& context) {
+  if (log_.tracing())
+    log_.trace("client_disconnected", {{"request", context.clientId()}});
+}
+
+void RequestLog::logAccess(std::string_view clientId, std::string_view className, std::string_view outcome,
+                           std::optional<std::chrono::nanoseconds> duration) {
+  const double ms = duration ? std::chrono::duration<double, std::milli>(*duration).count() : -1;
+  log_.answered(clientId, className, outcome, ms);
+}
+
+void RequestLog::reportViolation(std::string_view rule, const std::string& clientId) {
+  log_.write(LogLevel::error, "violation", "a rule was about to be broken",
+             {{"rule", std::string(rule)}, {"request", clientId}});
+  if (policy_ == ViolationPolicy::abort)
+    std::abort();
+}
+
+}  // namespace hollyrun::gateway
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,7 +1,7 @@
-// The gateway as a program: command line, configuration, signals, exit codes.
-//
-// Exit codes: 0 ended as told, or all is well; 1 failed while it ran; 2 the arguments or the configuration
-// are no good. Without arguments it serves, as the platform starts it.
+/// The gateway as a program: command line, configuration, signals, exit codes.
+///
+/// Exit codes: 0 shut down as requested, or the check passed; 1 failed while it ran; 2 invalid arguments or
+/// configuration. Without arguments it serves, as the platform starts it.
 #include <CLI/CLI.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -23,21 +23,22 @@
 
 using namespace hollyrun::gateway;
 
-constexpr int kFailed = 1, kWrong = 2;
+constexpr int kExitFailure = 1;
+constexpr int kExitInvalidInput = 2;
 
-void warn(const Config& config, Log& log) {
+void logWarnings(const Config& config, Log& log) {
   for (const std::string& warning : config.warnings)
     log.write(LogLevel::warning, "configuration", warning);
 }
 
-// Danger: a file that is no good must not end a gateway that serves; it goes on with what it has.
+// An invalid file must not end a gateway that serves; it continues with the settings in effect.
 void reload(Gateway& gateway, Config& running, const Environment& environment, Log& log) {
   try {
     Config config = readConfig(environment, &running);
     gateway.reload(config);
     running = std::move(config);
     log.set(running.log);
-    warn(running, log);
+    logWarnings(running, log);
     log.write(LogLevel::info, "configuration", "configuration reloaded");
   } catch (const std::exception& bad) {  // BadConfig, or what the system refuses
     gateway.reloadFailed();
@@ -45,28 +46,28 @@
   }
 }
 
-void reloadAtEach(boost::asio::signal_set& hangups, Gateway& gateway, Config& running,
-                  const Environment& environment, Log& log) {
+void reloadOnHangup(boost::asio::signal_set& hangups, Gateway& gateway, Config& running,
+                    const Environment& environment, Log& log) {
   hangups.async_wait([&](boost::system::error_code ec, int) {
     if (ec)
       return;
     reload(gateway, running, environment, log);
-    reloadAtEach(hangups, gateway, running, environment, log);
+    reloadOnHangup(hangups, gateway, running, environment, log);
   });
 }
 
 int serve(const Environment& environment) {
   boost::asio::io_context io(1);
-  // Danger: the configuration takes its time to read, and a signal that comes meanwhile would end the
-  // process. It is kept until the gateway is there, which then acts on it.
+  // Registered before the configuration is read: a signal during that time would end the process. It stays
+  // pending until the gateway exists and handles it.
   boost::asio::signal_set hangups(io, SIGHUP), stops(io, SIGTERM, SIGINT);
   Config config = readConfig(environment);
   Log log(config.name, config.log);
-  warn(config, log);
+  logWarnings(config, log);
   Gateway::Options options;
   options.abortOnViolation = environment("HOLLYRUN_ABORT_ON_VIOLATION") != nullptr;  // for soaks
   Gateway gateway(io, config, options, log);
-  reloadAtEach(hangups, gateway, config, environment, log);
+  reloadOnHangup(hangups, gateway, config, environment, log);
   stops.async_wait([&](boost::system::error_code ec, int) {
     if (!ec)
       gateway.shutDown([&] { io.stop(); });
@@ -75,8 +76,8 @@
   return 0;
 }
 
-// Prints what is wrong with the file, all of it; the file as read, if nothing is.
-bool good(const Environment& environment, ReadFile& file) {
+/// Reads the file that GW_CONFIG names and prints its warnings and errors. Whether there are no errors.
+bool readAndReport(const Environment& environment, ReadFile& file) {
   const char* path = environment("GW_CONFIG");
   if (!path)
     throw BadConfig("no file: name one with --config or GW_CONFIG");
@@ -98,93 +99,116 @@
   return file.faults.empty();
 }
 
-int check(const Environment& environment) {
+int checkConfig(const Environment& environment) {
   ReadFile file;
-  if (!good(environment, file))
-    return kWrong;
+  if (!readAndReport(environment, file))
+    return kExitInvalidInput;
   std::cout << environment("GW_CONFIG") << ": good\n";
   return 0;
 }
 
-int showAll(const Environment& environment) {
+int showConfig(const Environment& environment) {
   ReadFile file;
-  if (!good(environment, file))
-    return kWrong;
+  if (!readAndReport(environment, file))
+    return kExitInvalidInput;
   std::cout << textOf(show(parseConfig(file.json, environment), file, environment));
   return 0;
 }
 
-// Of the command line, for commands that ask running gateways.
+// Arguments of commands that query running gateways.
 std::vector<std::string> addresses;
 
-int fleet(const Environment&) {
+int showFleet(const Environment&) {
   bool agree = true;
   std::cout << fleetTable(addresses, agree);
-  return agree ? 0 : kFailed;
+  return agree ? 0 : kExitFailure;
 }
 
-int version(const Environment&) {
+int showVersion(const Environment&) {
   std::cout << "hollyrun " HOLLYRUN_VERSION "\n";
   return 0;
 }
 
+using Command = int (*)(const Environment&);
+
+/// What the command line says: the command, and values that override variables of the environment.
+struct CommandLine {
+  Command command = serve;
+  std::map<std::string, std::string> overrides;
+};
+
+void addConfigOptions(CLI::App& subcommand, CommandLine& line) {
+  const std::pair<const char*, const char*> options[] = {{"GW_CONFIG", "--config"},
+                                                         {"GW_NAME", "--name"},
+                                                         {"GW_LISTEN", "--listen"},
+                                                         {"GW_DISCOVERY", "--discovery"},
+                                                         {"GW_MANAGEMENT", "--management"}};
+  for (const auto& [variable, option] : options)
+    subcommand.add_option_function<std::string>(
+        option,
+        [&line, key = std::string(variable)](const std::string& value) { line.overrides[key] = value; },
+        std::string("overrides ") + variable);
+}
+
+CLI::App* addCommand(CLI::App& app, CommandLine& line, const char* name, const char* description,
+                     Command command) {
+  CLI::App* subcommand = app.add_subcommand(name, description);
+  subcommand->callback([&line, command] { line.command = command; });
+  return subcommand;
+}
+
+void addCommands(CLI::App& app, CommandLine& line) {
+  app.require_subcommand(0, 1);
+  app.footer(
+      "Without a command it serves. Exit codes: 0 success, 1 failed while it ran, 2 invalid arguments or\n"
+      "configuration. The file may be TOML (see deploy/hollyrun.toml) or the platform's JSON.");
+  addConfigOptions(*addCommand(app, line, "serve", "serve until SIGTERM; SIGHUP reads the file again", serve),
+                   line);
+  addConfigOptions(*addCommand(app, line, "check",
+                               "name every error of the configuration, with file, line and key", checkConfig),
+                   line);
+  addConfigOptions(*addCommand(app, line, "show",
+                               "print the settings in effect as TOML, and where each came from", showConfig),
+                   line);
+  addCommand(app, line, "fleet", "show the members that gateways see; ends with 1 where their views differ",
+             showFleet)
+      ->add_option("address", addresses, "management address, host:port")
+      ->required();
+  addCommand(app, line, "version", "print the version", showVersion);
+}
+
+/// Runs the command, and serves if there is none. Precedence: command line, environment, file.
+int run(int argc, char** argv) {
+  CommandLine line;
+  if (argc > 1) {  // the platform starts it without arguments
+    CLI::App app{"hollyrun: the HTTP/1.1 gateway of the record platform"};
+    addCommands(app, line);
+    try {
+      app.parse(argc, argv);
+    } catch (const CLI::ParseError& error) {
+      return app.exit(error) == 0 ? 0 : kExitInvalidInput;
+    }
+  }
+  if (line.command != serve)
+    std::signal(SIGHUP, SIG_DFL);
+  return line.command([&line](const char* name) -> const char* {
+    const auto it = line.overrides.find(name);
+    return it != line.overrides.end() ? it->second.c_str() : std::getenv(name);
+  });
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
-  std::signal(SIGPIPE, SIG_IGN);  // a peer that left shows as an error of the write
-  std::signal(SIGHUP, SIG_IGN);   // until there is a handler: what the file says is still to be read
-  // What the command line says goes before the variables, and they before the file.
-  std::map<std::string, std::string> told;
-  const Environment environment = [&](const char* name) -> const char* {
-    const auto it = told.find(name);
-    return it != told.end() ? it->second.c_str() : std::getenv(name);
-  };
-  int (*command)(const Environment&) = serve;
+  std::signal(SIGPIPE, SIG_IGN);  // a disconnected peer shows as an error of the write
+  std::signal(SIGHUP, SIG_IGN);   // until there is a handler: the configuration is still to be read then
   try {
-    if (argc > 1) {  // the platform starts it without arguments
-      CLI::App app{"hollyrun: the HTTP/1.1 gateway of the record platform"};
-      app.require_subcommand(0, 1);
-      app.footer(
-          "Without a command it serves. Exit codes: 0 well, 1 failed while it ran, 2 wrong arguments or\n"
-          "configuration. The file may be TOML (see deploy/hollyrun.toml) or the platform's JSON.");
-      const auto add = [&](const char* name, const char* what, int (*f)(const Environment&)) {
-        CLI::App* sub = app.add_subcommand(name, what);
-        sub->callback([&command, f] { command = f; });
-        if (f == version)
-          return;
-        if (f == fleet) {
-          sub->add_option("address", addresses, "management address, host:port")->required();
-          return;
-        }
-        const std::pair<const char*, const char*> options[] = {{"GW_CONFIG", "--config"},
-                                                               {"GW_NAME", "--name"},
-                                                               {"GW_LISTEN", "--listen"},
-                                                               {"GW_DISCOVERY", "--discovery"},
-                                                               {"GW_MANAGEMENT", "--management"}};
-        for (const auto& [variable, option] : options)
-          sub->add_option_function<std::string>(
-              option, [&told, key = std::string(variable)](const std::string& value) { told[key] = value; },
-              std::string("goes before ") + variable);
-      };
-      add("serve", "serve until SIGTERM; SIGHUP reads the file again", serve);
-      add("check", "name every fault of the configuration, with file, line and key", check);
-      add("show", "print the settings in effect as TOML, and where each came from", showAll);
-      add("fleet", "show the members that gateways see; ends with 1 where their views differ", fleet);
-      add("version", "print the version", version);
-      try {
-        app.parse(argc, argv);
-      } catch (const CLI::ParseError& bad) {
-        return app.exit(bad) == 0 ? 0 : kWrong;
-      }
-    }
-    if (command != serve)
-      std::signal(SIGHUP, SIG_DFL);
-    return command(environment);
+    return run(argc, argv);
   } catch (const BadConfig& bad) {
     std::cerr << "hollyrun: " << bad.what() << '\n';
-    return kWrong;
+    return kExitInvalidInput;
   } catch (const std::exception& bad) {
     std::cerr << "hollyrun: " << bad.what() << '\n';
-    return kFailed;
+    return kExitFailure;
   }
 }
--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -367,9 +367,9 @@
                            "hollyrun_given_up_total{reason=\"cutoff\"} 0"})
     EXPECT_NE(metrics.find(line), std::string::npos) << line << "\n" << metrics;
   const std::string lines = log();
-  for (const char* step :
-       {" taken request=r1", " attempt_begun request=r1 attempt=0", " attempt_ended request=r1 attempt=0",
-        "detail=full", " attempt_begun request=r1 attempt=1", "detail=served"})
+  for (const char* step : {" request_received request=r1", " attempt_started request=r1 attempt=0",
+                           " attempt_ended request=r1 attempt=0", "detail=full",
+                           " attempt_started request=r1 attempt=1", "detail=served"})
     EXPECT_NE(lines.find(step), std::string::npos) << step << "\n" << lines;
 }
 
--- /dev/null
+++ b/tests/request_table_test.cpp
@@ -0,0 +1,61 @@
+// When contexts of requests are found and when they are removed.
+#include "gateway/request_table.hpp"
+
+#include <gtest/gtest.h>
+
+namespace hollyrun::gateway {
+namespace {
+
+constexpr DownstreamRequestId kClient = 7;
+
+TEST(RequestTable, FindsAContextByItsIdAndByItsClient) {
+  RequestTable table;
+  RequestContext& context = table.add(kClient);
+  EXPECT_EQ(table.find(context.id), &context);
+  EXPECT_EQ(table.findByClient(kClient), &context);
+  EXPECT_EQ(table.find(context.id + 1), nullptr);
+  EXPECT_EQ(table.findByClient(kClient + 1), nullptr);
+}
+
+TEST(RequestTable, AssignsEachRequestAnIdOfItsOwn) {
+  RequestTable table;
+  EXPECT_NE(table.add(kClient).id, table.add(kClient + 1).id);
+}
+
+TEST(RequestTable, AFinishedRequestIsKnownByItsIdOnly) {
+  RequestTable table;
+  RequestContext& context = table.add(kClient);
+  table.finish(context);
+  EXPECT_TRUE(context.isFinished);
+  EXPECT_EQ(table.findByClient(kClient), nullptr);
+  EXPECT_EQ(table.find(context.id), &context);
+}
+
+TEST(RequestTable, KeepsAFinishedRequestWhileAnAttemptIsInFlight) {
+  RequestTable table;
+  RequestContext& context = table.add(kClient);
+  const balancer::RequestId id = context.id;
+  context.attemptsInFlight = 1;
+  table.finish(context);
+  table.scheduleRemoval(id);
+  table.removeFinished();
+  ASSERT_NE(table.find(id), nullptr);
+  context.attemptsInFlight = 0;
+  table.removeFinished();
+  EXPECT_NE(table.find(id), nullptr) << "it is looked at only when its removal was scheduled";
+  table.scheduleRemoval(id);
+  table.scheduleRemoval(id);
+  table.removeFinished();
+  EXPECT_EQ(table.find(id), nullptr);
+}
+
+TEST(RequestTable, KeepsARequestThatIsNotFinished) {
+  RequestTable table;
+  const balancer::RequestId id = table.add(kClient).id;
+  table.scheduleRemoval(id);
+  table.removeFinished();
+  EXPECT_NE(table.find(id), nullptr);
+}
+
+}  // namespace
+}  // namespace hollyrun::gateway
