--- a/src/gateway/config.cpp
+++ b/src/gateway/config.cpp
@@ -223,7 +223,7 @@
   if (!known)
     return std::nullopt;
   try {
-    return parseHostList(*known);
+    return parseEndpointList(*known);
   } catch (const std::invalid_argument& error) {
     throw ConfigError(ConfigErrorCode::malformedValue, "known", std::string("known: ") + error.what());
   }
--- a/src/gateway/downstream_server.cpp
+++ b/src/gateway/downstream_server.cpp
@@ -19,6 +19,8 @@
 #include <utility>
 #include <vector>
 
+#include "gateway/chunked_encoding.hpp"
+#include "gateway/incremental_body.hpp"
 #include "gateway/message_text.hpp"
 #include "gateway/socket_io.hpp"
 
@@ -52,6 +54,10 @@
 // Sessions whose socket is asked for unread bytes in a search for room; the next turn reads what these have.
 constexpr std::size_t kRoomCandidates = 16;
 
+RejectionKind kindOf(http::status status) {
+  return status == http::status::service_unavailable ? RejectionKind::overloaded : RejectionKind::invalid;
+}
+
 }  // namespace
 
 class DownstreamServer::Session : public std::enable_shared_from_this<Session> {
@@ -86,7 +92,7 @@
     error_code ignored;
     socket_.set_option(asio::socket_base::send_buffer_size(kRelayBuffer), ignored);
     download_ = std::move(body);
-    download_->onData = [weak = weak_from_this(), chunked = !length] {
+    download_->onReadable = [weak = weak_from_this(), chunked = !length] {
       if (const auto self = weak.lock())
         self->pump(chunked);
     };
@@ -104,7 +110,7 @@
     const bool owed = state_ == State::waiting || state_ == State::uploading;
     const bool excused = reason == CloseReason::clientLeft || reason == CloseReason::processEnd;
     if (owed && !excused)
-      server_->callbacks_.closedUnanswered(exchange_, counted);
+      server_->observer_.onClosedUnanswered(exchange_, counted);
     enter(State::closed);
     error_code ignored;
     socket_.close(ignored);
@@ -127,9 +133,11 @@
     watch();
   }
 
-  bool idle() const { return state_ == State::idle && !unread(socket_); }
+  bool idle() const { return state_ == State::idle && !hasUnreadBytes(socket_); }
   // A part of a request has come, and nothing waits to be read.
-  bool unfinished() const { return (state_ == State::head || state_ == State::body) && !unread(socket_); }
+  bool unfinished() const {
+    return (state_ == State::head || state_ == State::body) && !hasUnreadBytes(socket_);
+  }
   bool fresh(Clock::time_point now) const { return first_ && now - connected_ <= kFresh; }
   Clock::time_point lastCame() const { return lastCame_; }
 
@@ -151,7 +159,7 @@
     const DownstreamRequestId exchange = exchange_;
     server_->waiting_.erase(exchange);
     close(CloseReason::clientLeft);
-    server_->callbacks_.gone(exchange);
+    server_->observer_.onClientDisconnected(exchange);
   }
 
   // What has to happen by itself, looked for from time to time.
@@ -273,7 +281,7 @@
 
   void dropBodies() {
     if (const auto upload = std::exchange(upload_, nullptr)) {
-      upload->onRoom = nullptr;
+      upload->onWritable = nullptr;
       upload->fail();
     }
     if (const auto download = std::exchange(download_, nullptr))
@@ -301,17 +309,17 @@
       return;
     // Danger: what breaks off must not look whole; the rest of the told length, or the last chunk, is
     // missing.
-    const std::string piece = download_->take();
+    const std::string piece = download_->consume();
     if (!piece.empty())
-      return write(chunked ? chunkOf(piece) : piece, chunked);
-    if (download_->failed())
+      return write(chunked ? encodeChunk(piece) : piece, chunked);
+    if (download_->hasFailed())
       return close(CloseReason::brokenAnswer);
-    if (!download_->finished())
+    if (!download_->isFinished())
       return;
     if (chunked && !std::exchange(lastChunk_, true))
-      return write(chunkOf({}), chunked);
+      return write(encodeChunk({}), chunked);
     lastChunk_ = false;
-    download_->onData = nullptr;
+    download_->onReadable = nullptr;
     download_.reset();
     answered({});
   }
@@ -322,7 +330,7 @@
     parser_.emplace();
     parser_->eager(true);
     parser_->header_limit(kHeaderLimit);
-    parser_->body_limit(kMostBody);
+    parser_->body_limit(kMaxRequestBody);
     held_ = {};
     bodyBytes_ = 0;
     enter(State::idle);
@@ -423,12 +431,12 @@
       return watch();
     if (state_ == State::uploading)
       return uploadCame();
-    ClientRequest request = handOver(State::waiting);
+    DownstreamRequest request = handOver(State::waiting);
     request.message.body() = std::move(parser_->get().body());
     held_.resize(request.message.body().size());
-    request.held = std::move(held_);
+    request.reservation = std::move(held_);
     watchAhead();
-    server_->callbacks_.request(std::move(request));
+    server_->observer_.onRequest(std::move(request));
   }
 
   // False if it was answered.
@@ -437,7 +445,7 @@
     bodyBegan_ = Clock::now();
     const auto& head = parser_->get();
     const auto length = parser_->content_length();
-    if (length && *length > kMostBody)
+    if (length && *length > kMaxRequestBody)
       return refuse(http::status::payload_too_large);
     if (parser_->is_done())
       return true;
@@ -449,11 +457,11 @@
         return false;
       }
     }
-    const std::size_t held = length && *length <= kHeldBody ? *length : kHeldBody;
-    if (!server_->budget_->room(held))
+    const std::size_t held = length && *length <= kBufferedBodyLimit ? *length : kBufferedBodyLimit;
+    if (!server_->budget_->hasCapacity(held))
       return refuse(http::status::service_unavailable);
     held_ = MemoryReservation(server_->budget_, held);
-    if (length && *length > kHeldBody)
+    if (length && *length > kBufferedBodyLimit)
       beginUpload();
     return state_ == State::body || state_ == State::uploading;
   }
@@ -475,11 +483,11 @@
     std::string& body = parser_->get().body();
     const auto come = bodyBytes_ + (upload_ ? body.size() : body.size() - std::min(bodyBytes_, body.size()));
     bodyBytes_ = come;
-    if (state_ == State::body && body.size() > kHeldBody)
+    if (state_ == State::body && body.size() > kBufferedBodyLimit)
       beginUpload();
     if (state_ != State::uploading)
       return state_ == State::body;
-    if (bodyBytes_ > kMostBody) {
+    if (bodyBytes_ > kMaxRequestBody) {
       reject(http::error::body_limit);
       return false;
     }
@@ -490,53 +498,53 @@
     feeding_ = false;
     if (state_ != State::uploading || parser_->is_done())
       return state_ == State::uploading;
-    if (!upload->full())
+    if (!upload->isFull())
       return true;
     paused_ = Clock::now();
-    return false;  // onRoom watches on
+    return false;  // onWritable watches on
   }
 
   void beginUpload() {
     held_ = {};
     upload_ = std::make_shared<BodyStream>(server_->budget_);
-    upload_->onRoom = [weak = weak_from_this()] {
+    upload_->onWritable = [weak = weak_from_this()] {
       const auto self = weak.lock();
       if (!self || self->watching_ || self->feeding_ || self->state_ != State::uploading)
         return;
-      if (self->upload_->abandoned() || self->upload_->full())
+      if (self->upload_->isAbandoned() || self->upload_->isFull())
         return;
       self->bodyBegan_ += Clock::now() - std::exchange(self->paused_, Clock::now());
       self->watch();
     };
     const auto keep = shared_from_this();
-    ClientRequest request = handOver(State::uploading);
+    DownstreamRequest request = handOver(State::uploading);
     request.upload = upload_;
     if (const auto length = parser_->content_length())
-      request.length = *length;
-    server_->callbacks_.request(std::move(request));
+      request.uploadLength = *length;
+    server_->observer_.onRequest(std::move(request));
   }
 
   void uploadCame() {
     const auto upload = std::exchange(upload_, nullptr);
-    upload->onRoom = nullptr;
+    upload->onWritable = nullptr;
     first_ = false;
     enter(State::waiting);
     watchAhead();
     const DownstreamRequestId exchange = exchange_;
-    server_->callbacks_.uploaded(exchange);
+    server_->observer_.onUploadComplete(exchange);
     upload->finish();
   }
 
-  ClientRequest handOver(State next) {
+  DownstreamRequest handOver(State next) {
     keepAlive_ = parser_->get().keep_alive();
     first_ = first_ && !parser_->is_done();
     enter(next);
     exchange_ = ++server_->lastExchange_;
     server_->waiting_.emplace(exchange_, shared_from_this());
-    ClientRequest request;
-    request.exchange = exchange_;
+    DownstreamRequest request;
+    request.id = exchange_;
     request.message.base() = std::move(parser_->get().base());
-    request.came = lastCame_;
+    request.receivedAt = lastCame_;
     return request;
   }
 
@@ -551,9 +559,9 @@
     buffer_.consume(buffer_.size());
     answer(std::move(response), nullptr);
     if (known)
-      server_->callbacks_.gone(exchange);
+      server_->observer_.onClientDisconnected(exchange);
     else
-      server_->callbacks_.refused(target, status == http::status::service_unavailable);
+      server_->observer_.onLocalRejection(target, kindOf(status));
     watch();
     return false;
   }
@@ -567,7 +575,7 @@
   DownstreamServer* server_;
   tcp::socket socket_;
   boost::beast::flat_buffer buffer_{kHeaderLimit + 2 * kBodyChunk};
-  std::optional<http::request_parser<PieceBody>> parser_;
+  std::optional<http::request_parser<IncrementalBody>> parser_;
   Answered answered_;
   MemoryReservation held_;
   std::shared_ptr<BodyStream> upload_, download_;
@@ -588,12 +596,12 @@
   bool feeding_ = false, lastChunk_ = false;
 };
 
-DownstreamServer::DownstreamServer(asio::io_context& io, Limits limits, Callbacks callbacks,
+DownstreamServer::DownstreamServer(asio::io_context& io, Limits limits, DownstreamObserver& observer,
                                    std::shared_ptr<MemoryBudget> budget)
     : io_(io),
       acceptor_(io),
       limits_(limits),
-      callbacks_(std::move(callbacks)),
+      observer_(observer),
       budget_(std::move(budget)),
       sweeper_(io),
       again_(io) {
@@ -621,8 +629,7 @@
 }
 
 DownstreamServer::~DownstreamServer() {
-  onEmpty = nullptr;
-  callbacks_.gone = callbacks_.uploaded = [](DownstreamRequestId) {};
+  destroying_ = true;
   waiting_.clear();
   const std::vector<std::shared_ptr<Session>> all(sessions_.begin(), sessions_.end());
   for (const auto& session : all)
@@ -778,11 +785,8 @@
 void DownstreamServer::ended(const std::shared_ptr<Session>& session) {
   sessions_.erase(session);
   std::erase(leaving_, session);
-  if (sessions_.empty() && !acceptor_.is_open() && onEmpty)
-    asio::post(io_, [this] {
-      if (onEmpty)
-        onEmpty();
-    });
+  if (sessions_.empty() && !acceptor_.is_open() && !destroying_)
+    asio::post(io_, [this] { observer_.onDrained(); });
 }
 
 void DownstreamServer::lastAnswers() {
@@ -798,8 +802,7 @@
     ::setsockopt(acceptor_.native_handle(), SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof program);
     while (takeWaiting() == Accepted::some) {
     }
-    if (onLastAccept)
-      onLastAccept();
+    observer_.onLastAccept();
   }
   error_code ignored;
   acceptor_.close(ignored);
@@ -809,8 +812,8 @@
   for (const auto& session : all)
     if (session->idle() && !session->fresh(now))
       session->linger(CloseReason::stopping);
-  if (sessions_.empty() && onEmpty)
-    onEmpty();
+  if (sessions_.empty())
+    observer_.onDrained();
 }
 
 void DownstreamServer::sweep() {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,715 +1,224 @@
 #include "gateway/gateway.hpp"
 
 #include <algorithm>
-#include <array>
-#include <boost/beast/core/string.hpp>
-#include <boost/beast/http/field.hpp>
-#include <boost/beast/http/rfc7230.hpp>
-#include <boost/beast/http/status.hpp>
-#include <charconv>
-#include <cstdio>
-#include <cstdlib>
+#include <limits>
 #include <utility>
 
-#include "gateway/request_form.hpp"
+#include "gateway/request_metrics.hpp"
 
 namespace hollyrun::gateway {
 namespace {
 
 namespace asio = boost::asio;
-namespace http = boost::beast::http;
-using boost::beast::string_view;
 using tcp = asio::ip::tcp;
-using balancer::Action;
-using balancer::ActionKind;
-using balancer::Duration;
 using balancer::EndpointListKind;
-using balancer::EndpointState;
-using balancer::EndpointStatus;
-using balancer::HostId;
-using balancer::Idempotency;
-using balancer::Outcome;
-using balancer::RequestId;
-using balancer::Time;
-using boost::system::error_code;
-using Clock = std::chrono::steady_clock;
-
-// The module's clock at our start: hosts that started up to a day before have a time of their own on it.
-constexpr Time kClockStart = std::chrono::hours(24);
-// Of the descriptors: listener, discovery, event loop, standard streams, what the libraries open, and the few
-// connections that linger beyond their limit.
-constexpr std::size_t kOwnDescriptors = 32;
-// Beside another process: the first look at discovery is waited for so long, and so long it takes that
-// process at least to see us and make room.
-constexpr Duration kUploadConnect = std::chrono::seconds(10);  // the pool's own limits are shorter
-constexpr auto kOpenLast = std::chrono::milliseconds(2000);
-constexpr auto kOpenFirst = std::chrono::milliseconds(300);
-
-template <class Number>
-bool parse(string_view text, Number& number) {
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
-  return error == std::errc{} && end == text.data() + text.size();
+using Sharing = ProcessLifecycle::AddressSharing;
+
+/// Buffered bodies may hold a quarter of the process's memory.
+std::size_t bodyBytesOf(const Config& config) {
+  return config.memoryBytes / 4;
+}
+
+UpstreamPool::Limits upstreamLimits(const Config& config) {
+  constexpr std::size_t unlimited = std::numeric_limits<std::size_t>::max();
+  const auto connections = partitionDescriptors(config.sockets, unlimited, ServingProcesses::one);
+  return {connections.upstream, config.connectTimeout, config.module.idleTimeout};
 }
 
-HttpResponse plain(http::status status) {
-  HttpResponse response;
-  response.result(status);
-  return response;
+DownstreamServer::Limits downstreamLimits(const Config& config, DownstreamServer::Limits limits) {
+  limits.connections =
+      partitionDescriptors(config.sockets, limits.connections, ServingProcesses::one).downstream;
+  return limits;
 }
 
-std::size_t shareOf(std::size_t sockets, std::size_t part, std::size_t of) {
-  return (sockets - kOwnDescriptors) * part / of;
+ProcessLifecycle::Resources resourcesOf(const Config& config, const DownstreamServer::Limits& limits) {
+  return {
+      .descriptors = config.sockets, .maxDownstream = limits.connections, .bodyBytes = bodyBytesOf(config)};
 }
 
 }  // namespace
 
-Gateway::Gateway(asio::io_context& io, const Config& config, Waits waits, Log& log)
+Gateway::Gateway(asio::io_context& io, const Config& config, Options options, Log& log)
     : io_(io),
-      start_(Clock::now()),
-      startTimes_(clocks()),
       log_(log),
-      listen_(config.listen),
-      sockets_(config.sockets),
-      clientsMost_(waits.clients.connections),
-      bodyBytes_(config.memoryBytes / 4),
-      abortOnViolation_(waits.abortOnViolation),
-      budget_(std::make_shared<MemoryBudget>(bodyBytes_)),
-      balancer_(config.module, now()),
-      hosts_(
-          io, {shareOf(config.sockets, 2, 5), config.connectTimeout, config.module.idleTimeout},
-          [this](AttemptCompletion end) {
-            ends_.push_back(std::move(end));
-            drainActions();
-          },
-          budget_,
-          [this](const AttemptKey& attempt, HostId host, UpstreamPool::Step step, Duration left) {
-            return permit(attempt, host, step, left);
-          }),
-      discovery_(io, config.discovery,
-                 {[this](const EndpointList& list) {
-                    told(list, list.full ? EndpointListKind::snapshot : EndpointListKind::delta);
-                  },
-                  [this] {
-                    balancer_.onEndpoints(now(), EndpointListKind::unavailable, {});
-                    drainActions();
-                  }},
-                 waits.discovery),
-      waker_(io),
-      shutDownTimer_(io),
-      openTimer_(io),
-      clients_(io,
-               {.connections = std::min(waits.clients.connections, shareOf(config.sockets, 3, 5)),
-                .first = waits.clients.first,
-                .slow = waits.clients.slow,
-                .idle = waits.clients.idle},
-               {[this](ClientRequest request) { received(std::move(request)); },
-                [this](DownstreamRequestId exchange) { clientGone(exchange); },
-                [this](DownstreamRequestId exchange) { uploaded(exchange); },
-                [this](const std::string& target, bool busy) {
-                  statistics_.answered(statistics_.classOf(firstPart(target)),
-                                       busy ? Statistics::End::busy : Statistics::End::failure, std::nullopt);
-                },
-                [this](DownstreamRequestId exchange, CloseReason reason) {
-                  ++counters_.closedUnanswered;
-                  const auto it = byClient_.find(exchange);
-                  violated("closed_unanswered, " + std::string(nameOf(reason)),
-                           it == byClient_.end() ? "-" : idOf(contexts_.at(it->second)));
-                }},
-               budget_) {
-  take(config.module);
-  if (config.cachedEndpoints)
-    discovery_.knows(config.cachedEndpoints->version);
-  // The module asks discovery once it was given a list, an empty one too.
-  told(config.cachedEndpoints ? *config.cachedEndpoints : EndpointList{0, true, {}},
-       EndpointListKind::cached);
+      state_(config.module, log, options.abortOnViolation ? ViolationPolicy::abort : ViolationPolicy::log),
+      memory_(std::make_shared<MemoryBudget>(bodyBytesOf(config))),
+      upstream_(io, upstreamLimits(config), *this, memory_),
+      endpoints_(state_, upstream_),
+      discovery_(io, config.discovery, discoveryCallbacks(), options.discovery),
+      admission_(state_, endpoints_, downstream_),
+      completion_(state_, downstream_),
+      actions_(io, state_, endpoints_, admission_, completion_, {upstream_, downstream_, discovery_, log}),
+      intake_(state_, completion_, actions_, upstream_, downstream_),
+      process_(io, config.listen, config.management ? Sharing::shared : Sharing::exclusive,
+               resourcesOf(config, options.clients), memory_, downstream_, upstream_, log),
+      downstream_(io, downstreamLimits(config, options.clients), *this, memory_) {
+  applySettings(config.module);
+  applyCachedEndpoints(config);
   if (config.management) {
-    management_.emplace(io, *config.management,
-                        Management::Callbacks{[this] { return takesClients(); },
-                                              [this] { return statistics_.render(gauges()); },
-                                              [this] { return statistics_.metrics(gauges(), metrics()); },
-                                              [this] { return fleet_ ? fleet_->text() : std::string(); }});
-    if (listen_.port() != 0)  // a port that the kernel picks is shared with nobody
-      hotRestart_.emplace(io, config.tmp, listen_, [this] { share(); });
-    if (hotRestart_ && !hotRestart_->announced())
-      log_.write(LogLevel::warning, "upgrade",
-                 "cannot announce this process in " + config.tmp + " for now, and tries again");
-  }
-  join(config);
-  if (hotRestart_ && hotRestart_->otherPresent()) {
-    share();
-    openTimer_.expires_after(kOpenLast);  // the first look at discovery opens it sooner
-    openTimer_.async_wait([this](error_code ec) {
-      if (!ec)
-        open();
-    });
-  } else {
-    open();
+    management_.emplace(io, *config.management, managementCallbacks());
+    process_.enableHotRestart(config.tmp);
   }
+  joinFleet(config);
+  process_.start();
 }
 
 Gateway::~Gateway() {
-  hosts_.stop();
+  upstream_.stop();
   discovery_.stop();
 }
 
-Time Gateway::now() const {
-  return kClockStart + (Clock::now() - start_);
-}
-
-ServerStartTimes::Clocks Gateway::clocks() const {
-  return {now(), std::chrono::system_clock::now().time_since_epoch()};
-}
-
 std::optional<tcp::endpoint> Gateway::management() const {
   return management_ ? std::optional(management_->listening()) : std::nullopt;
 }
 
-void Gateway::take(const balancer::Settings& settings) {
-  settings_ = settings;
-  classOf_.clear();
-  tenantOf_.clear();
-  for (std::size_t i = 0; i < settings_.classes.size(); ++i) {
-    classOf_.emplace(settings_.classes[i].name, static_cast<std::uint32_t>(i));
-    statistics_.show(settings_.classes[i].name);
-  }
-  for (std::size_t i = 0; i < settings_.tenants.size(); ++i)
-    tenantOf_.emplace(settings_.tenants[i].name, static_cast<std::uint32_t>(i));
-}
+// --- Wiring ---------------------------------------------------------------------------------------------
 
-void Gateway::reload(const Config& config) {
-  take(config.module);
-  hosts_.setTimes(config.connectTimeout, config.module.idleTimeout);
-  balancer_.onSettings(now(), config.module);
-  statistics_.reconfigured(true);
-  join(config);
-  if (config.discovery != discovery_.server())
-    discovery_.moveTo(config.discovery);
-  drainActions();
-}
-
-// In the fleet as the configuration wants it. A place that is another now is left and taken anew.
-void Gateway::join(const Config& config) {
-  replicaCount_ = config.module.replicaCount;
-  if (shuttingDown_)
-    return;
-  if (fleet_ && fleet_->serves(config))
-    fleet_->reload(config);
-  else {
-    if (fleet_)
-      fleet_->leave(false);
-    fleet_.reset();
-    if (config.membership)
-      fleet_.emplace(io_, config, log_, [this] { divide(); });
-  }
-  divide();
+void Gateway::onRequest(DownstreamRequest request) {
+  intake_.receiveRequest(std::move(request), isAcceptingClients() ? Readiness::ready : Readiness::notReady);
 }
 
-// Limits of the whole fleet are divided by all that may hold a part. Danger: never by fewer than were
-// configured, or the two sides of a cut would hold more than the whole.
-void Gateway::divide() {
-  const std::uint32_t size = std::max(replicaCount_, fleet_ ? fleet_->quotaHolders() : 1);
-  if (size == settings_.replicaCount)
-    return;
-  settings_.replicaCount = size;
-  balancer_.onSettings(now(), settings_);
-  log_.write(LogLevel::info, "fleet", "limits of the fleet are divided anew", {{"by", std::to_string(size)}});
-  drainActions();
+void Gateway::onClientDisconnected(DownstreamRequestId id) {
+  intake_.disconnectClient(id);
 }
 
-void Gateway::open() {
-  if (clients_.takesClients() || shuttingDown_)
-    return;
-  clients_.listen(listen_, management_.has_value());
-  if (hotRestart_ && hotRestart_->otherPresent())
-    HotRestart::steerToLatest(clients_.listener());
+void Gateway::onUploadComplete(DownstreamRequestId id) {
+  intake_.completeUpload(id);
 }
 
-// The descriptors that one process may hold are those of both.
-void Gateway::share() {
-  const std::size_t parts = hotRestart_->otherPresent() ? 10 : 5;
-  clients_.allow(std::min(clientsMost_, shareOf(sockets_, 3, parts)));
-  hosts_.allow(shareOf(sockets_, 2, parts));
-  budget_->limit(hotRestart_->otherPresent() ? bodyBytes_ / 2 : bodyBytes_);
-  log_.write(LogLevel::info, "upgrade",
-             hotRestart_->otherPresent() ? "another process serves the address: the limits are shared"
-                                         : "no other process serves the address");
+void Gateway::onLocalRejection(const std::string& target, RejectionKind kind) {
+  intake_.recordLocalRejection(target, kind);
 }
 
-// --- Events ---------------------------------------------------------------------------------------------
-
-void Gateway::told(const EndpointList& list, EndpointListKind kind) {
-  const auto source = kind == EndpointListKind::cached ? ServerStartTimes::Source::remembered
-                                                       : ServerStartTimes::Source::discovery;
-  const std::vector<Time> starts = startTimes_.of(list, source, clocks());
-  std::vector<balancer::Endpoint> entries;
-  for (const ListedHost& host : list.hosts) {
-    balancer::Endpoint e;
-    // The uid names a host to the module: it is the same at all gateways, and outlives a new address.
-    e.address = host.uid;
-    e.zone = host.zone;
-    e.machineType = host.kind;
-    e.cell = host.cell;
-    e.weight = host.weight;
-    e.upSince = starts[entries.size()];
-    e.state = host.state == HostState::serving    ? EndpointState::serving
-              : host.state == HostState::draining ? EndpointState::draining
-                                                  : EndpointState::removed;
-    entries.push_back(std::move(e));
-  }
-  balancer_.onEndpoints(now(), kind, entries);
-  if (kind != EndpointListKind::delta)
-    for (EndpointStatus& server : servers_)
-      leaves(server, EndpointState::removed);  // what a whole list leaves out is gone
-  for (std::size_t i = 0; i < list.hosts.size(); ++i) {
-    const ListedHost& host = list.hosts[i];
-    const HostId id = balancer_.findHost(host.uid);
-    note(id, entries[i]);
-    if (host.endpoint.port() != 0)
-      hosts_.setEndpoint(id, host.endpoint);
-    if (host.state != HostState::serving)
-      hosts_.drain(id);
-  }
-  ready_ = ready_ || !list.hosts.empty() || kind != EndpointListKind::cached;
-  if (kind != EndpointListKind::cached && !clients_.takesClients()) {
-    openTimer_.expires_at(std::min(openTimer_.expiry(), start_ + kOpenFirst));
-    openTimer_.async_wait([this](error_code ec) {
-      if (!ec)
-        open();
-    });
-  }
-  drainActions();
+void Gateway::onClosedUnanswered(DownstreamRequestId id, CloseReason reason) {
+  intake_.recordClosedUnanswered(id, reason);
 }
 
-// The time of a drain is that of the first word of it.
-void Gateway::leaves(EndpointStatus& server, EndpointState state) {
-  if (server.state == EndpointState::serving)
-    server.stateSince = now();
-  server.state = state;
+void Gateway::onDrained() {
+  process_.onDrained();
 }
 
-void Gateway::note(HostId id, const balancer::Endpoint& entry) {
-  if (servers_.size() <= id)
-    servers_.resize(id + std::size_t{1});
-  EndpointStatus& server = servers_[id];
-  server.id = id;
-  server.zone = entry.zone;
-  server.cell = entry.cell;
-  server.upSince = entry.upSince;
-  if (entry.state == EndpointState::serving)
-    server.state = EndpointState::serving;
-  else
-    leaves(server, entry.state);
+void Gateway::onAttemptComplete(AttemptCompletion completion) {
+  actions_.onAttemptComplete(std::move(completion));
 }
 
-void Gateway::received(ClientRequest request) {
-  const HttpRequest& message = request.message;
-  balancer::Request asked;
-  http::status status = judgeFraming(message, request.upload || !message.body().empty());
-  if (status == http::status::ok && message.target() == "/up" && message.method() == http::verb::get)
-    return clients_.answer(request.exchange,
-                           plain(takesClients() ? http::status::ok : http::status::service_unavailable),
-                           nullptr);
-  if (status == http::status::ok && !toOriginForm(request.message))
-    status = http::status::bad_request;
-  if (status == http::status::ok)
-    status = describe(message, asked);
-  if (status != http::status::ok) {
-    // Danger: where such a message ends is doubtful; what follows it must not pass for a request.
-    HttpResponse response = plain(status);
-    response.keep_alive(false);
-    const std::size_t counted = statistics_.classOf(firstPart(message.target()));
-    return clients_.answer(request.exchange, std::move(response), [this, counted](bool) {
-      statistics_.answered(counted, Statistics::End::failure, std::nullopt);
-    });
-  }
-  // Danger: a connection may wait to be accepted until its client has given up; the request and the end of
-  // the client's side are then found together.
-  if (!clients_.present(request.exchange)) {
-    statistics_.answered(statistics_.classOf(settings_.classes[asked.classIndex].name),
-                         Statistics::End::failure, std::nullopt);
-    return clients_.leave(request.exchange);
-  }
-  asked.id = ++lastRequest_;
-  const Duration left = asked.remaining - kAnswerMargin;
-  asked.remaining = left - (Clock::now() - request.came);
-  asked.uploading = request.upload != nullptr;
-  stripHop(request.message);
-  RequestContext& exchange = contexts_[asked.id];
-  exchange.client = request.exchange;
-  const balancer::ClassSettings& cls = settings_.classes[asked.classIndex];
-  exchange.counted = statistics_.classOf(cls.name);
-  exchange.terms.idempotency = cls.idempotency;
-  exchange.terms.deduplicationScope = cls.deduplicationScope;
-  exchange.terms.deduplicationWindow = cls.deduplicationWindow;
-  exchange.left = left;
-  exchange.held = std::move(request.held);
-  exchange.upload = std::move(request.upload);
-  exchange.length = request.length;
-  exchange.taken = !exchange.upload;
-  exchange.came = request.came;
-  if (log_.tracing())
-    log_.trace("taken", {{"request", request.message["X-Request-Id"].to_string()},
-                         {"class", cls.name},
-                         {"left_ms", std::to_string(left / std::chrono::milliseconds(1))}});
-  if (exchange.taken)
-    statistics_.taken();
-  exchange.message = std::move(request.message);
-  byClient_.emplace(request.exchange, asked.id);
-  balancer_.onRequest(now(), asked);
-  drainActions();
+AdmissionResult Gateway::admit(const AttemptStart& start) {
+  return admission_.admit(start);
 }
 
-// What the module is to know of a request; `ok`, or the status to answer.
-http::status Gateway::describe(const HttpRequest& message, balancer::Request& request) const {
-  const auto found = classOf_.find(std::string(firstPart(message.target())));
-  if (found == classOf_.end())
-    return http::status::not_found;
-  request.classIndex = found->second;
-  const balancer::ClassSettings& c = settings_.classes[found->second];
-  if (!message["X-Class"].empty() && message["X-Class"] != string_view(c.name))
-    return http::status::bad_request;
-  if (message["X-Request-Id"].empty())
-    return http::status::bad_request;
-  // Danger: of two the host may take the other.
-  for (const char* name : {"X-Request-Id", "X-Class", "X-Deadline-Ms", "Idempotency-Key"})
-    if (message.count(name) > 1)
-      return http::status::bad_request;
-  // Danger: hosts take the method for the class's promise. A keyed request with no key is dropped by nobody
-  // when it is repeated, so it may not pass for one.
-  const bool get = message.method() == http::verb::get;
-  if (!get && message.method() != http::verb::post)
-    return http::status::method_not_allowed;
-  if (get != (c.idempotency == Idempotency::idempotent))
-    return http::status::method_not_allowed;
-  if (message.count(http::field::host) != 1)
-    return http::status::bad_request;
-  if (c.idempotency == Idempotency::keyed && message["Idempotency-Key"].empty())
-    return http::status::bad_request;
-  request.remaining = c.clientTimeout;
-  if (message.count("X-Deadline-Ms")) {
-    std::uint32_t ms = 0;
-    if (!parse(message["X-Deadline-Ms"], ms))
-      return http::status::bad_request;
-    request.remaining = std::chrono::milliseconds(ms);
-  }
-  std::uint32_t costUs = 0;
-  if (parse(message["X-Cost-Hint"], costUs))
-    request.cost = std::chrono::microseconds(costUs);
-  const auto tenant = tenantOf_.find(message["X-Tenant"].to_string());
-  if (tenant != tenantOf_.end())
-    request.tenantIndex = tenant->second;
-  const std::string_view key = cookie(message[http::field::cookie], "obj");
-  request.hasKey = !key.empty();
-  if (request.hasKey)
-    request.key = keyOf(key);
-  return http::status::ok;
+Discovery::Callbacks Gateway::discoveryCallbacks() {
+  return {.onEndpoints =
+              [this](const EndpointList& list) {
+                applyEndpointList(list, list.snapshot ? EndpointListKind::snapshot : EndpointListKind::delta);
+              },
+          .onFailure =
+              [this] {
+                state_.balancer.onEndpoints(state_.clock.now(), EndpointListKind::unavailable, {});
+                actions_.executePending();
+              }};
 }
 
-void Gateway::clientGone(DownstreamRequestId client) {
-  const auto known = byClient_.find(client);
-  if (known == byClient_.end())
-    return;
-  const RequestId id = known->second;
-  byClient_.erase(known);
-  RequestContext& exchange = contexts_.at(id);
-  exchange.ended = true;
-  counting(exchange, Statistics::End::failure)(false);
-  if (log_.tracing())
-    log_.trace("client_left", {{"request", idOf(exchange)}});
-  over_.push_back(id);
-  const std::uint32_t begun = exchange.begun;  // the exchange may go with the last of them
-  balancer_.onClientDisconnected(now(), id);
-  drainActions();
-  // Danger: where attempts may not be cancelled, one that waits for its connection would still be sent.
-  for (std::uint32_t attempt = 0; attempt < begun; ++attempt)
-    hosts_.drop({id, attempt});
+Management::Callbacks Gateway::managementCallbacks() {
+  return {.isReady = [this] { return isAcceptingClients(); },
+          .renderStatistics = [this] { return state_.statistics.render(gauges()); },
+          .renderMetrics = [this] { return state_.statistics.metrics(gauges(), collectMetrics()); },
+          .renderFleet = [this] { return fleet_ ? fleet_->text() : std::string(); }};
 }
 
-// Danger: a client may leave in the turn of the event loop in which an attempt of its request begins, and its
-// socket tells so before the loop does.
-bool Gateway::clientPresent(const RequestContext& exchange) {
-  if (exchange.ended)
-    return false;
-  if (clients_.present(exchange.client))
-    return true;
-  departed_.push_back(exchange.client);
-  return false;
-}
+// --- Endpoints ------------------------------------------------------------------------------------------
 
-// Each step of an attempt is admitted by the facts of its own moment, and only here.
-UpstreamPool::Permission Gateway::permit(const AttemptKey& attempt, HostId host, UpstreamPool::Step step,
-                                         Duration left) {
-  const auto it = contexts_.find(attempt.request);
-  if (it == contexts_.end())
-    return {Outcome::abandoned, {}};
-  RequestContext& exchange = it->second;
-  // The client's time does not run before the last byte of its upload.
-  const Duration counted = exchange.taken ? left : exchange.left;
-  const balancer::Admission admission = guard_.admit({.now = now(),
-                                                      .clientPresent = clientPresent(exchange),
-                                                      .attempt = attempt.attempt,
-                                                      .left = counted,
-                                                      .terms = exchange.decided.at(attempt.attempt),
-                                                      .server = servers_.at(host),
-                                                      .history = exchange.history});
-  if (admission.denied) {
-    traceAttempt("attempt_denied", exchange, attempt, host, balancer::nameOf(*admission.denied));
-    if (balancer::isViolation(*admission.denied))
-      violated(balancer::nameOf(*admission.denied), idOf(exchange));
-    const bool gone = *admission.denied == balancer::DenialReason::clientDisconnected;
-    return {gone ? Outcome::abandoned : Outcome::localFailure, {}};
-  }
-  if (step == UpstreamPool::Step::write) {
-    exchange.history.wrote(attempt.attempt, servers_.at(host), now());
-    if (log_.tracing())
-      traceAttempt("attempt_begun", exchange, attempt, host,
-                   "told_ms=" + std::to_string(admission.told.count()));
-  }
-  return {std::nullopt, admission.told};
+void Gateway::applyEndpointList(const EndpointList& list, EndpointListKind kind) {
+  endpoints_.applyEndpointList(list, kind);
+  if (kind != EndpointListKind::cached)
+    process_.onDiscoveryAnswer();
+  actions_.executePending();
 }
 
-void Gateway::violated(std::string_view rule, const std::string& requestId) {
-  log_.write(LogLevel::error, "violation", "a rule was to be broken",
-             {{"rule", std::string(rule)}, {"request", requestId}});
-  if (abortOnViolation_)
-    std::abort();
-}
-
-std::string Gateway::idOf(const RequestContext& exchange) {
-  return exchange.message["X-Request-Id"].to_string();
-}
-
-void Gateway::traceAttempt(std::string_view step, const RequestContext& exchange, const AttemptKey& attempt,
-                           HostId host, std::string_view detail) {
-  if (!log_.tracing())
-    return;
-  const Duration left = exchange.left - (Clock::now() - exchange.came);
-  log_.trace(step, {{"request", idOf(exchange)},
-                    {"attempt", std::to_string(attempt.attempt)},
-                    {"server", balancer_.address(host)},
-                    {"detail", std::string(detail)},
-                    {"left_ms", std::to_string(left / std::chrono::milliseconds(1))}});
+// The balancer polls discovery once it was given a list, an empty one too.
+void Gateway::applyCachedEndpoints(const Config& config) {
+  if (config.cachedEndpoints)
+    discovery_.setKnownVersion(config.cachedEndpoints->version);
+  const EndpointList none{.version = 0, .snapshot = true, .endpoints = {}};
+  applyEndpointList(config.cachedEndpoints ? *config.cachedEndpoints : none, EndpointListKind::cached);
 }
 
-std::vector<prometheus::MetricFamily> Gateway::metrics() const {
-  auto families = fleet_ ? fleet_->metrics() : std::vector<prometheus::MetricFamily>();
-  for (auto& family : metricsOf(counters_, guard_, clients_.closed()))
-    families.push_back(std::move(family));
-  return families;
-}
+// --- Settings and fleet ---------------------------------------------------------------------------------
 
-// The time of an upload runs from its last byte.
-void Gateway::uploaded(DownstreamRequestId client) {
-  const auto known = byClient_.find(client);
-  if (known == byClient_.end())
-    return;
-  RequestContext& exchange = contexts_.at(known->second);
-  exchange.taken = true;
-  exchange.came = Clock::now();
-  statistics_.taken();
-  for (std::uint32_t attempt = 0; attempt < exchange.begun; ++attempt)
-    hosts_.uploaded({known->second, attempt}, exchange.left);
-  balancer_.onUploaded(now(), known->second, exchange.left);
-  drainActions();
+void Gateway::applySettings(const balancer::Settings& settings) {
+  state_.settings = settings;
+  intake_.applySettings();
 }
 
-void Gateway::settle(AttemptCompletion end) {
-  const auto it = contexts_.find(end.key.request);
-  if (it == contexts_.end() || it->second.ended) {
-    if (end.body)
-      end.body->abandon();
-  }
-  if (it == contexts_.end())
-    return;
-  RequestContext& exchange = it->second;
-  --exchange.out;
-  exchange.history.ended(end.key.attempt, end.outcome);
-  counters_.ended(end.outcome);
-  traceAttempt("attempt_ended", exchange, end.key, end.host, nameOf(end.outcome));
-  over_.push_back(end.key.request);
-  if (end.outcome == Outcome::served && !exchange.ended) {
-    stripHop(end.answer);
-    end.answer.erase("X-Load");
-    answer(exchange, std::move(end.answer), Statistics::End::success, std::move(end.body), end.length);
-  }
-  balancer::AttemptResult result;
-  result.request = end.key.request;
-  result.attempt = end.key.attempt;
-  result.host = end.host;
-  result.outcome = end.outcome;
-  result.elapsed = end.taken;
-  result.terminal = exchange.ended;
-  balancer_.onResult(now(), result);
+void Gateway::reload(const Config& config) {
+  applySettings(config.module);
+  upstream_.setTimes(config.connectTimeout, config.module.idleTimeout);
+  state_.balancer.onSettings(state_.clock.now(), config.module);
+  state_.statistics.recordReload(Statistics::ReloadResult::applied);
+  joinFleet(config);
+  if (config.discovery != discovery_.server())
+    discovery_.switchServer(config.discovery);
+  actions_.executePending();
 }
 
-// --- Actions --------------------------------------------------------------------------------------------
-
-// Carries out all actions in their order, with those that their own results raise. An action that ends an
-// attempt at once must not feed the module while its earlier actions are still to be done.
-void Gateway::drainActions() {
-  if (carrying_)
+// Membership as configured. If its address has changed, the old one is left and the new one joined.
+void Gateway::joinFleet(const Config& config) {
+  configuredReplicaCount_ = config.module.replicaCount;
+  if (process_.isShuttingDown())
     return;
-  carrying_ = true;
-  for (;;) {
-    for (const DownstreamRequestId client : std::exchange(departed_, {}))
-      clients_.leave(client);
-    const std::vector<Action> actions = std::exchange(balancer_.actions(), {});
-    for (const Action& action : actions)
-      carryOut(action);
-    if (!departed_.empty())
-      continue;  // before the ends of the attempts that were not begun for them
-    // Entries are dropped only after all actions that name them are done.
-    if (balancer_.actions().empty())
-      for (const RequestId id : std::exchange(over_, {}))
-        if (const auto it = contexts_.find(id);
-            it != contexts_.end() && it->second.ended && it->second.out == 0)
-          contexts_.erase(it);
-    if (!balancer_.actions().empty())
-      continue;
-    if (ends_.empty())
-      break;
-    AttemptCompletion end = std::move(ends_.front());
-    ends_.pop_front();
-    settle(std::move(end));
-  }
-  carrying_ = false;
-}
-
-void Gateway::carryOut(const Action& action) {
-  switch (action.kind) {
-    case ActionKind::send:
-      return send(action);
-    case ActionKind::reject:
-    case ActionKind::fail:
-      return giveUp(action);
-    case ActionKind::cancel:
-      return hosts_.cancel({action.request, action.attempt});
-    case ActionKind::close:
-      return hosts_.closeIdle(action.host);
-    case ActionKind::wake:
-      return wakeAt(action.wakeAt);
-    case ActionKind::pollDiscovery:
-      return discovery_.watch();
-    case ActionKind::log:
-      return log_.write(LogLevel::info, "decisions", action.text);
+  if (fleet_ && fleet_->serves(config)) {
+    fleet_->reload(config);
+  } else {
+    if (fleet_)
+      fleet_->leave(false);
+    fleet_.reset();
+    if (config.membership)
+      fleet_.emplace(io_, config, log_, [this] { repartitionFleetLimits(); });
   }
+  repartitionFleetLimits();
 }
 
-void Gateway::send(const Action& action) {
-  const auto it = contexts_.find(action.request);
-  if (it == contexts_.end() || it->second.ended)
+// Limits of the whole fleet are divided by the number of quota holders, and never by fewer than are
+// configured: else the two sides of a network partition would hold more than the whole.
+void Gateway::repartitionFleetLimits() {
+  const std::uint32_t replicas = std::max(configuredReplicaCount_, fleet_ ? fleet_->quotaHolders() : 1);
+  if (replicas == state_.settings.replicaCount)
     return;
-  RequestContext& exchange = it->second;
-  ++exchange.out;
-  exchange.begun = action.attempt + 1;
-  balancer::AttemptTerms& terms = exchange.decided.emplace_back(exchange.terms);
-  terms.maxAttempts = settings_.maxAttempts;
-  terms.allowHedging = settings_.allowHedging;
-  terms.serverUpSince = servers_.at(action.host).upSince;
-  HttpRequest message = exchange.message;
-  message.version(11);
-  message.keep_alive(true);
-  if (exchange.upload) {
-    // Danger: a body of which bytes were sent is not whole any more, and two attempts can't share one.
-    if (exchange.upload->touched() || exchange.out > 1) {
-      ends_.push_back({{action.request, action.attempt}, action.host, Outcome::abandoned, {}, {}});
-      return;
-    }
-    return hosts_.start({action.request, action.attempt}, action.host, std::move(message), exchange.upload,
-                        exchange.length, exchange.taken ? action.timeLimit : kUploadConnect,
-                        action.latestStart);
-  }
-  if (message.method() != http::verb::get || !message.body().empty())
-    message.prepare_payload();
-  hosts_.start({action.request, action.attempt}, action.host, std::move(message), action.timeLimit,
-               action.latestStart);
+  state_.settings.replicaCount = replicas;
+  state_.balancer.onSettings(state_.clock.now(), state_.settings);
+  log_.write(LogLevel::info, "fleet", "limits of the fleet are repartitioned",
+             {{"by", std::to_string(replicas)}});
+  actions_.executePending();
 }
 
-void Gateway::giveUp(const Action& action) {
-  const auto it = contexts_.find(action.request);
-  if (it == contexts_.end() || it->second.ended)
-    return;
-  over_.push_back(action.request);
-  counters_.gaveUp(action.reason);
-  if (log_.tracing())
-    log_.trace(action.kind == ActionKind::reject ? "refused" : "failed",
-               {{"request", idOf(it->second)}, {"reason", std::string(nameOf(action.reason))}});
-  HttpResponse response = plain(action.kind == ActionKind::reject ? http::status::service_unavailable
-                                                                  : http::status::bad_gateway);
-  if (action.kind == ActionKind::reject && action.retryAfter > Duration{}) {
-    std::array<char, 32> text{};
-    std::snprintf(text.data(), text.size(), "%.3f", std::chrono::duration<double>(action.retryAfter).count());
-    response.set(http::field::retry_after, text.data());
-  }
-  answer(it->second, std::move(response),
-         action.kind == ActionKind::reject ? Statistics::End::busy : Statistics::End::failure);
-}
+// --- Figures --------------------------------------------------------------------------------------------
 
-DownstreamServer::Answered Gateway::counting(const RequestContext& exchange, Statistics::End end) {
-  const std::string id =
-      log_.accessLogEnabled() ? exchange.message["X-Request-Id"].to_string() : std::string();
-  return [this, cls = exchange.counted, end, taken = exchange.taken, came = exchange.came, id](bool whole) {
-    std::optional<Clock::duration> took;
-    if (taken)
-      took = Clock::now() - came, statistics_.ended();
-    const Statistics::End ended = whole ? end : Statistics::End::failure;
-    statistics_.answered(cls, ended, took);
-    if (!log_.accessLogEnabled())
-      return;
-    const double ms = took ? std::chrono::duration<double, std::milli>(*took).count() : -1;
-    log_.writeAccess(id, statistics_.nameOf(cls), Statistics::nameOf(ended), ms);
-  };
+bool Gateway::isAcceptingClients() const {
+  return endpoints_.isReady() && !process_.isShuttingDown() && downstream_.takesClients();
 }
 
 Statistics::Gauges Gateway::gauges() const {
-  const auto hosts = balancer_.endpointCounts();
-  return {hosts_.written(), hosts.listed, hosts.unavailable};
-}
-
-void Gateway::answer(RequestContext& exchange, HttpResponse response, Statistics::End end,
-                     std::shared_ptr<BodyStream> body, std::optional<std::uint64_t> length) {
-  exchange.ended = true;
-  byClient_.erase(exchange.client);
-  auto answered = counting(exchange, end);
-  if (body)
-    clients_.answer(exchange.client, std::move(response), std::move(body), length, std::move(answered));
-  else
-    clients_.answer(exchange.client, std::move(response), std::move(answered));
+  const balancer::EndpointCounts endpoints = state_.balancer.endpointCounts();
+  return {.upstreamAttempts = upstream_.written(),
+          .endpointsListed = endpoints.listed,
+          .endpointsUnavailable = endpoints.unavailable};
 }
 
-// Only the earliest wake counts: the module asks anew at each event for the next.
-void Gateway::wakeAt(Time at) {
-  if (wakeAt_ > Time{} && wakeAt_ <= at)
-    return;
-  wakeAt_ = at;
-  waker_.expires_at(start_ + (at - kClockStart));
-  waker_.async_wait([this](error_code ec) {
-    if (ec || now() < wakeAt_)
-      return;
-    wakeAt_ = Time{};
-    balancer_.onWake(now());
-    drainActions();
-  });
+std::vector<prometheus::MetricFamily> Gateway::collectMetrics() const {
+  auto families = fleet_ ? fleet_->metrics() : std::vector<prometheus::MetricFamily>();
+  for (auto& family : collectRequestMetrics(state_.counters, admission_.guard(), downstream_.closed()))
+    families.push_back(std::move(family));
+  return families;
 }
 
-// --- Graceful shutdown -----------------------------------------------------------------------------------
+// --- Shutdown -------------------------------------------------------------------------------------------
 
-void Gateway::shutDown(std::function<void()> done) {
-  if (shuttingDown_)
+void Gateway::shutDown(std::function<void()> onDrained) {
+  if (process_.isShuttingDown())
     return;
-  shuttingDown_ = true;
-  down_ = std::move(done);
-  openTimer_.cancel();
+  process_.beginShutdown(std::move(onDrained));
   if (fleet_)
-    fleet_->leave(hotRestart_ && hotRestart_->otherPresent());
-  clients_.lastAnswers();
-  shutDownTimer_.expires_after(kAcceptOn);
-  shutDownTimer_.async_wait([this](error_code ec) {
-    if (ec)
-      return;
-    clients_.onEmpty = [this] { down_(); };
-    clients_.stopAccepting();
-  });
+    fleet_->leave(process_.isOtherProcessPresent());
+  process_.drainClients();
 }
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/upstream_pool.cpp
+++ b/src/gateway/upstream_pool.cpp
@@ -13,6 +13,8 @@
 #include <sstream>
 #include <utility>
 
+#include "gateway/chunked_encoding.hpp"
+#include "gateway/incremental_body.hpp"
 #include "gateway/message_text.hpp"
 #include "gateway/socket_io.hpp"
 
@@ -59,7 +61,7 @@
   tcp::socket socket;
   asio::steady_timer timer;
   boost::beast::flat_buffer buffer{kHeaderLimit + 2 * kChunk};
-  std::optional<http::response_parser<PieceBody>> parser;
+  std::optional<http::response_parser<IncrementalBody>> parser;
   HttpRequest request;
   std::shared_ptr<BodyStream> upload, download;
   MemoryReservation held;
@@ -87,12 +89,12 @@
 
   void dropBodies() {
     if (const auto mine = std::exchange(upload, nullptr)) {
-      mine->onData = nullptr;
+      mine->onReadable = nullptr;
       if (mine->touched())
         mine->abandon();  // else another attempt may take it
     }
     if (const auto mine = std::exchange(download, nullptr)) {
-      mine->onRoom = nullptr;
+      mine->onWritable = nullptr;
       mine->fail();
     }
     held = {};
@@ -131,20 +133,19 @@
 
   // Asks for this step of the attempt; false if it has ended instead. The deadline that the server is told is
   // made here, from the time that is left now: one made earlier does not know how long the connection took.
-  bool permitted(Step step) {
-    if (!pool->permit_)
-      return true;
-    const Permission permission = pool->permit_(key, host, step, deadline - Clock::now());
-    if (permission.denied) {
-      end(*permission.denied, step == Step::write);
+  bool permitted(AttemptStep step) {
+    const AdmissionResult admission = pool->observer_.admit({key, host, step, deadline - Clock::now()});
+    if (admission.denied) {
+      end(*admission.denied, step == AttemptStep::write);
       return false;
     }
-    request.set("X-Deadline-Ms", std::to_string(permission.told.count()));
+    if (admission.advertisedDeadline)
+      request.set("X-Deadline-Ms", std::to_string(admission.advertisedDeadline->count()));
     return true;
   }
 
   void connect(const tcp::endpoint& endpoint) {
-    if (!permitted(Step::dial))
+    if (!permitted(AttemptStep::connect))
       return;
     // Until the connection is up nothing has been written, so the end of the attempt's own time proves here
     // that it never ran, as the end of the time for connecting does.
@@ -169,7 +170,7 @@
   }
 
   void write() {
-    if (!permitted(Step::write))
+    if (!permitted(AttemptStep::write))
       return;
     phase = Phase::writing;
     if (upload)
@@ -198,7 +199,7 @@
 
   // Reads meanwhile: a host that turns the request away says so before its end.
   void writeUpload() {
-    upload->onData = [weak = weak_from_this()] {
+    upload->onReadable = [weak = weak_from_this()] {
       if (const auto self = weak.lock())
         self->pump();
     };
@@ -227,17 +228,17 @@
   void pump() {
     if (phase != Phase::writing || pieceOut || !upload)
       return;
-    if (upload->failed())
+    if (upload->hasFailed())
       return end(Outcome::cancelled);
-    const std::string next = upload->take();
+    const std::string next = upload->consume();
     const bool chunked = request.chunked();
     if (!next.empty())
-      return writePiece(chunked ? chunkOf(next) : next);
-    if (!upload->finished())
+      return writePiece(chunked ? encodeChunk(next) : next);
+    if (!upload->isFinished())
       return;
     if (chunked && !std::exchange(lastChunk, true))
-      return writePiece(chunkOf({}));
-    upload->onData = nullptr;
+      return writePiece(encodeChunk({}));
+    upload->onReadable = nullptr;
     upload.reset();
     limit(deadline, Outcome::timeout);
     written();
@@ -305,8 +306,8 @@
     held.resize(come);
     if (phase == Phase::reading && mayGrow() && !std::exchange(waitsShort, true))
       limit(std::min(deadline, Clock::now() + kHoldUnknown), Outcome::timeout);
-    const bool whole = std::max<std::uint64_t>(come, length ? *length : 0) <= kHeldBody &&
-                       (come == 0 || pool->budget_->room(kHeldBody));
+    const bool whole = std::max<std::uint64_t>(come, length ? *length : 0) <= kBufferedBodyLimit &&
+                       (come == 0 || pool->budget_->hasCapacity(kBufferedBodyLimit));
     if (whole)
       return receive();
     if (phase != Phase::reading || parser->get().result() != http::status::ok)
@@ -316,7 +317,7 @@
 
   void broken(error_code ec) {
     // Danger: with all of the body given to the socket, the last byte may be out though we have not heard.
-    const bool last = upload && upload->finished();
+    const bool last = upload && upload->isFinished();
     if (phase == Phase::writing)
       return end(last ? Outcome::reset : Outcome::connectFailed);
     if (phase == Phase::reading)
@@ -341,20 +342,20 @@
     timer.cancel();
     phase = Phase::relaying;
     download = std::make_shared<BodyStream>(pool->budget_);
-    download->onRoom = [weak = weak_from_this()] {
+    download->onWritable = [weak = weak_from_this()] {
       if (const auto self = weak.lock())
         self->relayOn();
     };
     pool->busy_.erase(key);
     pool->relaying_.insert(shared_from_this());
     AttemptCompletion done{key, host, Outcome::served, Clock::now() - sentAt, {}};
-    done.answer.base() = parser->get().base();
+    done.response.base() = parser->get().base();
     done.body = download;
     if (const auto length = parser->content_length())
       done.length = *length;
     held = {};
     relay();
-    pool->ended_(std::move(done));
+    pool->observer_.onAttemptComplete(std::move(done));
   }
 
   void relay() {
@@ -366,7 +367,7 @@
       return;  // closed meanwhile
     if (!parser->is_done())
       return relayOn();
-    download->onRoom = nullptr;
+    download->onWritable = nullptr;
     std::exchange(download, nullptr)->finish();
     const auto self = shared_from_this();
     pool->relaying_.erase(self);
@@ -379,9 +380,9 @@
   void relayOn() {
     if (phase != Phase::relaying || receiving || feeding || !download)
       return;
-    if (download->abandoned())
+    if (download->isAbandoned())
       return late(Outcome::cancelled);
-    if (download->full()) {
+    if (download->isFull()) {
       ++turn;
       timer.cancel();
       return;
@@ -421,15 +422,15 @@
     // Danger: a read that is given up may have its bytes already and still put them to the parser, so that
     // stays until the connection is used again or goes.
     if (outcome == Outcome::served) {
-      done.answer.base() = std::move(parser->get().base());
-      done.answer.body() = std::move(parser->get().body());
+      done.response.base() = std::move(parser->get().base());
+      done.response.body() = std::move(parser->get().body());
     }
     pool->busy_.erase(key);
     if (keep)
       rest();
     else
       close();
-    pool->ended_(std::move(done));
+    pool->observer_.onAttemptComplete(std::move(done));
   }
 
   void rest() {
@@ -453,7 +454,7 @@
       self->watching = false;
       if (self->phase != Phase::idle)
         return;
-      if (unread(self->socket))
+      if (hasUnreadBytes(self->socket))
         self->unasked();
       self->pool->dropIdle(self);
     });
@@ -473,14 +474,9 @@
   }
 };
 
-UpstreamPool::UpstreamPool(asio::io_context& io, Limits limits, Ended ended,
-                           std::shared_ptr<MemoryBudget> budget, Permit permit)
-    : io_(io),
-      limits_(limits),
-      ended_(std::move(ended)),
-      permit_(std::move(permit)),
-      budget_(std::move(budget)),
-      sweeper_(io) {
+UpstreamPool::UpstreamPool(asio::io_context& io, Limits limits, UpstreamObserver& observer,
+                           std::shared_ptr<MemoryBudget> budget)
+    : io_(io), limits_(limits), observer_(observer), budget_(std::move(budget)), sweeper_(io) {
   sweep();
 }
 
@@ -562,7 +558,7 @@
   const bool fresh = !connection;
   if (fresh) {
     if (open_ >= limits_.connections && !closeOldestIdle())
-      return ended_({key, host, Outcome::localFailure, {}, {}});
+      return observer_.onAttemptComplete({key, host, Outcome::localFailure, {}, {}});
     connection = std::make_shared<Connection>(*this, host);
   }
   connection->key = key;
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -43,7 +43,7 @@
       << "on sockets a connection carries one request at a time";
   ASSERT_TRUE(config.cachedEndpoints);
   EXPECT_EQ(config.cachedEndpoints->version, 41);
-  EXPECT_EQ(config.cachedEndpoints->hosts.at(0).state, HostState::draining);
+  EXPECT_EQ(config.cachedEndpoints->endpoints.at(0).state, balancer::EndpointState::draining);
 }
 
 TEST(Config, VariableOverridesTheFile) {
