--- a/tests/deadline_test.cpp
+++ b/tests/deadline_test.cpp
@@ -1,5 +1,5 @@
-// The time that an attempt tells its record server is what the client has left as its first byte is written,
-// however long the connection took to come up.
+// The deadline that an attempt sends to its upstream host is what the client has left as its first byte is
+// written, however long the connect took.
 #include "gateway_fixture.hpp"
 
 namespace hollyrun::gateway::testing {
@@ -8,14 +8,14 @@
 using Clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
-class ToldDeadline : public GatewayTest {
+class AdvertisedDeadline : public GatewayTest {
  protected:
   static constexpr milliseconds kClientWait{8000};
   static constexpr milliseconds kHeldBack{600};
 
   static std::string ok() { return answerText(200, "", "ok"); }
   static std::string waitHeader() { return "X-Deadline-Ms: " + std::to_string(kClientWait.count()) + "\r\n"; }
-  static long long toldBy(const Peer& host) {
+  static long long deadlineSentTo(const Peer& host) {
     return std::stoll(std::string(host.requests.at(0)["X-Deadline-Ms"]));
   }
 
@@ -31,17 +31,17 @@
   }
 
   // Nothing was written before the host was there again; so long the client had waited by then.
-  void expectToldNoMoreThanWasLeft(const Peer& host, Clock::time_point sent) {
+  void expectDeadlineWithinTimeLeft(const Peer& host, Clock::time_point sent) {
     const auto spent = std::chrono::duration_cast<milliseconds>(resumed_ - sent);
-    EXPECT_LE(toldBy(host), (kClientWait - spent).count());
-    EXPECT_GT(toldBy(host), 0);
+    EXPECT_LE(deadlineSentTo(host), (kClientWait - spent).count());
+    EXPECT_GT(deadlineSentTo(host), 0);
   }
 
  private:
   Clock::time_point resumed_;
 };
 
-TEST_F(ToldDeadline, OfAFirstAttemptWhoseConnectionComesUpLate) {
+TEST_F(AdvertisedDeadline, OfAFirstAttemptExcludesASlowConnect) {
   config["settings"]["ceilings"]["connectTimeoutNs"] = 20'000'000'000;
   addHost("a", always(ok()));
   start();
@@ -52,10 +52,10 @@
   holdUntilSpent(*hosts[0], sent);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 200u);
-  expectToldNoMoreThanWasLeft(*hosts[0], sent);
+  expectDeadlineWithinTimeLeft(*hosts[0], sent);
 }
 
-TEST_F(ToldDeadline, OfARetryWhoseConnectionComesUpLate) {
+TEST_F(AdvertisedDeadline, OfARetryExcludesASlowConnect) {
   config["settings"]["ceilings"]["connectTimeoutNs"] = 20'000'000'000;
   Peer* second = nullptr;
   twoHosts(first([&](PeerConnection& c) {
@@ -70,10 +70,10 @@
   holdUntilSpent(*second, sent);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 200u);
-  expectToldNoMoreThanWasLeft(*second, sent);
+  expectDeadlineWithinTimeLeft(*second, sent);
 }
 
-TEST_F(ToldDeadline, OfAnUploadThatEndsWhileItsConnectionComesUp) {
+TEST_F(AdvertisedDeadline, OfAnUploadThatEndsDuringItsConnectIsTheClientsTimeout) {
   config["settings"]["ceilings"]["connectTimeoutNs"] = 20'000'000'000;
   addHost("a", always(ok()));
   start();
@@ -85,7 +85,7 @@
   holdUntilSpent(*hosts[0], sent);
   ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
   EXPECT_EQ(c->answers[0].result_int(), 200u);
-  EXPECT_LE(toldBy(*hosts[0]), kClientWait.count());
+  EXPECT_LE(deadlineSentTo(*hosts[0]), kClientWait.count());
 }
 
 }  // namespace
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -1,4 +1,4 @@
-// The gateway on real loopback sockets: outcomes, limits on repeats, drains, clients, bounds.
+// The gateway on real loopback sockets: outcomes, limits on retries, drains, clients, bounds.
 #include "gateway_fixture.hpp"
 
 namespace hollyrun::gateway::testing {
@@ -6,7 +6,7 @@
 
 // --- What goes through ----------------------------------------------------------------------------------
 
-TEST_F(GatewayTest, PassesTheRequestAndTheAnswerUnchanged) {
+TEST_F(GatewayTest, ForwardsTheRequestAndTheResponseUnchanged) {
   addHost("a", always(answerText(200, "X-Load: TEXT queue=2\r\nContent-Type: a/b\r\n", "plan \x01")));
   start();
   auto c = client();
@@ -28,7 +28,7 @@
   EXPECT_EQ(sent.count("X-Hop"), 0u) << "what concerns one connection is not passed on";
 }
 
-TEST_F(GatewayTest, TheHostIsToldLessTimeThanTheClientWaits) {
+TEST_F(GatewayTest, TheAdvertisedDeadlineIsShorterThanTheClientsTimeout) {
   addHost("a", always(answerText(200, "", "")));
   start();
   EXPECT_EQ(ask(text("read", "X-Deadline-Ms: 15000\r\n")).result_int(), 200u);
@@ -66,7 +66,7 @@
   EXPECT_TRUE(until([&] { return hosts[0]->connections[0]->closedByPeer; }));
 }
 
-TEST_F(GatewayTest, RequestsSentAheadAreAnsweredInTurn) {
+TEST_F(GatewayTest, PipelinedRequestsAreAnsweredInOrder) {
   addHost("a", [](PeerConnection& c, std::size_t n) { c.reply(answerText(200, "", std::to_string(n))); });
   start();
   auto c = client();
@@ -89,14 +89,14 @@
 
 class Outcomes : public GatewayTest, public ::testing::WithParamInterface<Row> {};
 
-TEST_P(Outcomes, UnsafeIsSentAgainOnlyIfItNeverRan) {
+TEST_P(Outcomes, NonIdempotentIsRetriedOnlyIfItNeverExecuted) {
   twoHosts(first(GetParam().wrong));
   const Response r = ask(text("write", "", "body"));
   EXPECT_EQ(r.result_int(), GetParam().mayHaveExecuted ? 502u : 200u);
   EXPECT_EQ(reached.size(), GetParam().mayHaveExecuted ? 1u : 2u);
 }
 
-TEST_P(Outcomes, SafeIsSentAgainToTheOtherHost) {
+TEST_P(Outcomes, IdempotentIsRetriedOnTheOtherHost) {
   twoHosts(first(GetParam().wrong));
   const Response r = ask(text("read"));
   EXPECT_EQ(r.result_int(), 200u);
@@ -132,19 +132,19 @@
             true}),
     [](const auto& row) { return row.param.name; });
 
-TEST_F(GatewayTest, AHostThatRefusesConnectionsCostsNoRequest) {
+TEST_F(GatewayTest, AHostThatRefusesConnectionsFailsNoRequest) {
   twoHosts(always(answerText(200, "", "x")));
   hosts[0]->stopListening();
   for (int i = 0; i < 8; ++i)
     EXPECT_EQ(ask(text("write")).result_int(), 200u);
 }
 
-TEST_F(GatewayTest, WithAllHostsFullItIsRefused) {
+TEST_F(GatewayTest, WhenAllHostsRejectItIsRejected) {
   twoHosts(always(answerText(503, kNotRun, "")));
   EXPECT_EQ(ask(text("write")).result_int(), 503u) << "it never ran: a refusal, not a failure";
 }
 
-TEST_F(GatewayTest, ATimedOutUnsafeRequestFailsAndItsConnectionIsClosed) {
+TEST_F(GatewayTest, ATimedOutNonIdempotentRequestFailsAndItsConnectionIsClosed) {
   shorten(1);
   twoHosts([](PeerConnection&, std::size_t) {});
   EXPECT_EQ(ask(text("write")).result_int(), 502u);
@@ -157,7 +157,7 @@
   }));
 }
 
-TEST_F(GatewayTest, ATimedOutSafeRequestIsRefused) {
+TEST_F(GatewayTest, ATimedOutIdempotentRequestIsRejected) {
   shorten(0);
   twoHosts([](PeerConnection&, std::size_t) {});
   EXPECT_EQ(ask(text("read")).result_int(), 503u);
@@ -176,7 +176,7 @@
   EXPECT_TRUE(reached.empty());
 }
 
-TEST_F(GatewayTest, AKeptAnswerThatComesAfterTheClientLeftDisturbsNobody) {
+TEST_F(GatewayTest, AResponseAfterTheClientDisconnectedAffectsNoOtherRequest) {
   config["settings"]["ceilings"]["cancel"] = false;  // the attempt goes on, and its answer is for nobody
   std::shared_ptr<PeerConnection> held;
   addHost("a", [&](PeerConnection& c, std::size_t n) {
@@ -195,7 +195,7 @@
     EXPECT_EQ(ask(text("read")).body(), "mine");
 }
 
-TEST_F(GatewayTest, AnAnswerThatCrossesItsCancelEndsNothingElse) {
+TEST_F(GatewayTest, AResponseThatCrossesItsCancellationEndsNoOtherRequest) {
   std::shared_ptr<PeerConnection> held;
   addHost("a", [&](PeerConnection& c, std::size_t n) {
     if (n == 1)
@@ -216,7 +216,7 @@
 
 // --- Keyed requests -------------------------------------------------------------------------------------
 
-TEST_F(GatewayTest, KeyedThatMayHaveRunStaysInItsZone) {
+TEST_F(GatewayTest, KeyedThatMayHaveExecutedIsRetriedInItsZone) {
   const Script script = first([](PeerConnection& c) { c.reset(); });
   for (const char* zone : {"a", "a", "b", "b"})
     addHost(zone, script);
@@ -228,14 +228,14 @@
   EXPECT_NE(reached[0], reached[1]);
 }
 
-TEST_F(GatewayTest, KeyedIsNotSentAgainPastItsWindow) {
+TEST_F(GatewayTest, KeyedIsNotRetriedAfterItsDeduplicationWindow) {
   config["settings"]["grades"][2]["windowNs"] = 1;
   twoHosts(first([](PeerConnection& c) { c.reset(); }));
   EXPECT_EQ(ask(text("put")).result_int(), 502u);
   EXPECT_EQ(reached.size(), 1u);
 }
 
-TEST_F(GatewayTest, KeyedWithoutItsKeyIsNotTaken) {
+TEST_F(GatewayTest, KeyedWithoutAKeyIsRejected) {
   twoHosts(always(answerText(200, "", "x")));
   EXPECT_EQ(ask("POST /put HTTP/1.1\r\nX-Request-Id: r\r\nContent-Length: 0\r\n\r\n").result_int(), 400u);
   EXPECT_TRUE(reached.empty());
@@ -243,7 +243,7 @@
 
 // --- Clients --------------------------------------------------------------------------------------------
 
-TEST_F(GatewayTest, AClientThatLeavesCancelsItsAttempt) {
+TEST_F(GatewayTest, AClientThatDisconnectsCancelsItsAttempt) {
   addHost("a", [](PeerConnection&, std::size_t) {});
   start();
   auto c = client();
@@ -255,7 +255,7 @@
   EXPECT_EQ(ask(text("read")).body(), "on");
 }
 
-TEST_F(GatewayTest, RefusalsOfAnOverloadCarryRetryAfter) {
+TEST_F(GatewayTest, RejectionsUnderOverloadCarryRetryAfter) {
   config["settings"]["ceilings"]["retryAfter"] = true;
   addHost("a", [](PeerConnection&, std::size_t) {});
   start();
@@ -271,7 +271,7 @@
   }));
 }
 
-TEST_F(GatewayTest, BadInputIsAnsweredAndServiceGoesOn) {
+TEST_F(GatewayTest, InvalidInputIsAnsweredAndServiceContinues) {
   twoHosts(always(answerText(200, "", "ok")));
   EXPECT_EQ(ask("nonsense\r\n\r\n").result_int(), 400u);
   EXPECT_EQ(ask("GET /read HTTP/1.1\r\nX-Class: read\r\n\r\n").result_int(), 400u) << "no id";
@@ -288,7 +288,7 @@
   EXPECT_EQ(ask(text("write", "", std::string(kBufferedBodyLimit, 'x'))).result_int(), 200u);
 }
 
-TEST_F(GatewayTest, AChunkHeadWithoutEndIsTooLargeAndEndsNothingElse) {
+TEST_F(GatewayTest, AChunkHeadWithoutEndIsTooLargeAndEndsNoOtherRequest) {
   twoHosts(always(answerText(200, "", "ok")));
   EXPECT_EQ(ask("POST /write HTTP/1.1\r\nX-Request-Id: r\r\nTransfer-Encoding: chunked\r\n\r\n5;" +
                 std::string(2 * (kBufferedBodyLimit + kHeaderLimit), 'x'))
@@ -306,7 +306,7 @@
   EXPECT_TRUE(c->answers.empty());
 }
 
-TEST_F(GatewayTest, APeerWithNoWholeFirstRequestIsClosedHoweverItKeepsBusy) {
+TEST_F(GatewayTest, APeerWithoutACompleteFirstRequestIsClosedEvenIfItSends) {
   waits.clients.first = std::chrono::milliseconds(20);
   twoHosts(always(answerText(200, "", "ok")));
   auto silent = client(), slow = client();
@@ -328,7 +328,7 @@
   EXPECT_TRUE(until([&] { return kept->answers.size() == 2; }));
 }
 
-TEST_F(GatewayTest, WhatFollowsAnUnclearMessageIsNoRequest) {
+TEST_F(GatewayTest, WhatFollowsAnAmbiguousMessageIsNotReadAsARequest) {
   twoHosts(always(answerText(200, "", "ok")));
   const std::string head = "HTTP/1.1\r\nHost: x\r\nX-Request-Id: r\r\n", inner = text("read");
   const std::string length = "Content-Length: " + std::to_string(inner.size()) + "\r\n";
@@ -356,7 +356,7 @@
   EXPECT_TRUE(reached.empty());
 }
 
-TEST_F(GatewayTest, IdleClientsMakeRoomForNewOnes) {
+TEST_F(GatewayTest, IdleClientsAreEvictedForNewOnes) {
   waits.clients.connections = 4;
   twoHosts(always(answerText(200, "", "ok")));
   std::vector<std::shared_ptr<Client>> idle;
@@ -366,7 +366,7 @@
     EXPECT_EQ(ask(text("read")).result_int(), 200u);
 }
 
-TEST_F(GatewayTest, SilentPeersWithPartOfARequestMakeRoomForNewOnes) {
+TEST_F(GatewayTest, SilentPeersWithAnIncompleteRequestAreEvictedForNewOnes) {
   waits.clients.connections = 3;
   waits.clients.first = std::chrono::minutes(5);
   twoHosts(always(answerText(200, "", "ok")));
@@ -400,7 +400,7 @@
   EXPECT_LE(hosts[0]->connections.size(), 12u);
 }
 
-TEST_F(GatewayTest, IsUpOnceItKnowsHosts) {
+TEST_F(GatewayTest, IsReadyOnceItHasEndpoints) {
   config["known"] = {{"rev", 0}, {"all", true}, {"targets", json::array()}};
   discovery.failing = true;
   twoHosts(always(answerText(200, "", "ok")));
@@ -413,7 +413,7 @@
 
 // --- Discovery ------------------------------------------------------------------------------------------
 
-TEST_F(GatewayTest, NothingNewGoesToAHostThatDrains) {
+TEST_F(GatewayTest, NoNewAttemptIsSentToADrainingHost) {
   twoHosts(always(answerText(200, "", "ok")));
   ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
   for (int i = 0; i < 20; ++i)
@@ -438,14 +438,14 @@
   EXPECT_TRUE(hosts[0]->requests.empty());
 }
 
-TEST_F(GatewayTest, TheKnownListMayBeOld) {
+TEST_F(GatewayTest, TheCachedListMayBeOutdated) {
   twoHosts(always(answerText(200, "", "ok")));
   EXPECT_TRUE(until([&] { return !discovery.targets.empty(); }));
   EXPECT_NE(discovery.targets[0].find("since=1&"), std::string::npos)
       << "what it missed is asked for at once";
 }
 
-TEST_F(GatewayTest, WithNoKnownListTheWholeOneIsAskedFor) {
+TEST_F(GatewayTest, WithoutACachedListASnapshotIsRequested) {
   addHost("a", always(answerText(200, "", "ok")));
   config["known"] = nullptr;
   config["discovery"] = textOf(discovery.peer.endpoint);
@@ -467,7 +467,7 @@
   EXPECT_TRUE(hosts[0]->requests.empty());
 }
 
-TEST_F(GatewayTest, AFailedWatchIsBegunAgainByTheModule) {
+TEST_F(GatewayTest, AFailedWatchIsRestartedByTheBalancer) {
   discovery.failing = true;
   twoHosts(always(answerText(200, "", "ok")));
   ASSERT_TRUE(until([&] { return !discovery.targets.empty(); }));
@@ -480,7 +480,7 @@
 }
 
 // "targets": null passed for an empty whole list, and all hosts were dropped.
-TEST_F(GatewayTest, ADiscoveryAnswerThatIsNoListFailsAndTheHeldListStays) {
+TEST_F(GatewayTest, AnInvalidDiscoveryResponseFailsAndTheCurrentListStays) {
   twoHosts(always(answerText(200, "", "ok")));
   const json twice = {target("s-9", loopback(9)), target("s-9", loopback(9))};
   const std::string bodies[] = {
@@ -500,7 +500,7 @@
   }
 }
 
-TEST_F(GatewayTest, AnEmptyWholeListMeansNoHostAndIsAnsweredAtOnce) {
+TEST_F(GatewayTest, WithAnEmptySnapshotRequestsAreAnsweredAtOnce) {
   twoHosts(always(answerText(200, "", "ok")));
   ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
   discovery.push({{"all", true}, {"targets", json::array()}});
@@ -524,7 +524,7 @@
   EXPECT_LE(Discovery::Timeouts{}.answer + backoff, told + grace);
 }
 
-TEST_F(GatewayTest, AMovedDiscoveryIsWatchedAtItsNewAddress) {
+TEST_F(GatewayTest, AfterAReloadDiscoveryIsWatchedAtItsNewAddress) {
   FakeDiscovery other{io};
   twoHosts(always(answerText(200, "", "ok")));
   ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
@@ -544,7 +544,7 @@
 
 // --- Stop -----------------------------------------------------------------------------------------------
 
-TEST_F(GatewayTest, AStopFinishesWhatWasTaken) {
+TEST_F(GatewayTest, AShutdownFinishesAcceptedRequests) {
   std::shared_ptr<PeerConnection> held;
   addHost("a", [&](PeerConnection& c, std::size_t n) {
     if (n == 0)
--- a/tests/management_test.cpp
+++ b/tests/management_test.cpp
@@ -24,14 +24,14 @@
   }
 };
 
-TEST_F(ManagementTest, OffWithoutAnAddress) {
+TEST_F(ManagementTest, IsOffWithoutAnAddress) {
   config.erase("management");
   addHost("a", always(answerText(200, "", "")));
   start();
   EXPECT_FALSE(gateway->management());
 }
 
-TEST_F(ManagementTest, SaysYesWhileItTakesClients) {
+TEST_F(ManagementTest, IsReadyWhileItAcceptsClients) {
   addHost("a", always(answerText(200, "", "")));
   start();
   EXPECT_EQ(get("/ops/readiness").result_int(), 200u);
@@ -41,7 +41,7 @@
   EXPECT_TRUE(until([&] { return drained; }));
 }
 
-TEST_F(ManagementTest, FiguresAndTimesAlsoAsPrometheusText) {
+TEST_F(ManagementTest, ServesFiguresAndDurationsAsPrometheusText) {
   addHost("a", always(answerText(200, "", "served")));
   start();
   for (int i = 0; i < 3; ++i)
@@ -65,7 +65,7 @@
   EXPECT_TRUE(has("hollyrun_hosts_listed 1"));
 }
 
-TEST_F(ManagementTest, OnlyTheCallsThatThePageNames) {
+TEST_F(ManagementTest, ServesOnlyTheDocumentedPaths) {
   addHost("a", always(answerText(200, "", "")));
   start();
   EXPECT_EQ(get("/ops/other").result_int(), 404u);
@@ -79,7 +79,7 @@
   EXPECT_TRUE(hosts[0]->requests.empty());
 }
 
-TEST_F(ManagementTest, AnswersBesideCallersThatHoldTheirConnections) {
+TEST_F(ManagementTest, AnswersWhileOtherClientsHoldTheirConnections) {
   addHost("a", always(answerText(200, "", "")));
   start();
   std::vector<std::shared_ptr<Client>> silent;
@@ -92,7 +92,7 @@
   EXPECT_TRUE(silent.front()->closedByPeer) << "the oldest made room";
 }
 
-TEST_F(ManagementTest, AConnectionWithNoWholeCallIsClosedInTime) {
+TEST_F(ManagementTest, AConnectionWithoutACompleteRequestIsClosedInTime) {
   addHost("a", always(answerText(200, "", "")));
   start();
   Management short_lived(io, loopback(),
@@ -103,7 +103,7 @@
   EXPECT_TRUE(until([&] { return c->closedByPeer; }));
 }
 
-TEST_F(ManagementTest, EveryFigureShowsFromTheStart) {
+TEST_F(ManagementTest, EveryFigureIsReportedFromTheStart) {
   addHost("a", always(answerText(200, "", "")));
   start();
   for (const std::string cls : {"read", "write", "put"})
@@ -115,7 +115,7 @@
   EXPECT_EQ(get("/ops/stats")["Content-Type"].substr(0, 10), "text/plain");
 }
 
-TEST_F(ManagementTest, FiguresAreWhatThePeersSaw) {
+TEST_F(ManagementTest, FiguresMatchWhatThePeersSaw) {
   addHost("a", [](PeerConnection& c, std::size_t n) {
     if (n == 0)
       c.reply(answerText(200, "", "x"));
@@ -147,7 +147,7 @@
   ASSERT_TRUE(until([&] { return figure("inflight") == 0; }));
 }
 
-TEST_F(ManagementTest, HostsDownAreThoseThatAreAvoided) {
+TEST_F(ManagementTest, HostsDownCountsTheUnavailableOnes) {
   const auto gone = addHost("a", always(answerText(200, "", "")));
   addHost("a", always(answerText(200, "", "")));
   hosts[0]->stopListening();
@@ -165,7 +165,7 @@
 
 // --- Settings that change -------------------------------------------------------------------------------
 
-TEST_F(ManagementTest, ClassesAppearAndVanishAndRequestsUnderWayKeepTheirs) {
+TEST_F(ManagementTest, AReloadAddsAndRemovesClassesAndRequestsInFlightKeepTheirs) {
   std::vector<std::shared_ptr<PeerConnection>> held;
   const auto script = [&](PeerConnection& c, std::size_t) {
     if (c.request.target() == "/read")
@@ -201,7 +201,7 @@
   EXPECT_EQ(before->answers[0].body(), "again");
 }
 
-TEST_F(ManagementTest, FewerAttemptsBindFromTheReloadOn) {
+TEST_F(ManagementTest, FewerAttemptsApplyFromTheReloadOn) {
   twoHosts([](PeerConnection& c, std::size_t) { c.reply(answerText(500, "", "")); });
   EXPECT_NE(ask(text("read")).result_int(), 200u);
   EXPECT_GT(reached.size(), 1u);
@@ -212,7 +212,7 @@
   EXPECT_EQ(reached.size(), 1u);
 }
 
-TEST_F(ManagementTest, AThousandReloadsKeepServing) {
+TEST_F(ManagementTest, ServesThroughAThousandReloads) {
   twoHosts(always(answerText(200, "", "x")));
   for (int i = 0; i < 1000; ++i) {
     config["settings"]["grades"][0]["points"] = 1 + i % 7;
@@ -222,7 +222,7 @@
   EXPECT_EQ(figure("reconfig_ok"), 1000);
 }
 
-TEST_F(ManagementTest, NothingIsTakenFromABrokenFile) {
+TEST_F(ManagementTest, NothingIsAppliedFromAnInvalidFile) {
   addHost("a", always(answerText(200, "", "x")));
   start();
   const Config running = parsed(config);
--- a/tests/server_start_times_test.cpp
+++ b/tests/server_start_times_test.cpp
@@ -29,16 +29,16 @@
   static EndpointList list(std::vector<ListedEndpoint> hosts, bool snapshot = true) {
     return {.version = 1, .snapshot = snapshot, .endpoints = std::move(hosts)};
   }
-  static ListedEndpoint longAgo(const std::string& uid) {
+  static ListedEndpoint startedLongAgo(const std::string& uid) {
     ListedEndpoint host;
     host.uid = uid;
     return host;
   }
 };
 
-TEST_F(StartTimes, AreThoseThatDiscoveryTellsWhileTheClockIsRight) {
+TEST_F(StartTimes, AreThoseOfDiscoveryWhileTheClockIsRight) {
   ServerStartTimes times(at(0s, 0s));
-  EXPECT_EQ(times.startTimesOf(list({longAgo("a"), server("b", -3s)}), Source::discovery, at(1s, 0s)),
+  EXPECT_EQ(times.startTimesOf(list({startedLongAgo("a"), server("b", -3s)}), Source::discovery, at(1s, 0s)),
             (std::vector<Time>{Time{}, kBegin - 3s}));
   EXPECT_EQ(times.startTimesOf(list({server("c", 4s)}, false), Source::discovery, at(5s, 0s)),
             std::vector<Time>{kBegin + 4s});
@@ -59,10 +59,10 @@
   EXPECT_EQ(starts[1], kBegin - 16s) << "and the others are as much older as they were told";
 }
 
-TEST_F(StartTimes, OfAServerThatAppearsAreNotBeforeTheListWithoutIt) {
+TEST_F(StartTimes, OfANewHostAreNotBeforeTheListWithoutIt) {
   for (const auto wrong : {5s, 3600s}) {
     ServerStartTimes times(at(0s, wrong));
-    times.startTimesOf(list({longAgo("a")}), Source::discovery, at(1s, wrong));
+    times.startTimesOf(list({startedLongAgo("a")}), Source::discovery, at(1s, wrong));
     times.startTimesOf(list({}, false), Source::discovery, at(8s, wrong));
     const auto starts = times.startTimesOf(list({server("b", 8s)}, false), Source::discovery, at(9s, wrong));
     EXPECT_GE(starts[0], kBegin + 8s);
@@ -70,34 +70,34 @@
   }
 }
 
-TEST_F(StartTimes, OfAServerThatStartsAnewAreNotBeforeTheListOfItsFormerProcess) {
+TEST_F(StartTimes, OfARestartedHostAreNotBeforeTheListOfItsFormerProcess) {
   ServerStartTimes times(at(0s, 3600s));
   times.startTimesOf(list({server("a", -100s)}), Source::discovery, at(1s, 3600s));
   const auto starts = times.startTimesOf(list({server("a", 2s)}, false), Source::discovery, at(3s, 3600s));
   EXPECT_GE(starts[0], kBegin + 1s);
 }
 
-TEST_F(StartTimes, AClockThatIsSteppedDuringTheLifeMakesNoServerOlder) {
+TEST_F(StartTimes, AClockStepWhileRunningMakesNoHostOlder) {
   for (const auto step : {-3600s, -5s, 5s, 3600s}) {
     ServerStartTimes times(at(0s, 0s));
-    times.startTimesOf(list({longAgo("a")}), Source::discovery, at(1s, 0s));
+    times.startTimesOf(list({startedLongAgo("a")}), Source::discovery, at(1s, 0s));
     const auto starts = times.startTimesOf(list({server("b", 30s)}, false), Source::discovery, at(31s, step));
     EXPECT_GE(starts[0], kBegin + 30s) << step.count();
     EXPECT_LE(starts[0], kBegin + 31s) << step.count();
   }
 }
 
-TEST_F(StartTimes, AListThatWasRememberedBoundsNothingFromBelow) {
+TEST_F(StartTimes, ACachedListSetsNoLowerBound) {
   ServerStartTimes times(at(0s, 0s));
   times.startTimesOf(list({}), Source::cached, at(0s, 0s));  // it may be of any age
   EXPECT_EQ(times.startTimesOf(list({server("a", -3s)}), Source::discovery, at(1s, 0s)),
             std::vector<Time>{kBegin - 3s});
 }
 
-TEST_F(StartTimes, OfAServerThatWasOnceGoneAreJudgedAnew) {
+TEST_F(StartTimes, OfAHostThatWasRemovedAreEstimatedAgain) {
   ServerStartTimes times(at(0s, 3600s));
   times.startTimesOf(list({server("a", -100s)}), Source::discovery, at(1s, 3600s));
-  times.startTimesOf(list({longAgo("b")}), Source::discovery, at(2s, 3600s));
+  times.startTimesOf(list({startedLongAgo("b")}), Source::discovery, at(2s, 3600s));
   EXPECT_GE(times.startTimesOf(list({server("a", 3s)}, false), Source::discovery, at(4s, 3600s))[0],
             kBegin + 2s);
 }
