--- /dev/null
+++ b/src/gateway/upstream_connection.cpp
@@ -0,0 +1,289 @@
+#include "gateway/upstream_connection.hpp"
+
+#include <algorithm>
+#include <boost/asio/buffer.hpp>
+#include <boost/asio/error.hpp>
+#include <boost/beast/http/write.hpp>
+#include <sstream>
+#include <utility>
+
+#include "gateway/chunked_encoding.hpp"
+#include "gateway/message_text.hpp"
+#include "gateway/socket_io.hpp"
+#include "gateway/upstream_limits.hpp"
+#include "gateway/upstream_pool.hpp"
+
+namespace hollyrun::gateway {
+
+namespace asio = boost::asio;
+using balancer::Duration;
+using balancer::Outcome;
+using boost::system::error_code;
+using tcp = asio::ip::tcp;
+
+UpstreamConnection::UpstreamConnection(UpstreamPool& pool, balancer::HostId host)
+    : pool_(pool),
+      host_(host),
+      socket_(pool.io_),
+      timer_(pool.io_),
+      buffer_(kHeaderLimit + 2 * kUpstreamReadSize) {
+  ++pool_.open_;
+}
+
+void UpstreamConnection::assign(AttemptAssignment attempt, Clock::time_point now) {
+  attempt_ = attempt.key;
+  request_ = std::move(attempt.request);
+  upload_ = std::move(attempt.upload);
+  lastChunkWritten_ = false;
+  openEndedTimerSet_ = false;
+  reservation_ = MemoryReservation(pool_.budget_, 0);
+  startedAt_ = now;
+  deadline_ = now + std::max(attempt.timeLimit, Duration::zero());
+  latestStart_ = now + std::min(deadline_ - now, attempt.latestStart);
+}
+
+// --- Lifecycle ------------------------------------------------------------------------------------------
+
+void UpstreamConnection::close() {
+  if (state_ == State::closed)
+    return;
+  state_ = State::closed;
+  disarmTimer();
+  error_code ignored;
+  socket_.close(ignored);
+  dropBodies();
+  --pool_.open_;
+}
+
+void UpstreamConnection::dropBodies() {
+  if (const auto upload = std::exchange(upload_, nullptr)) {
+    upload->onReadable = nullptr;
+    if (upload->touched())
+      upload->abandon();  // otherwise another attempt may send it
+  }
+  if (const auto download = std::exchange(download_, nullptr)) {
+    download->onWritable = nullptr;
+    download->fail();
+  }
+  reservation_ = {};
+}
+
+void UpstreamConnection::complete(Outcome outcome, ConnectionReuse reuse) {
+  const auto self = shared_from_this();
+  AttemptCompletion completion{attempt_, host_, outcome, Clock::now() - startedAt_, {}};
+  // The parser stays until the connection is used again or closed: a read that was cancelled may have its
+  // bytes already, and its handler still passes them to the parser.
+  if (outcome == Outcome::served) {
+    completion.response.base() = std::move(parser_->get().base());
+    completion.response.body() = std::move(parser_->get().body());
+  }
+  pool_.busy_.erase(attempt_);
+  if (reuse == ConnectionReuse::keepAlive)
+    becomeIdle();
+  else
+    close();
+  pool_.observer_.onAttemptComplete(std::move(completion));
+}
+
+void UpstreamConnection::becomeIdle() {
+  state_ = State::idle;
+  disarmTimer();
+  parser_.reset();
+  request_ = {};
+  reservation_ = {};
+  idleSince_ = Clock::now();
+  pool_.addIdle(shared_from_this());
+  watchIdle();
+}
+
+// An idle connection becomes readable when the host closes it; bytes that nobody asked for end it as well.
+void UpstreamConnection::watchIdle() {
+  if (watching_)
+    return;
+  watching_ = true;
+  socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code) {
+    self->watching_ = false;
+    if (self->state_ != State::idle)
+      return;
+    if (hasUnreadBytes(self->socket_))
+      self->recordUnsolicitedBytes();
+    self->pool_.dropIdle(self);
+  });
+}
+
+void UpstreamConnection::recordUnsolicitedBytes() {
+  pool_.quarantineHost(host_);
+}
+
+bool UpstreamConnection::isUsable() {
+  char byte = 0;
+  error_code error;
+  do {
+    if (socket_.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, error) > 0)
+      recordUnsolicitedBytes();
+  } while (isInterrupted(error));
+  return wouldBlock(error);
+}
+
+// --- Time limits ----------------------------------------------------------------------------------------
+
+void UpstreamConnection::armTimer(Clock::time_point at, Outcome outcome) {
+  timer_.expires_at(at);
+  const std::uint64_t generation = ++timerGeneration_;
+  timer_.async_wait([self = shared_from_this(), generation, outcome](error_code error) {
+    if (!error && generation == self->timerGeneration_ && self->state_ != State::closed)
+      self->handleTimeout(outcome);
+  });
+}
+
+void UpstreamConnection::disarmTimer() {
+  ++timerGeneration_;
+  timer_.cancel();
+}
+
+void UpstreamConnection::armConnectTimer() {
+  const auto connectDeadline = startedAt_ + pool_.limits_.connectTimeout;
+  armTimer(std::min(latestStart_, connectDeadline), Outcome::connectFailed);
+}
+
+void UpstreamConnection::handleTimeout(Outcome outcome) {
+  if (state_ == State::reading && outcome == Outcome::timeout && parser_ && isOpenEnded(*parser_)) {
+    if (!parser_->get().body().empty())
+      return beginRelay();
+    if (Clock::now() < deadline_)
+      return armTimer(deadline_, outcome);
+  }
+  if (state_ != State::relaying)
+    return complete(outcome);
+  close();
+  pool_.relaying_.erase(shared_from_this());
+}
+
+void UpstreamConnection::restartTimeLimit(Duration limit) {
+  startedAt_ = Clock::now();
+  deadline_ = startedAt_ + limit;
+}
+
+void UpstreamConnection::limitStart(Duration latestStart) {
+  latestStart_ = std::min(latestStart_, Clock::now() + latestStart);
+  armConnectTimer();
+}
+
+// --- The request ----------------------------------------------------------------------------------------
+
+// Asks for this step of the attempt; false if the attempt has ended instead. The deadline that the request
+// carries is made here, from the time that is left now: an earlier one would not include the time that
+// connecting took.
+bool UpstreamConnection::isAdmitted(AttemptStep step) {
+  const AdmissionResult admission = pool_.observer_.admit({attempt_, host_, step, deadline_ - Clock::now()});
+  if (admission.denied) {
+    complete(*admission.denied,
+             step == AttemptStep::write ? ConnectionReuse::keepAlive : ConnectionReuse::close);
+    return false;
+  }
+  if (admission.advertisedDeadline)
+    request_.set("X-Deadline-Ms", std::to_string(admission.advertisedDeadline->count()));
+  return true;
+}
+
+void UpstreamConnection::connect(const tcp::endpoint& endpoint) {
+  if (!isAdmitted(AttemptStep::connect))
+    return;
+  // Until the connection is up nothing has been written, so the end of the attempt's own time proves here
+  // that it never ran, as the end of the time for connecting does.
+  armConnectTimer();
+  if (!pool_.openSocket(socket_, endpoint))
+    return complete(Outcome::localFailure);
+  socket_.async_connect(endpoint,
+                        [self = shared_from_this()](error_code error) { self->handleConnected(error); });
+}
+
+void UpstreamConnection::handleConnected(const error_code& error) {
+  if (state_ != State::connecting)
+    return;
+  // A shortage of this machine must not count against the host: in a burst it would take healthy hosts out of
+  // use, all of them at once.
+  if (isLocalShortage(error))
+    return complete(Outcome::localFailure);
+  // The connection may come up in the instant in which its time ends, and from then on it may not begin.
+  if (error || Clock::now() > latestStart_)
+    return complete(Outcome::connectFailed);
+  error_code ignored;
+  socket_.set_option(tcp::no_delay(true), ignored);
+  socket_.non_blocking(true, ignored);
+  sendRequest();
+}
+
+void UpstreamConnection::sendRequest() {
+  if (!isAdmitted(AttemptStep::write))
+    return;
+  state_ = State::writing;
+  if (upload_)
+    return startUpload();
+  armTimer(deadline_, Outcome::timeout);
+  outgoing_ = serialized(request_);
+  writeAll(socket_, asio::buffer(outgoing_), [self = shared_from_this()](error_code error) {
+    self->outgoing_ = {};
+    if (self->state_ != State::writing)
+      return;
+    // An error here means that the last byte was not written: the request never ran.
+    if (error)
+      return self->complete(Outcome::connectFailed);
+    self->handleRequestWritten();
+  });
+}
+
+void UpstreamConnection::handleRequestWritten() {
+  ++pool_.written_;
+  state_ = State::reading;
+  if (!receiving_)
+    startReading();
+}
+
+// Reads meanwhile: a host that rejects the request says so before the request's end.
+void UpstreamConnection::startUpload() {
+  upload_->onReadable = [weak = weak_from_this()] {
+    if (const auto self = weak.lock())
+      self->pumpUpload();
+  };
+  std::ostringstream head;
+  head << request_.base();
+  writeUploadPiece(head.str());
+  startReading();
+}
+
+void UpstreamConnection::writeUploadPiece(std::string text) {
+  writingPiece_ = true;
+  outgoing_ = std::move(text);
+  armTimer(Clock::now() + kStallTimeout, Outcome::connectFailed);  // the last byte is still to come
+  writeAll(socket_, asio::buffer(outgoing_), [self = shared_from_this()](error_code error) {
+    self->writingPiece_ = false;
+    if (self->state_ != State::writing)
+      return;
+    if (error)
+      return self->complete(Outcome::connectFailed);
+    self->disarmTimer();
+    self->pumpUpload();
+  });
+}
+
+void UpstreamConnection::pumpUpload() {
+  if (state_ != State::writing || writingPiece_ || !upload_)
+    return;
+  if (upload_->hasFailed())
+    return complete(Outcome::cancelled);
+  const std::string piece = upload_->consume();
+  const bool isChunked = request_.chunked();
+  if (!piece.empty())
+    return writeUploadPiece(isChunked ? encodeChunk(piece) : piece);
+  if (!upload_->isFinished())
+    return;
+  if (isChunked && !std::exchange(lastChunkWritten_, true))
+    return writeUploadPiece(encodeChunk({}));
+  upload_->onReadable = nullptr;
+  upload_.reset();
+  armTimer(deadline_, Outcome::timeout);
+  handleRequestWritten();
+}
+
+}  // namespace hollyrun::gateway
--- /dev/null
+++ b/src/gateway/upstream_response_relay.cpp
@@ -0,0 +1,199 @@
+// The part of UpstreamConnection that reads a response and, if it is large, relays it.
+#include <algorithm>
+#include <boost/asio/error.hpp>
+#include <boost/beast/http/error.hpp>
+#include <limits>
+#include <utility>
+
+#include "gateway/upstream_connection.hpp"
+#include "gateway/upstream_limits.hpp"
+#include "gateway/upstream_pool.hpp"
+
+namespace hollyrun::gateway {
+
+namespace asio = boost::asio;
+namespace http = boost::beast::http;
+using balancer::Outcome;
+using boost::system::error_code;
+
+// --- Reading --------------------------------------------------------------------------------------------
+
+void UpstreamConnection::startReading() {
+  if (state_ != State::relaying)
+    resetParser();
+  receive();
+}
+
+void UpstreamConnection::resetParser() {
+  parser_.emplace();
+  parser_->eager(true);
+  parser_->body_limit(std::numeric_limits<std::uint64_t>::max());  // what is not buffered passes through
+  parser_->header_limit(kHeaderLimit);
+}
+
+void UpstreamConnection::receive() {
+  receiving_ = true;
+  socket_.async_read_some(
+      buffer_.prepare(kUpstreamReadSize), [self = shared_from_this()](error_code error, std::size_t bytes) {
+        self->receiving_ = false;
+        const State state = self->state_;
+        if (state != State::reading && state != State::writing && state != State::relaying)
+          return;
+        self->buffer_.commit(bytes);
+        self->handleReceived(error);
+      });
+}
+
+void UpstreamConnection::handleReceived(const error_code& error) {
+  if (error == asio::error::eof)
+    return handleEndOfStream();
+  if (error)
+    return handleReadError(error);
+  if (!parseReceived())
+    return;
+  if (state_ == State::relaying)
+    return relayParsed();
+  if (parser_->is_done())
+    return completeResponse();
+  if (!parser_->is_header_done())
+    return receive();
+  bufferOrRelay();
+}
+
+// The end of the connection may be the end of the response.
+void UpstreamConnection::handleEndOfStream() {
+  error_code error;
+  if (parser_->got_some())
+    parser_->put_eof(error);
+  if (error)
+    return handleReadError(error);
+  if (!parser_->got_some())
+    return handleReadError(asio::error::eof);
+  completeResponse();
+}
+
+// False if the response is malformed, and the attempt over.
+bool UpstreamConnection::parseReceived() {
+  while (buffer_.size() > 0 && !parser_->is_done()) {
+    error_code error;
+    buffer_.consume(parser_->put(buffer_.data(), error));
+    if (error == http::error::need_more)
+      break;
+    if (error) {
+      handleReadError(error);
+      return false;
+    }
+    const unsigned status = parser_->is_header_done() ? parser_->get().result_int() : 0;
+    const bool isInterim = status / 100 == 1 && status != 101;
+    if (parser_->is_done() && isInterim)
+      resetParser();  // the final response is to come
+  }
+  // The parser limits the head, but not the head of a chunk, and the buffer would throw once it is full.
+  if (!parser_->is_done() && buffer_.size() + kUpstreamReadSize > buffer_.max_size()) {
+    handleReadError(http::error::header_limit);
+    return false;
+  }
+  return true;
+}
+
+// The head is there and a part of the body is to come: small bodies are buffered, large ones streamed.
+void UpstreamConnection::bufferOrRelay() {
+  const auto length = parser_->content_length();
+  const std::size_t received = parser_->get().body().size();
+  reservation_.resize(received);
+  if (state_ == State::reading && isOpenEnded(*parser_) && !std::exchange(openEndedTimerSet_, true))
+    armTimer(std::min(deadline_, Clock::now() + kOpenEndedBuffering), Outcome::timeout);
+  const bool isSmall = std::max<std::uint64_t>(received, length ? *length : 0) <= kBufferedBodyLimit;
+  if (isSmall && (received == 0 || pool_.budget_->hasCapacity(kBufferedBodyLimit)))
+    return receive();
+  if (state_ != State::reading || parser_->get().result() != http::status::ok)
+    return completeResponse(ConnectionReuse::close);
+  beginRelay();
+}
+
+void UpstreamConnection::handleReadError(const error_code& error) {
+  // Once all of the body was passed to the socket, its last byte may be out although the write has not been
+  // reported as complete, so the request may have run.
+  const bool lastBytePassed = upload_ && upload_->isFinished();
+  if (state_ == State::writing)
+    return complete(lastBytePassed ? Outcome::reset : Outcome::connectFailed);
+  if (state_ == State::reading)
+    return complete(classifyReadError(error));
+  close();
+  pool_.relaying_.erase(shared_from_this());
+}
+
+// `allowed`: whether the response is complete, without which its connection is not reused.
+void UpstreamConnection::completeResponse(ConnectionReuse allowed) {
+  if (state_ == State::relaying)
+    return relayParsed();
+  const bool beforeRequestEnd = state_ == State::writing;  // it can't have run
+  const Outcome outcome = classifyResponse(*parser_);
+  if (beforeRequestEnd)
+    return complete(outcome == Outcome::served ? Outcome::reset : outcome);
+  const bool reuse = allowed == ConnectionReuse::keepAlive && isReusable();
+  complete(outcome, reuse ? ConnectionReuse::keepAlive : ConnectionReuse::close);
+}
+
+bool UpstreamConnection::isReusable() {
+  const bool hasUnsolicitedBytes = buffer_.size() > 0;
+  if (hasUnsolicitedBytes)
+    recordUnsolicitedBytes();
+  return !hasUnsolicitedBytes && allowsReuse(*parser_);
+}
+
+// --- Relaying -------------------------------------------------------------------------------------------
+
+// The attempt is complete, for the host has done its work; the rest of the response is passed on as it comes.
+void UpstreamConnection::beginRelay() {
+  disarmTimer();
+  state_ = State::relaying;
+  download_ = std::make_shared<BodyStream>(pool_.budget_);
+  download_->onWritable = [weak = weak_from_this()] {
+    if (const auto self = weak.lock())
+      self->continueRelay();
+  };
+  pool_.busy_.erase(attempt_);
+  pool_.relaying_.insert(shared_from_this());
+  AttemptCompletion completion{attempt_, host_, Outcome::served, Clock::now() - startedAt_, {}};
+  completion.response.base() = parser_->get().base();
+  completion.body = download_;
+  if (const auto length = parser_->content_length())
+    completion.length = *length;
+  reservation_ = {};
+  relayParsed();
+  pool_.observer_.onAttemptComplete(std::move(completion));
+}
+
+void UpstreamConnection::relayParsed() {
+  // The consumer may take the data within append(), which makes the stream writable at once; feeding_ keeps
+  // that from starting a read from within.
+  feeding_ = true;
+  download_->append(std::exchange(parser_->get().body(), {}));
+  feeding_ = false;
+  if (!download_)
+    return;  // closed meanwhile
+  if (!parser_->is_done())
+    return continueRelay();
+  download_->onWritable = nullptr;
+  std::exchange(download_, nullptr)->finish();
+  const auto self = shared_from_this();
+  pool_.relaying_.erase(self);
+  if (isReusable())
+    becomeIdle();
+  else
+    close();
+}
+
+void UpstreamConnection::continueRelay() {
+  if (state_ != State::relaying || receiving_ || feeding_ || !download_)
+    return;
+  if (download_->isAbandoned())
+    return handleTimeout(Outcome::cancelled);
+  if (download_->isFull())
+    return disarmTimer();
+  armTimer(Clock::now() + kStallTimeout, Outcome::reset);
+  receive();
+}
+
+}  // namespace hollyrun::gateway
