--- a/src/gateway/close_reason.hpp
+++ b/src/gateway/close_reason.hpp
@@ -1,4 +1,4 @@
-// Why a client's connection ended, one enumeration for the metrics and the log.
+/// Why a client's connection ended: one enumeration for the metrics and the log.
 #pragma once
 
 #include <array>
@@ -9,20 +9,21 @@
 namespace hollyrun::gateway {
 
 enum class CloseReason : std::uint8_t {
-  clientLeft,     ///< the client ended or reset its side
-  idle,           ///< nothing came for too long between requests
-  incomplete,     ///< its first request was not whole in time
-  stalledReader,  ///< it did not read its answer
-  lastAnswer,     ///< the answer was the connection's last
-  brokenAnswer,   ///< a server's answer broke off under way
-  madeRoom,       ///< another connection needed its place
-  stopping,       ///< the process ends and the connection rested
-  processEnd,     ///< what was left as the process ended
+  clientDisconnected,  ///< The client ended or reset its side.
+  idleTimeout,         ///< Nothing came for too long between requests.
+  incompleteRequest,   ///< A request was not complete in time.
+  stalledReader,       ///< The client did not read its response.
+  finalResponse,       ///< The response was the connection's last.
+  truncatedResponse,   ///< A server's response broke off under way.
+  evicted,             ///< Another connection needed its place.
+  draining,            ///< The process ends, and the connection was idle.
+  shutdown,            ///< What was left as the process ended.
 };
 
 inline constexpr std::size_t kCloseReasons = 9;
 using CloseCounts = std::array<std::uint64_t, kCloseReasons>;
 
+/// The label in the metrics and the log. These names are a stable interface and older than the enumerators.
 inline std::string_view nameOf(CloseReason reason) {
   static constexpr std::array<std::string_view, kCloseReasons> kNames = {
       "client_left",   "idle",      "incomplete", "stalled_reader", "last_answer",
--- /dev/null
+++ b/src/gateway/connection_evictor.cpp
@@ -0,0 +1,85 @@
+#include "gateway/connection_evictor.hpp"
+
+#include <algorithm>
+#include <chrono>
+
+#include "gateway/downstream_connection.hpp"
+
+namespace hollyrun::gateway {
+namespace {
+
+using Clock = std::chrono::steady_clock;
+
+// A connection with a part of a request may be evicted once it has been silent for so long.
+constexpr auto kSilence = std::chrono::milliseconds(500);
+// Evicted connections that may linger beyond the limit, out of the descriptors that nobody else uses.
+constexpr std::size_t kMaxEvictedLingering = 8;
+// Connections whose socket is asked for unread bytes in one search; those that have some are read in the next
+// turn of the event loop.
+constexpr std::size_t kMaxCandidates = 16;
+
+}  // namespace
+
+bool ConnectionEvictor::evictForCapacity(EvictionScope scope) {
+  std::shared_ptr<DownstreamConnection> candidate = oldestIdle(scope);
+  if (!candidate)
+    candidate = oldestIncomplete();
+  if (candidate) {
+    evicted_.push_back(candidate);
+    candidate->linger(CloseReason::evicted);
+    if (evicted_.size() > kMaxEvictedLingering)
+      std::shared_ptr<DownstreamConnection>(evicted_.front())->close(CloseReason::evicted);
+    return true;
+  }
+  const std::shared_ptr<DownstreamConnection> lingering = oldestLingering();
+  if (lingering)
+    lingering->close(CloseReason::evicted);
+  return lingering != nullptr;
+}
+
+void ConnectionEvictor::remove(const std::shared_ptr<DownstreamConnection>& connection) {
+  std::erase(evicted_, connection);
+}
+
+std::shared_ptr<DownstreamConnection> ConnectionEvictor::oldestIdle(EvictionScope scope) const {
+  const auto now = Clock::now();
+  std::size_t examined = 0;
+  for (DownstreamConnection* connection : idle_) {
+    if (scope == EvictionScope::sparingNew && connection->mayExpectFirstRequest(now))
+      continue;
+    if (connection->isIdle())
+      return connection->shared_from_this();
+    if (++examined == kMaxCandidates)
+      break;
+  }
+  return nullptr;
+}
+
+std::shared_ptr<DownstreamConnection> ConnectionEvictor::oldestIncomplete() const {
+  const auto silentSince = Clock::now() - kSilence;
+  std::size_t examined = 0;
+  for (DownstreamConnection* connection : incomplete_) {
+    if (connection->lastReceivedAt() >= silentSince)
+      break;
+    if (connection->isIncomplete())
+      return connection->shared_from_this();
+    if (++examined == kMaxCandidates)
+      break;
+  }
+  return nullptr;
+}
+
+std::shared_ptr<DownstreamConnection> ConnectionEvictor::oldestLingering() const {
+  for (DownstreamConnection* connection : lingering_) {
+    std::shared_ptr<DownstreamConnection> candidate = connection->shared_from_this();
+    if (!isEvicted(candidate))
+      return candidate;
+  }
+  return nullptr;
+}
+
+bool ConnectionEvictor::isEvicted(const std::shared_ptr<DownstreamConnection>& connection) const {
+  return std::find(evicted_.begin(), evicted_.end(), connection) != evicted_.end();
+}
+
+}  // namespace hollyrun::gateway
--- /dev/null
+++ b/src/gateway/downstream_connection.cpp
@@ -0,0 +1,238 @@
+#include "gateway/downstream_connection.hpp"
+
+#include <netinet/tcp.h>
+#include <poll.h>
+#include <sys/socket.h>
+
+#include <algorithm>
+#include <array>
+#include <boost/asio/buffer.hpp>
+#include <cerrno>
+#include <utility>
+
+#include "gateway/downstream_constants.hpp"
+#include "gateway/downstream_server.hpp"
+#include "gateway/socket_io.hpp"
+
+namespace hollyrun::gateway {
+namespace {
+
+namespace asio = boost::asio;
+namespace http = boost::beast::http;
+using boost::system::error_code;
+using tcp = asio::ip::tcp;
+
+// A connection that was established just before the listener closed has so long to send its first request.
+constexpr auto kFirstRequestGrace = std::chrono::milliseconds(250);
+
+// A body has to come at this rate in bytes per second at least, well below the slowest proper client, after
+// some time in which it need not.
+constexpr double kMinBodyRate = 24 << 10;
+constexpr auto kMinBodyGrace = std::chrono::milliseconds(300);
+constexpr auto kMaxBodyGrace = std::chrono::milliseconds(1000);
+
+// A lingering connection is closed after this, one without a proper request sooner.
+constexpr auto kLingerTimeout = std::chrono::milliseconds(1000);
+constexpr auto kLingerTimeoutWithoutRequest = std::chrono::milliseconds(300);
+// Bytes that are discarded meanwhile; more would cost too much time.
+constexpr std::size_t kMaxDiscardedBytes = 4 << 20;
+
+}  // namespace
+
+DownstreamConnection::DownstreamConnection(DownstreamServer& server, tcp::socket socket)
+    : server_(server), socket_(std::move(socket)), buffer_(kHeaderLimit + 2 * kBodyReadSize) {
+  resetForNextRequest();
+}
+
+// --- State ----------------------------------------------------------------------------------------------
+
+void DownstreamConnection::setState(State next) {
+  state_ = next;
+  if (evictionList_)
+    evictionList_->erase(evictionEntry_);
+  evictionList_ = evictionListFor(next);
+  if (evictionList_)
+    evictionEntry_ = evictionList_->insert(evictionList_->end(), this);
+}
+
+ConnectionEvictor::List* DownstreamConnection::evictionListFor(State state) {
+  switch (state) {
+    case State::idle:
+      return &server_.evictor_.idle();
+    case State::readingHead:
+    case State::readingBody:
+      return &server_.evictor_.incomplete();
+    case State::lingering:
+      return &server_.evictor_.lingering();
+    default:
+      return nullptr;
+  }
+}
+
+bool DownstreamConnection::isIdle() const {
+  return state_ == State::idle && !hasUnreadBytes(socket_);
+}
+
+bool DownstreamConnection::isIncomplete() const {
+  return (state_ == State::readingHead || state_ == State::readingBody) && !hasUnreadBytes(socket_);
+}
+
+bool DownstreamConnection::mayExpectFirstRequest(Clock::time_point now) const {
+  return awaitingFirstRequest_ && now - connectedAt_ <= kFirstRequestGrace;
+}
+
+// --- The end of the connection --------------------------------------------------------------------------
+
+void DownstreamConnection::close(CloseReason reason) {
+  if (state_ == State::closed)
+    return;
+  const CloseReason counted = lingerReason_.value_or(reason);
+  server_.countClosed(counted);
+  const bool owesResponse = state_ == State::awaitingResponse || state_ == State::uploading;
+  const bool isExcused = reason == CloseReason::clientDisconnected || reason == CloseReason::shutdown;
+  if (owesResponse && !isExcused)
+    server_.observer_.onClosedUnanswered(requestId_, counted);
+  setState(State::closed);
+  error_code ignored;
+  socket_.close(ignored);
+  dropBodies();
+  notifyResponseEnd(false);
+  server_.removeConnection(shared_from_this());
+}
+
+void DownstreamConnection::linger(CloseReason reason) {
+  lingerReason_ = reason;
+  setState(State::lingering);
+  stateSince_ = Clock::now();
+  buffer_.consume(buffer_.size());
+  reservation_ = {};
+  error_code ignored;
+  socket_.shutdown(tcp::socket::shutdown_send, ignored);
+  awaitReadable();
+}
+
+void DownstreamConnection::discardInput() {
+  static std::array<char, kBodyReadSize> discarded;
+  error_code error;
+  discardedBytes_ += socket_.read_some(asio::buffer(discarded), error);
+  const bool nothingRead = wouldBlock(error) || isInterrupted(error);
+  if ((error && !nothingRead) || discardedBytes_ > kMaxDiscardedBytes)
+    return close(CloseReason::clientDisconnected);
+  awaitReadable();
+}
+
+void DownstreamConnection::notifyResponseEnd(bool complete) {
+  if (const ResponseCallback callback = std::exchange(responseCallback_, nullptr))
+    callback(complete);
+}
+
+void DownstreamConnection::dropBodies() {
+  if (const auto upload = std::exchange(upload_, nullptr)) {
+    upload->onWritable = nullptr;
+    upload->fail();
+  }
+  if (const auto download = std::exchange(download_, nullptr))
+    download->abandon();
+}
+
+// --- The end of the client's side -----------------------------------------------------------------------
+
+// The client ended its side or reset the connection; from here on a close and a half-close look alike.
+void DownstreamConnection::handleEndOfStream() {
+  switch (state_) {
+    case State::uploading:
+    case State::awaitingResponse:
+      return handleClientGone();
+    case State::responding:
+      keepAlive_ = false;
+      return;  // the response may still arrive
+    default:
+      return close(CloseReason::clientDisconnected);
+  }
+}
+
+void DownstreamConnection::handleClientGone() {
+  const DownstreamRequestId id = requestId_;
+  server_.awaitingResponse_.erase(id);
+  close(CloseReason::clientDisconnected);
+  server_.observer_.onClientDisconnected(id);
+}
+
+bool DownstreamConnection::hasClientHungUp() {
+  pollfd query{socket_.native_handle(), POLLRDHUP, 0};
+  int ready = 0;
+  do
+    ready = ::poll(&query, 1, 0);
+  while (ready < 0 && errno == EINTR);
+  if (ready < 0)
+    return !isEstablished();
+  return ready > 0 && (query.revents & (POLLRDHUP | POLLHUP | POLLERR));
+}
+
+// Whether neither side has ended, by the kernel's own state: for when the poll itself fails.
+bool DownstreamConnection::isEstablished() {
+  tcp_info info{};
+  socklen_t length = sizeof info;
+  if (::getsockopt(socket_.native_handle(), IPPROTO_TCP, TCP_INFO, &info, &length) != 0)
+    return false;
+  return info.tcpi_state == TCP_ESTABLISHED;
+}
+
+// --- Timeouts -------------------------------------------------------------------------------------------
+
+void DownstreamConnection::checkTimeouts(Clock::time_point now) {
+  const bool owesResponse = state_ == State::awaitingResponse || state_ == State::uploading;
+  if (owesResponse && !readPending_ && hasClientHungUp())
+    return handleClientGone();
+  if (!isOverdue(now))
+    return;
+  const bool hasStartedRequest = state_ == State::readingHead;
+  if (state_ == State::idle || hasStartedRequest)
+    linger(awaitingFirstRequest_ || hasStartedRequest ? CloseReason::incompleteRequest
+                                                      : CloseReason::idleTimeout);
+  else if (state_ == State::responding || state_ == State::lingering)
+    close(CloseReason::stalledReader);
+  else
+    reject(http::status::request_timeout);
+}
+
+bool DownstreamConnection::isOverdue(Clock::time_point now) const {
+  const DownstreamServer::Limits& limits = server_.limits_;
+  const auto stateAge = now - stateSince_;
+  switch (state_) {
+    case State::idle:
+      if (server_.isDraining())
+        return !mayExpectFirstRequest(now);
+      return stateAge > (awaitingFirstRequest_ ? limits.first : limits.idle);
+    case State::readingHead:
+      return awaitingFirstRequest_ ? now - connectedAt_ > limits.first : stateAge > limits.slow;
+    case State::readingBody:
+      return isBodyTooSlow(now);
+    case State::uploading:
+      return readPending_ && isBodyTooSlow(now);
+    case State::responding:  // a client that does not read
+      return (!download_ || writingPiece_) && stateAge > limits.slow;
+    case State::lingering:
+      if (awaitingFirstRequest_ && now - connectedAt_ > limits.first + kMinBodyGrace)
+        return stateAge > kLingerTimeoutWithoutRequest;
+      return stateAge > kLingerTimeout;
+    default:
+      return false;
+  }
+}
+
+// Whether the body comes at a lower rate than that of the slowest proper client. A first request that is not
+// proper has to be over 3 s after the connect; a proper one may need most of that for its head.
+bool DownstreamConnection::isBodyTooSlow(Clock::time_point now) const {
+  const DownstreamServer::Limits& limits = server_.limits_;
+  if (awaitingFirstRequest_ && now - connectedAt_ <= limits.first)
+    return false;
+  const auto timeLeft = limits.first + kMinBodyGrace - (bodyStartedAt_ - connectedAt_);
+  const auto grace = awaitingFirstRequest_
+                         ? std::clamp<Clock::duration>(timeLeft, kMinBodyGrace, kMaxBodyGrace)
+                         : Clock::duration(limits.slow) / 2;
+  const std::chrono::duration<double> elapsed = now - bodyStartedAt_ - grace;
+  return static_cast<double>(bodyBytes_) < kMinBodyRate * elapsed.count();
+}
+
+}  // namespace hollyrun::gateway
--- /dev/null
+++ b/src/gateway/downstream_request_reader.cpp
@@ -0,0 +1,291 @@
+// The part of DownstreamConnection that reads requests.
+#include <algorithm>
+#include <boost/asio/buffer.hpp>
+#include <boost/beast/core/string.hpp>
+#include <boost/beast/http/error.hpp>
+#include <string_view>
+#include <utility>
+
+#include "gateway/downstream_connection.hpp"
+#include "gateway/downstream_constants.hpp"
+#include "gateway/downstream_server.hpp"
+#include "gateway/socket_io.hpp"
+
+namespace hollyrun::gateway {
+namespace {
+
+namespace asio = boost::asio;
+namespace http = boost::beast::http;
+using boost::system::error_code;
+using tcp = asio::ip::tcp;
+
+RejectionKind rejectionKindOf(http::status status) {
+  return status == http::status::service_unavailable ? RejectionKind::overloaded : RejectionKind::invalid;
+}
+
+}  // namespace
+
+// --- Reading --------------------------------------------------------------------------------------------
+
+void DownstreamConnection::resetForNextRequest() {
+  parser_.emplace();
+  parser_->eager(true);
+  parser_->header_limit(kHeaderLimit);
+  parser_->body_limit(kMaxRequestBody);
+  reservation_ = {};
+  bodyBytes_ = 0;
+  setState(State::idle);
+  stateSince_ = Clock::now();
+}
+
+void DownstreamConnection::startNextRequest() {
+  resetForNextRequest();
+  if (buffer_.size() > 0)
+    parseInput();
+  else
+    awaitReadable();
+}
+
+// One wait is always pending, except while no more may be read. The wait itself reads nothing: what has come
+// is read in the state of that moment.
+void DownstreamConnection::awaitReadable() {
+  if (std::exchange(readPending_, true))
+    return;
+  socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code) {
+    self->readPending_ = false;
+    if (self->state_ != State::closed)
+      self->handleReadable();
+  });
+}
+
+// What a client sends before its response is kept for its next request.
+void DownstreamConnection::awaitPipelined() {
+  if (buffer_.size() < kHeadReadSize)
+    awaitReadable();
+}
+
+void DownstreamConnection::handleReadable() {
+  if (state_ == State::lingering)
+    return discardInput();
+  const bool isBody = state_ == State::readingBody || state_ == State::uploading;
+  error_code error;
+  const std::size_t bytes = socket_.read_some(buffer_.prepare(isBody ? kBodyReadSize : kHeadReadSize), error);
+  if (wouldBlock(error) || isInterrupted(error))
+    return awaitReadable();
+  if (error)
+    return handleEndOfStream();
+  buffer_.commit(bytes);
+  lastReceivedAt_ = Clock::now();
+  if (evictionList_)
+    evictionList_->splice(evictionList_->end(), *evictionList_, evictionEntry_);
+  if (state_ == State::awaitingResponse || state_ == State::responding)
+    return awaitPipelined();
+  parseInput();
+}
+
+// --- Parsing --------------------------------------------------------------------------------------------
+
+void DownstreamConnection::parseInput() {
+  if (state_ == State::idle) {
+    setState(State::readingHead);
+    stateSince_ = Clock::now();
+  }
+  if (!parseBuffered())
+    return;
+  if (state_ == State::readingHead && parser_->is_header_done() && !handleHead())
+    return;
+  if (state_ != State::readingHead && !handleBody())
+    return;
+  if (!parser_->is_done())
+    return awaitReadable();
+  if (state_ == State::uploading)
+    return completeUpload();
+  submitRequest();
+}
+
+// False if the request was rejected.
+bool DownstreamConnection::parseBuffered() {
+  while (buffer_.size() > 0 && !parser_->is_done()) {
+    error_code error;
+    buffer_.consume(parser_->put(buffer_.data(), error));
+    if (error == http::error::need_more)
+      break;
+    if (error) {
+      rejectMalformed(error);
+      return false;
+    }
+  }
+  // The parser limits head and body, but not the head of a chunk; the buffer would throw once it is full, and
+  // that would end the process.
+  if (!parser_->is_done() && buffer_.size() + kBodyReadSize > buffer_.max_size()) {
+    rejectMalformed(http::error::body_limit);
+    return false;
+  }
+  return true;
+}
+
+// False if the request was rejected or its connection closed.
+bool DownstreamConnection::handleHead() {
+  setState(State::readingBody);
+  bodyStartedAt_ = Clock::now();
+  const auto length = parser_->content_length();
+  if (length && *length > kMaxRequestBody)
+    return reject(http::status::payload_too_large);
+  if (parser_->is_done())
+    return true;
+  if (parser_->get().count(http::field::expect) && !handleExpectation())
+    return false;
+  const std::size_t buffered = length && *length <= kBufferedBodyLimit ? *length : kBufferedBodyLimit;
+  if (!server_.budget_->hasCapacity(buffered))
+    return reject(http::status::service_unavailable);
+  reservation_ = MemoryReservation(server_.budget_, buffered);
+  if (length && *length > kBufferedBodyLimit)
+    beginUpload();
+  return state_ == State::readingBody || state_ == State::uploading;
+}
+
+// False if the request was rejected or its connection closed.
+bool DownstreamConnection::handleExpectation() {
+  const auto& head = parser_->get();
+  if (!boost::beast::iequals(head[http::field::expect], "100-continue"))
+    return reject(http::status::expectation_failed);
+  if (head.version() != 11 || sendContinue())
+    return true;
+  close(CloseReason::clientDisconnected);
+  return false;
+}
+
+// So short a text always fits into the kernel's buffer, because nothing was written before it.
+bool DownstreamConnection::sendContinue() {
+  static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
+  error_code error;
+  for (asio::const_buffer rest = asio::buffer(kContinue); rest.size() > 0;) {
+    rest += socket_.write_some(rest, error);
+    if (error && !isInterrupted(error))
+      return false;
+  }
+  return true;
+}
+
+// --- The body -------------------------------------------------------------------------------------------
+
+// Passes on what the parser has of the body, unless that is buffered whole. False if the request is over or
+// the upload is paused.
+bool DownstreamConnection::handleBody() {
+  std::string& body = parser_->get().body();
+  const std::size_t counted = upload_ ? 0 : std::min(bodyBytes_, body.size());
+  bodyBytes_ += body.size() - counted;
+  if (state_ == State::readingBody && body.size() > kBufferedBodyLimit)
+    beginUpload();
+  if (state_ != State::uploading)
+    return state_ == State::readingBody;
+  if (bodyBytes_ > kMaxRequestBody) {
+    rejectMalformed(http::error::body_limit);
+    return false;
+  }
+  return feedUpload(std::exchange(body, {}));
+}
+
+bool DownstreamConnection::feedUpload(std::string piece) {
+  const auto upload = upload_;
+  // The consumer may take the data within append(), which makes the stream writable at once; feedingUpload_
+  // keeps that from starting a second read from within.
+  feedingUpload_ = true;
+  upload->append(piece);
+  feedingUpload_ = false;
+  if (state_ != State::uploading || parser_->is_done())
+    return state_ == State::uploading;
+  if (!upload->isFull())
+    return true;
+  uploadPausedAt_ = Clock::now();
+  return false;  // resumeUpload() reads on
+}
+
+void DownstreamConnection::beginUpload() {
+  reservation_ = {};
+  upload_ = std::make_shared<BodyStream>(server_.budget_);
+  upload_->onWritable = [weak = weak_from_this()] {
+    if (const auto self = weak.lock())
+      self->resumeUpload();
+  };
+  const auto self = shared_from_this();
+  DownstreamRequest request = makeRequest(State::uploading);
+  request.upload = upload_;
+  if (const auto length = parser_->content_length())
+    request.uploadLength = *length;
+  server_.observer_.onRequest(std::move(request));
+}
+
+void DownstreamConnection::resumeUpload() {
+  if (readPending_ || feedingUpload_ || state_ != State::uploading)
+    return;
+  if (upload_->isAbandoned() || upload_->isFull())
+    return;
+  // The time in which the upload was paused does not count against the client's rate.
+  bodyStartedAt_ += Clock::now() - std::exchange(uploadPausedAt_, Clock::now());
+  awaitReadable();
+}
+
+void DownstreamConnection::completeUpload() {
+  const auto upload = std::exchange(upload_, nullptr);
+  upload->onWritable = nullptr;
+  awaitingFirstRequest_ = false;
+  setState(State::awaitingResponse);
+  awaitPipelined();
+  const DownstreamRequestId id = requestId_;
+  server_.observer_.onUploadComplete(id);
+  upload->finish();
+}
+
+// --- Handing the request over ---------------------------------------------------------------------------
+
+void DownstreamConnection::submitRequest() {
+  DownstreamRequest request = makeRequest(State::awaitingResponse);
+  request.message.body() = std::move(parser_->get().body());
+  reservation_.resize(request.message.body().size());
+  request.reservation = std::move(reservation_);
+  awaitPipelined();
+  server_.observer_.onRequest(std::move(request));
+}
+
+DownstreamRequest DownstreamConnection::makeRequest(State next) {
+  keepAlive_ = parser_->get().keep_alive();
+  awaitingFirstRequest_ = awaitingFirstRequest_ && !parser_->is_done();
+  setState(next);
+  requestId_ = server_.registerRequest(shared_from_this());
+  DownstreamRequest request;
+  request.id = requestId_;
+  request.message.base() = std::move(parser_->get().base());
+  request.receivedAt = lastReceivedAt_;
+  return request;
+}
+
+// Answers without the observer. Always false, for its callers to return.
+bool DownstreamConnection::reject(http::status status) {
+  keepAlive_ = false;
+  HttpResponse response;
+  response.result(status);
+  const bool wasHandedOver = server_.awaitingResponse_.erase(requestId_) > 0;
+  const DownstreamRequestId id = requestId_;
+  const bool hasHead = state_ == State::readingBody;
+  const std::string target = hasHead ? parser_->get().target().to_string() : "";
+  buffer_.consume(buffer_.size());
+  respond(std::move(response), nullptr);
+  if (wasHandedOver)
+    server_.observer_.onClientDisconnected(id);
+  else
+    server_.observer_.onLocalRejection(target, rejectionKindOf(status));
+  awaitReadable();
+  return false;
+}
+
+void DownstreamConnection::rejectMalformed(const error_code& error) {
+  if (error == http::error::header_limit)
+    reject(http::status::request_header_fields_too_large);
+  else if (error == http::error::body_limit)
+    reject(http::status::payload_too_large);
+  else
+    reject(http::status::bad_request);
+}
+
+}  // namespace hollyrun::gateway
--- a/src/gateway/downstream_server.hpp
+++ b/src/gateway/downstream_server.hpp
@@ -1,4 +1,5 @@
-// The clients' side: accepts, parses, answers, and notices that a client left.
+/// The clients' side of the gateway: owns the listener and the connections, and routes each response to the
+/// connection whose request it answers.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -7,9 +8,6 @@
 #include <chrono>
 #include <cstddef>
 #include <cstdint>
-#include <deque>
-#include <functional>
-#include <list>
 #include <memory>
 #include <optional>
 #include <unordered_map>
@@ -17,81 +15,89 @@
 
 #include "gateway/body_stream.hpp"
 #include "gateway/close_reason.hpp"
+#include "gateway/connection_evictor.hpp"
+#include "gateway/downstream_connection.hpp"
+#include "gateway/downstream_listener.hpp"
 #include "gateway/downstream_observer.hpp"
 #include "gateway/http_message.hpp"
 
 namespace hollyrun::gateway {
 
-class DownstreamServer {
+class DownstreamServer : private ConnectionAdmission {
  public:
   struct Limits {
     std::size_t connections = 640;
-    std::chrono::milliseconds first{2500};  // the first request must be whole so long after connecting,
-    std::chrono::milliseconds slow{5000};   // a later one after its first byte
-    std::chrono::milliseconds idle{75000};  // between requests
+    std::chrono::milliseconds first{2500};  ///< From the connect until the first request is complete.
+    std::chrono::milliseconds slow{5000};   ///< From a later request's first byte until it is complete.
+    std::chrono::milliseconds idle{75000};  ///< Between requests.
   };
-  using Answered = std::function<void(bool whole)>;  // the answer left whole, or its client before that
 
-  // The observer has to outlive the server.
+  using Answered = ResponseCallback;
+
+  /// The observer has to outlive the server.
   DownstreamServer(boost::asio::io_context& io, Limits limits, DownstreamObserver& observer,
                    std::shared_ptr<MemoryBudget> budget);
-  ~DownstreamServer();
+  ~DownstreamServer() override;
   DownstreamServer(const DownstreamServer&) = delete;
   DownstreamServer& operator=(const DownstreamServer&) = delete;
 
-  // Throws boost::system::system_error. `shared`: another process may listen there too.
+  /// Throws boost::system::system_error. `shared`: another process may listen there too.
   void listen(const boost::asio::ip::tcp::endpoint& at, bool shared);
-  boost::asio::ip::tcp::endpoint listening() const { return acceptor_.local_endpoint(); }
-  bool takesClients() const { return acceptor_.is_open(); }
-  int listener() { return acceptor_.native_handle(); }
-  void allow(std::size_t connections);  // fewer than are open: idle ones go
-  void answer(DownstreamRequestId exchange, HttpResponse response, Answered answered);
-  // The body comes in pieces; in chunks if its length is not known.
-  void answer(DownstreamRequestId exchange, HttpResponse head, std::shared_ptr<BodyStream> body,
+  boost::asio::ip::tcp::endpoint listening() const { return listener_.localEndpoint(); }
+  bool takesClients() const { return listener_.isOpen(); }
+  int listener() { return listener_.nativeHandle(); }
+  /// Sets the limit on connections; if more are open, some are evicted.
+  void allow(std::size_t connections);
+
+  /// Does nothing if the client has left.
+  void answer(DownstreamRequestId id, HttpResponse response, Answered answered);
+  /// With a streamed body, in chunks if its length is not known.
+  void answer(DownstreamRequestId id, HttpResponse head, std::shared_ptr<BodyStream> body,
               std::optional<std::uint64_t> length, Answered answered);
-  // Whether the client that waits for this answer is still there, asked of its socket: what the event loop
-  // has not come to yet counts, too. For one that left, its disconnection is to be reported: see leave().
-  bool present(DownstreamRequestId exchange) const;
-  void leave(DownstreamRequestId exchange);  // its client left: closes the connection and reports it
-  void lastAnswers();                        // from now on every answer closes its connection
-  void stopAccepting();  // takes what waits to be accepted, then closes the listener and idle connections
-  std::size_t connections() const { return sessions_.size(); }
-  const CloseCounts& closed() const { return closed_; }  // connections so far, by reason
+  /// Whether the client that waits for this response is still there, asked of its socket: an end that the
+  /// event loop has not reported yet counts, too. For a client that left, leave() is due.
+  bool present(DownstreamRequestId id) const;
+  /// The client left: closes its connection and reports it.
+  void leave(DownstreamRequestId id);
+
+  /// From now on every response is the last one on its connection.
+  void lastAnswers();
+  /// Accepts what is pending, then closes the listener and the idle connections. The observer's onDrained()
+  /// follows.
+  void stopAccepting();
+  std::size_t connections() const { return connections_.size(); }
+  /// Closed connections so far, by reason.
+  const CloseCounts& closed() const { return closed_; }
 
  private:
-  class Session;
-  using SessionList = std::list<Session*>;
-  enum class Accepted { all, some, noRoom };
+  friend class DownstreamConnection;  // it enters and removes itself in the members below
+
+  bool isAtLimit() const override { return countedConnections() >= limits_.connections; }
+  bool isOverLimit() const override { return countedConnections() > limits_.connections; }
+  bool evictForCapacity(EvictionScope scope) override { return evictor_.evictForCapacity(scope); }
+  void admit(boost::asio::ip::tcp::socket socket) override;
+  std::size_t countedConnections() const { return connections_.size() - evictor_.evictedCount(); }
 
-  void accept();
-  std::shared_ptr<Session> takeWaiter(DownstreamRequestId exchange);
-  Accepted takeWaiting();
-  void admit(boost::asio::ip::tcp::socket socket);
-  enum class Fresh { mayGo, stay };  // connections whose first request may be on its way
-  bool makeRoom(Fresh fresh = Fresh::mayGo);
-  std::shared_ptr<Session> oldestIdle(Fresh fresh) const;
-  std::shared_ptr<Session> oldestUnfinished() const;
-  std::shared_ptr<Session> oldestLingering() const;
-  bool leaves(const std::shared_ptr<Session>& session) const;
-  std::size_t admitted() const { return sessions_.size() - leaving_.size(); }
-  void ended(const std::shared_ptr<Session>& session);
+  DownstreamRequestId registerRequest(std::shared_ptr<DownstreamConnection> connection);
+  std::shared_ptr<DownstreamConnection> removeRequest(DownstreamRequestId id);
+  void countClosed(CloseReason reason);
+  void removeConnection(const std::shared_ptr<DownstreamConnection>& connection);
+  bool isDraining() const { return !listener_.isOpen() && closesAfterResponse_; }
   void sweep();
 
   boost::asio::io_context& io_;
-  boost::asio::ip::tcp::acceptor acceptor_;
+  DownstreamListener listener_;
   Limits limits_;
   DownstreamObserver& observer_;
   std::shared_ptr<MemoryBudget> budget_;
-  boost::asio::steady_timer sweeper_, again_;
-  // What may be closed to make room, by state, the oldest first. Danger: the accept queue of a flood is long,
-  // and a search among all sessions for each connection in it holds up the event loop for a second.
-  SessionList idle_, unfinished_, lingering_;
-  std::unordered_set<std::shared_ptr<Session>> sessions_;
-  std::deque<std::shared_ptr<Session>> leaving_;  // they made room and linger, the first for longest
-  std::unordered_map<DownstreamRequestId, std::shared_ptr<Session>> waiting_;
-  DownstreamRequestId lastExchange_ = 0;
+  boost::asio::steady_timer sweepTimer_;
+  ConnectionEvictor evictor_;
+  std::unordered_set<std::shared_ptr<DownstreamConnection>> connections_;
+  std::unordered_map<DownstreamRequestId, std::shared_ptr<DownstreamConnection>> awaitingResponse_;
+  DownstreamRequestId lastRequestId_ = 0;
   CloseCounts closed_{};
-  bool last_ = false, destroying_ = false;
+  bool closesAfterResponse_ = false;
+  bool destroying_ = false;
 };
 
 }  // namespace hollyrun::gateway
