--- a/src/gateway/message_text.hpp
+++ b/src/gateway/message_text.hpp
@@ -1,4 +1,4 @@
-// A whole HTTP message as the bytes that go out.
+/// Serializes a complete HTTP message.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -10,7 +10,7 @@
 
 namespace hollyrun::gateway {
 
-/// Head and body; the message has to be prepared (its length or its coding set).
+/// Head and body as sent. The message has to be prepared: its length or its transfer coding is set.
 template <bool isRequest, class Body>
 std::string serialized(const boost::beast::http::message<isRequest, Body>& message) {
   boost::beast::http::serializer<isRequest, Body> serializer(message);
@@ -18,14 +18,14 @@
   while (!serializer.is_done()) {
     boost::system::error_code error;
     serializer.next(error, [&](boost::system::error_code&, const auto& buffers) {
-      std::size_t taken = 0;
+      std::size_t consumed = 0;
       for (auto it = boost::asio::buffer_sequence_begin(buffers);
            it != boost::asio::buffer_sequence_end(buffers); ++it) {
         const boost::asio::const_buffer part(*it);
         text.append(static_cast<const char*>(part.data()), part.size());
-        taken += part.size();
+        consumed += part.size();
       }
-      serializer.consume(taken);
+      serializer.consume(consumed);
     });
     if (error)
       break;
--- a/src/gateway/socket_io.cpp
+++ b/src/gateway/socket_io.cpp
@@ -15,28 +15,28 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-// The kernel has no buffer for the moment: the write is tried again so much later.
-constexpr auto kBufferAgain = std::chrono::milliseconds(5);
+// A write is repeated after this when the kernel had no buffer for it.
+constexpr auto kBufferRetryInterval = std::chrono::milliseconds(5);
 
 bool lacksBuffer(const error_code& error) {
   return error == errc::no_buffer_space || error == errc::not_enough_memory;
 }
 
-void writeAgainLater(tcp::socket& socket, asio::const_buffer rest, WriteDone done) {
-  const auto timer = std::make_shared<asio::steady_timer>(socket.get_executor(), kBufferAgain);
-  timer->async_wait([timer, &socket, rest, done = std::move(done)](error_code error) mutable {
+void retryWriteLater(tcp::socket& socket, asio::const_buffer rest, WriteHandler handler) {
+  const auto timer = std::make_shared<asio::steady_timer>(socket.get_executor(), kBufferRetryInterval);
+  timer->async_wait([timer, &socket, rest, handler = std::move(handler)](error_code error) mutable {
     if (error || !socket.is_open())
-      return done(asio::error::operation_aborted);
-    writeAll(socket, rest, std::move(done));
+      return handler(asio::error::operation_aborted);
+    writeAll(socket, rest, std::move(handler));
   });
 }
 
-void writeWhenReady(tcp::socket& socket, asio::const_buffer rest, WriteDone done) {
+void writeWhenReady(tcp::socket& socket, asio::const_buffer rest, WriteHandler handler) {
   socket.async_wait(tcp::socket::wait_write,
-                    [&socket, rest, done = std::move(done)](error_code error) mutable {
+                    [&socket, rest, handler = std::move(handler)](error_code error) mutable {
                       if (error)
-                        return done(error);
-                      writeAll(socket, rest, std::move(done));
+                        return handler(error);
+                      writeAll(socket, rest, std::move(handler));
                     });
 }
 
@@ -61,20 +61,20 @@
   return socket.available(error) > 0 && !error;
 }
 
-void writeAll(tcp::socket& socket, asio::const_buffer data, WriteDone done) {
+void writeAll(tcp::socket& socket, asio::const_buffer data, WriteHandler handler) {
   error_code error;
   while (data.size() > 0) {
     data += socket.write_some(data, error);
     if (isInterrupted(error))
       continue;
     if (wouldBlock(error))
-      return writeWhenReady(socket, data, std::move(done));
+      return writeWhenReady(socket, data, std::move(handler));
     if (lacksBuffer(error))
-      return writeAgainLater(socket, data, std::move(done));
+      return retryWriteLater(socket, data, std::move(handler));
     if (error)
       break;
   }
-  asio::post(socket.get_executor(), [done = std::move(done), error] { done(error); });
+  asio::post(socket.get_executor(), [handler = std::move(handler), error] { handler(error); });
 }
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/socket_io.hpp
+++ b/src/gateway/socket_io.hpp
@@ -1,8 +1,9 @@
-// Reads and writes on non-blocking sockets that rely on no edge of the reactor.
-//
-// Asio's composed writes take a write that returns short for a full buffer and wait for the edge that tells
-// of room. A system call may return short for other reasons, and then no edge comes. Here a write goes on
-// until the kernel says that it would block, and the wait that follows asks for the level.
+/// Reads and writes on non-blocking sockets that don't rely on edge-triggered events.
+///
+/// Asio's composed writes regard a short write as a full buffer and wait for the event that the buffer has
+/// space again. A system call may write less for other reasons, and then no such event comes. Here a write
+/// continues until the kernel would block, and the wait that follows asks for the socket's state
+/// (level-triggered).
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -12,19 +13,19 @@
 
 namespace hollyrun::gateway {
 
-/// The call was interrupted or found nothing to do: it is made again, at once or after a wait.
+/// The call was interrupted, or would block: it is repeated, at once or after a wait.
 bool isInterrupted(const boost::system::error_code& error);
 bool wouldBlock(const boost::system::error_code& error);
-/// Of this machine, which has no port, descriptor, buffer or route left: it says nothing of the peer.
+/// This machine has no port, descriptor, buffer or route left: the error says nothing about the peer.
 bool isLocalShortage(const boost::system::error_code& error);
 
 /// Whether bytes have arrived that were not read yet, including those that the event loop has not reported.
 bool hasUnreadBytes(const boost::asio::ip::tcp::socket& socket);
 
-using WriteDone = std::function<void(boost::system::error_code)>;
+using WriteHandler = std::function<void(boost::system::error_code)>;
 
-/// Writes all of `data`, then calls `done`, never from within this call. The caller keeps the bytes and the
-/// socket, which must be non-blocking, until then; closing the socket ends the write with an error.
-void writeAll(boost::asio::ip::tcp::socket& socket, boost::asio::const_buffer data, WriteDone done);
+/// Writes all of `data`, then calls `handler`, never from within this call. The caller keeps the bytes and
+/// the socket, which must be non-blocking, until then; closing the socket ends the write with an error.
+void writeAll(boost::asio::ip::tcp::socket& socket, boost::asio::const_buffer data, WriteHandler handler);
 
 }  // namespace hollyrun::gateway
