--- a/tests/net_peers.hpp
+++ b/tests/net_peers.hpp
@@ -113,8 +113,8 @@
     for (auto& c : connections)
       c->close();
   }
-  // Danger: a port given back goes to the next who asks, and a gateway that dials on would reach another
-  // test's peer. So it stays bound, and refuses.
+  // The port stays bound, and refuses connections: a released port may be assigned to another test's peer,
+  // and a gateway that still connects would reach that one.
   void stopListening() {
     acceptor_.close();
     held_.open(endpoint.protocol());
