--- a/src/gateway/request_log.cpp
+++ b/src/gateway/request_log.cpp
@@ -62,7 +62,7 @@
 void RequestLog::logAccess(std::string_view clientId, std::string_view className, std::string_view outcome,
                            std::optional<std::chrono::nanoseconds> duration) {
   const double ms = duration ? std::chrono::duration<double, std::milli>(*duration).count() : -1;
-  log_.answered(clientId, className, outcome, ms);
+  log_.writeAccess(clientId, className, outcome, ms);
 }
 
 void RequestLog::reportViolation(std::string_view rule, const std::string& clientId) {
--- a/src/gateway/request_log.hpp
+++ b/src/gateway/request_log.hpp
@@ -27,7 +27,7 @@
   void traceRejection(const RequestContext& context, const balancer::Action& action);
   void traceClientDisconnected(const RequestContext& context);
 
-  bool isAccessLogged() const { return log_.access(); }
+  bool isAccessLogged() const { return log_.accessLogEnabled(); }
   /// `duration`: from the request's last byte to the response's last; none if the request was not received.
   void logAccess(std::string_view clientId, std::string_view className, std::string_view outcome,
                  std::optional<std::chrono::nanoseconds> duration);
