--- a/src/lab/simulation/explore.cpp
+++ b/src/lab/simulation/explore.cpp
@@ -95,8 +95,8 @@
     key += (m ? m->fingerprint(w.now) : "-") + ";";
   std::vector<std::string> way;
   for (const UnderWay& one : w.way) {
-    membership::DecodeError why{};
-    const auto m = membership::decode(one.bytes, settings().fleet, why);
+    membership::DecodeError error{};
+    const auto m = membership::decode(one.bytes, settings().fleet, error);
     std::string text =
         std::to_string(one.from) + std::to_string(one.to) + std::to_string(static_cast<int>(m->type)) + "," +
         std::to_string(m->sender.incarnation) + "," + std::to_string(static_cast<int>(m->sender.state));
--- a/src/lab/simulation/members.cpp
+++ b/src/lab/simulation/members.cpp
@@ -16,7 +16,6 @@
 using membership::Address;
 using membership::Duration;
 using membership::Membership;
-using membership::MemberState;
 using membership::Time;
 
 MemberWorld::MemberWorld(std::uint64_t seed, membership::MembershipSettings settings, Weather weather)
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -48,7 +48,7 @@
   nameConflict,  ///< another process lives under our name
   stalled,       ///< this process was held up; says nothing of others
 };
-/// The text in logs.
+/// The text in logs, which is older than two enumerators: refuted is "cleared" and nameConflict is "rival".
 const char* nameOf(EventType type);
 
 struct Event {
@@ -101,7 +101,6 @@
   std::size_t quotaHolders() const;
   /// Present members that last announced another view than ours.
   std::vector<std::string> disagreeing() const { return table_.disagreeing(digest()); }
-  bool joined() const { return self_.state == MemberState::alive; }
   /// Another process has our name; this one is no member.
   bool conceded() const { return nameConflict_.conceded(); }
   /// 0: healthy; higher: we answer or hear late ourselves.
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -22,7 +22,6 @@
 using membership::MembershipSettings;
 using membership::MemberState;
 using membership::Message;
-using membership::MessageType;
 
 MembershipSettings settingsOf(std::size_t seeds = 2) {
   MembershipSettings s;
@@ -376,13 +375,13 @@
 TEST(MembershipHardCase, HostileClaimsChangeNothingForGood) {
   Fleet f(5);
   ASSERT_TRUE(f.agreeWithin(10));
-  std::size_t took = 0;
+  std::size_t encodedUpdates = 0;
   for (const MemberState state : {MemberState::suspect, MemberState::dead, MemberState::left})
     for (const std::uint64_t above : {0, 1, 1000, 99999}) {
       MemberRecord victim = f.at(2).self();
       victim.incarnation += above;
       const Message m = forged(f.at(1).self(), state, victim);
-      f.inject(0, f.nodes()[1].address, membership::encode(m, "fleet", took));
+      f.inject(0, f.nodes()[1].address, membership::encode(m, "fleet", encodedUpdates));
       f.runFor(f.periods(1));
     }
   EXPECT_TRUE(f.agreeWithin(kHealPeriods));
@@ -397,14 +396,14 @@
   s.maxMembers = 50;
   Fleet f(3, 1, {}, s);
   ASSERT_TRUE(f.agreeWithin(10));
-  std::size_t took = 0;
+  std::size_t encodedUpdates = 0;
   for (int i = 0; i < 500; ++i) {
     MemberRecord ghost = f.at(1).self();
     ghost.name = "ghost-" + std::to_string(i);
     ghost.address.port = static_cast<std::uint16_t>(20000 + i);
     Message m = forged(f.at(1).self(), MemberState::alive, ghost);
     m.sequence += static_cast<std::uint64_t>(i);
-    f.inject(0, f.nodes()[1].address, membership::encode(m, "fleet", took));
+    f.inject(0, f.nodes()[1].address, membership::encode(m, "fleet", encodedUpdates));
   }
   EXPECT_LE(f.at(0).others().size(), 50u);
   EXPECT_GT(f.at(0).counters().full, 0u);
@@ -420,11 +419,11 @@
     (name ? big.name : big.zone) = std::string(10000, 'x');
     Message m;
     m.sender = big;
-    std::size_t took = 0;
-    f.inject(0, f.nodes()[1].address, membership::encode(m, "fleet", took));
+    std::size_t encodedUpdates = 0;
+    f.inject(0, f.nodes()[1].address, membership::encode(m, "fleet", encodedUpdates));
     (name ? big.name : big.zone) = std::string(65, 'x');  // the least that is too much
     m.sender = big;
-    f.inject(0, f.nodes()[1].address, membership::encode(m, "fleet", took));
+    f.inject(0, f.nodes()[1].address, membership::encode(m, "fleet", encodedUpdates));
   }
   EXPECT_EQ(f.at(0).counters().decodeErrors[static_cast<std::size_t>(DecodeError::tooLong)], 2u);
   EXPECT_EQ(f.at(0).counters().decodeErrors[static_cast<std::size_t>(DecodeError::invalid)], 2u);
@@ -454,9 +453,11 @@
     changed.startedMs = step;
     Message m;
     m.sender = changed;
-    std::size_t took = 0;
-    DecodeError why{};
-    EXPECT_TRUE(membership::decode(membership::encode(m, "fleet", took), "fleet", why).has_value()) << step;
+    std::size_t encodedUpdates = 0;
+    DecodeError error{};
+    EXPECT_TRUE(
+        membership::decode(membership::encode(m, "fleet", encodedUpdates), "fleet", error).has_value())
+        << step;
     f.nodes()[1].logic->onSettings(f.now(), f.settings(), changed);
     f.runFor(f.periods(5));
     EXPECT_TRUE(f.agreed());
@@ -477,24 +478,24 @@
   ASSERT_TRUE(f.agreeWithin(10));
   Message m;
   m.sender = f.at(1).self();
-  std::size_t took = 0;
-  f.inject(0, f.nodes()[1].address, membership::encode(m, "other", took));
+  std::size_t encodedUpdates = 0;
+  f.inject(0, f.nodes()[1].address, membership::encode(m, "other", encodedUpdates));
   EXPECT_EQ(f.at(0).counters().decodeErrors[static_cast<std::size_t>(DecodeError::otherFleet)], 1u);
   // What a later version adds behind what we know is passed over.
-  const std::string whole = membership::encode(m, "fleet", took);
+  const std::string whole = membership::encode(m, "fleet", encodedUpdates);
   nlohmann::json j =
       nlohmann::json::from_cbor(whole.substr(0, whole.size() - membership::checksumOf("").size()));
   j.push_back("more");
   j[6].push_back(5);
   std::string bytes;
   nlohmann::json::to_cbor(j, bytes);
-  DecodeError why{};
-  EXPECT_TRUE(membership::decode(bytes + membership::checksumOf(bytes), "fleet", why).has_value());
+  DecodeError error{};
+  EXPECT_TRUE(membership::decode(bytes + membership::checksumOf(bytes), "fleet", error).has_value());
   j[0] = 2;
   bytes.clear();
   nlohmann::json::to_cbor(j, bytes);
-  EXPECT_FALSE(membership::decode(bytes + membership::checksumOf(bytes), "fleet", why).has_value());
-  EXPECT_EQ(why, DecodeError::otherVersion);
+  EXPECT_FALSE(membership::decode(bytes + membership::checksumOf(bytes), "fleet", error).has_value());
+  EXPECT_EQ(error, DecodeError::otherVersion);
 }
 
 // --- Bounds -------------------------------------------------------------------------------------------
@@ -548,11 +549,11 @@
     gone.state = MemberState::dead;
     message.updates.push_back(gone);
   }
-  std::size_t took = 0;
-  const std::string bytes = membership::encode(message, "fleet", took);
-  ASSERT_EQ(took, message.updates.size());
-  DecodeError why{};
-  const auto read = membership::decode(bytes, "fleet", why);
+  std::size_t encodedUpdates = 0;
+  const std::string bytes = membership::encode(message, "fleet", encodedUpdates);
+  ASSERT_EQ(encodedUpdates, message.updates.size());
+  DecodeError error{};
+  const auto read = membership::decode(bytes, "fleet", error);
   ASSERT_TRUE(read);
   ASSERT_EQ(read->updates.size(), message.updates.size());
   EXPECT_EQ(read->updates.back().name, "g29");
