--- a/src/balancer/dispatch_guard.hpp
+++ b/src/balancer/dispatch_guard.hpp
@@ -93,7 +93,7 @@
 /// The deadline to send to the server, in whole milliseconds and at least one; or why nothing may be sent.
 struct Admission {
   std::optional<DenialReason> denied;
-  std::chrono::milliseconds told{};
+  std::chrono::milliseconds deadline{};
 };
 
 class DispatchGuard {
--- a/src/gateway/action_executor.cpp
+++ b/src/gateway/action_executor.cpp
@@ -63,7 +63,7 @@
 
 void ActionExecutor::disconnectDepartedClients() {
   for (const DownstreamRequestId client : admission_.takeDisconnectedClients())
-    targets_.downstream.leave(client);
+    targets_.downstream.disconnectClient(client);
 }
 
 bool ActionExecutor::completeNextAttempt() {
@@ -115,7 +115,7 @@
 
 // A body of which bytes were sent is not complete any more, and two attempts can't share one.
 void ActionExecutor::startUpload(RequestContext& context, const Action& action, HttpRequest message) {
-  if (context.upload->touched() || context.attemptsInFlight > 1) {
+  if (context.upload->consumptionStarted() || context.attemptsInFlight > 1) {
     completions_.push_back({{action.request, action.attempt}, action.host, Outcome::abandoned, {}, {}});
     return;
   }
--- a/src/gateway/attempt_admission.cpp
+++ b/src/gateway/attempt_admission.cpp
@@ -28,9 +28,9 @@
     return deny(*context, start, *admission.denied);
   if (start.step == AttemptStep::write) {
     context->history.wrote(attempt, endpoints_.status(start.host), state_.clock.now());
-    state_.requestLog.traceAttemptStarted(*context, attempt, start.host, admission.told);
+    state_.requestLog.traceAttemptStarted(*context, attempt, start.host, admission.deadline);
   }
-  return {std::nullopt, admission.told};
+  return {std::nullopt, admission.deadline};
 }
 
 AdmissionResult AttemptAdmission::deny(const RequestContext& context, const AttemptStart& start,
@@ -48,7 +48,7 @@
 bool AttemptAdmission::isClientPresent(const RequestContext& context) {
   if (context.isFinished)
     return false;
-  if (downstream_.present(context.client))
+  if (downstream_.isClientPresent(context.client))
     return true;
   disconnectedClients_.push_back(context.client);
   return false;
--- a/src/gateway/body_stream.hpp
+++ b/src/gateway/body_stream.hpp
@@ -70,7 +70,7 @@
   bool isFinished() const { return finished_ && data_.empty(); }
   bool hasFailed() const { return failed_; }
   /// Whether consumption has begun: another attempt can't read the body from its start any more.
-  bool touched() const { return touched_; }
+  bool consumptionStarted() const { return touched_; }
 
   /// The consumer does not want the rest.
   void abandon() {
--- a/src/gateway/config_printer.cpp
+++ b/src/gateway/config_printer.cpp
@@ -217,7 +217,7 @@
     if (const auto location = file_.locations.find(name); location != file_.locations.end())
       return location->second;
     const bool isToml = !file_.locations.empty();
-    const std::string pointer(key.json);
+    std::string pointer(key.json);
     if (!isToml && jsonPart.contains(json::json_pointer(pointer)))
       return pointer;
     return "default";
--- a/src/gateway/downstream_connection.cpp
+++ b/src/gateway/downstream_connection.cpp
@@ -203,17 +203,18 @@
     case State::idle:
       if (server_.isDraining())
         return !mayExpectFirstRequest(now);
-      return stateAge > (awaitingFirstRequest_ ? limits.first : limits.idle);
+      return stateAge > (awaitingFirstRequest_ ? limits.firstRequestTimeout : limits.idleTimeout);
     case State::readingHead:
-      return awaitingFirstRequest_ ? now - connectedAt_ > limits.first : stateAge > limits.slow;
+      return awaitingFirstRequest_ ? now - connectedAt_ > limits.firstRequestTimeout
+                                   : stateAge > limits.requestTimeout;
     case State::readingBody:
       return isBodyTooSlow(now);
     case State::uploading:
       return readPending_ && isBodyTooSlow(now);
     case State::responding:  // a client that does not read
-      return (!download_ || writingPiece_) && stateAge > limits.slow;
+      return (!download_ || writingPiece_) && stateAge > limits.requestTimeout;
     case State::lingering:
-      if (awaitingFirstRequest_ && now - connectedAt_ > limits.first + kMinBodyGrace)
+      if (awaitingFirstRequest_ && now - connectedAt_ > limits.firstRequestTimeout + kMinBodyGrace)
         return stateAge > kLingerTimeoutWithoutRequest;
       return stateAge > kLingerTimeout;
     default:
@@ -225,12 +226,12 @@
 // proper has to be over 3 s after the connect; a proper one may need most of that for its head.
 bool DownstreamConnection::isBodyTooSlow(Clock::time_point now) const {
   const DownstreamServer::Limits& limits = server_.limits_;
-  if (awaitingFirstRequest_ && now - connectedAt_ <= limits.first)
+  if (awaitingFirstRequest_ && now - connectedAt_ <= limits.firstRequestTimeout)
     return false;
-  const auto timeLeft = limits.first + kMinBodyGrace - (bodyStartedAt_ - connectedAt_);
+  const auto timeLeft = limits.firstRequestTimeout + kMinBodyGrace - (bodyStartedAt_ - connectedAt_);
   const auto grace = awaitingFirstRequest_
                          ? std::clamp<Clock::duration>(timeLeft, kMinBodyGrace, kMaxBodyGrace)
-                         : Clock::duration(limits.slow) / 2;
+                         : Clock::duration(limits.requestTimeout) / 2;
   const std::chrono::duration<double> elapsed = now - bodyStartedAt_ - grace;
   return static_cast<double>(bodyBytes_) < kMinBodyRate * elapsed.count();
 }
--- a/src/gateway/downstream_connection.hpp
+++ b/src/gateway/downstream_connection.hpp
@@ -98,7 +98,7 @@
   bool handleExpectation();
   bool sendContinue();
   bool handleBody();
-  bool feedUpload(std::string piece);
+  bool feedUpload(const std::string& piece);
   void beginUpload();
   void resumeUpload();
   void completeUpload();
--- a/src/gateway/downstream_request_reader.cpp
+++ b/src/gateway/downstream_request_reader.cpp
@@ -186,7 +186,7 @@
   return feedUpload(std::exchange(body, {}));
 }
 
-bool DownstreamConnection::feedUpload(std::string piece) {
+bool DownstreamConnection::feedUpload(const std::string& piece) {
   const auto upload = upload_;
   // The consumer may take the data within append(), which makes the stream writable at once; feedingUpload_
   // keeps that from starting a second read from within.
--- a/src/gateway/downstream_server.cpp
+++ b/src/gateway/downstream_server.cpp
@@ -42,7 +42,7 @@
   listener_.listen(at, shared);
 }
 
-void DownstreamServer::allow(std::size_t connections) {
+void DownstreamServer::setConnectionLimit(std::size_t connections) {
   limits_.connections = connections;
   while (isOverLimit() && evictForCapacity(EvictionScope::all)) {
   }
@@ -97,23 +97,23 @@
   return connection;
 }
 
-void DownstreamServer::answer(DownstreamRequestId id, HttpResponse response, Answered answered) {
+void DownstreamServer::respond(DownstreamRequestId id, HttpResponse response, ResponseCallback onSent) {
   if (const auto connection = removeRequest(id))
-    connection->respond(std::move(response), std::move(answered));
+    connection->respond(std::move(response), std::move(onSent));
 }
 
-void DownstreamServer::answer(DownstreamRequestId id, HttpResponse head, std::shared_ptr<BodyStream> body,
-                              std::optional<std::uint64_t> length, Answered answered) {
+void DownstreamServer::respond(DownstreamRequestId id, HttpResponse head, std::shared_ptr<BodyStream> body,
+                               std::optional<std::uint64_t> length, ResponseCallback onSent) {
   if (const auto connection = removeRequest(id))
-    connection->respondStreaming(std::move(head), std::move(body), length, std::move(answered));
+    connection->respondStreaming(std::move(head), std::move(body), length, std::move(onSent));
 }
 
-bool DownstreamServer::present(DownstreamRequestId id) const {
+bool DownstreamServer::isClientPresent(DownstreamRequestId id) const {
   const auto it = awaitingResponse_.find(id);
   return it != awaitingResponse_.end() && !it->second->hasClientHungUp();
 }
 
-void DownstreamServer::leave(DownstreamRequestId id) {
+void DownstreamServer::disconnectClient(DownstreamRequestId id) {
   const auto it = awaitingResponse_.find(id);
   if (it == awaitingResponse_.end())
     return;
@@ -123,7 +123,7 @@
 
 // --- Drain ----------------------------------------------------------------------------------------------
 
-void DownstreamServer::lastAnswers() {
+void DownstreamServer::closeAfterResponses() {
   closesAfterResponse_ = true;
 }
 
--- a/src/gateway/downstream_server.hpp
+++ b/src/gateway/downstream_server.hpp
@@ -27,13 +27,13 @@
  public:
   struct Limits {
     std::size_t connections = 640;
-    std::chrono::milliseconds first{2500};  ///< From the connect until the first request is complete.
-    std::chrono::milliseconds slow{5000};   ///< From a later request's first byte until it is complete.
-    std::chrono::milliseconds idle{75000};  ///< Between requests.
+    std::chrono::milliseconds firstRequestTimeout{
+        2500};  ///< From the connect until the first request is complete.
+    std::chrono::milliseconds requestTimeout{
+        5000};  ///< From a later request's first byte until it is complete.
+    std::chrono::milliseconds idleTimeout{75000};  ///< Between requests.
   };
 
-  using Answered = ResponseCallback;
-
   /// The observer has to outlive the server.
   DownstreamServer(boost::asio::io_context& io, Limits limits, DownstreamObserver& observer,
                    std::shared_ptr<MemoryBudget> budget);
@@ -43,31 +43,31 @@
 
   /// Throws boost::system::system_error. `shared`: another process may listen there too.
   void listen(const boost::asio::ip::tcp::endpoint& at, bool shared);
-  boost::asio::ip::tcp::endpoint listening() const { return listener_.localEndpoint(); }
-  bool takesClients() const { return listener_.isOpen(); }
-  int listener() { return listener_.nativeHandle(); }
+  boost::asio::ip::tcp::endpoint localEndpoint() const { return listener_.localEndpoint(); }
+  bool isListening() const { return listener_.isOpen(); }
+  int listenerHandle() { return listener_.nativeHandle(); }
   /// Sets the limit on connections; if more are open, some are evicted.
-  void allow(std::size_t connections);
+  void setConnectionLimit(std::size_t connections);
 
   /// Does nothing if the client has left.
-  void answer(DownstreamRequestId id, HttpResponse response, Answered answered);
+  void respond(DownstreamRequestId id, HttpResponse response, ResponseCallback onSent);
   /// With a streamed body, in chunks if its length is not known.
-  void answer(DownstreamRequestId id, HttpResponse head, std::shared_ptr<BodyStream> body,
-              std::optional<std::uint64_t> length, Answered answered);
+  void respond(DownstreamRequestId id, HttpResponse head, std::shared_ptr<BodyStream> body,
+               std::optional<std::uint64_t> length, ResponseCallback onSent);
   /// Whether the client that waits for this response is still there, asked of its socket: an end that the
-  /// event loop has not reported yet counts, too. For a client that left, leave() is due.
-  bool present(DownstreamRequestId id) const;
+  /// event loop has not reported yet counts, too. For a client that left, disconnectClient() is due.
+  bool isClientPresent(DownstreamRequestId id) const;
   /// The client left: closes its connection and reports it.
-  void leave(DownstreamRequestId id);
+  void disconnectClient(DownstreamRequestId id);
 
   /// From now on every response is the last one on its connection.
-  void lastAnswers();
+  void closeAfterResponses();
   /// Accepts what is pending, then closes the listener and the idle connections. The observer's onDrained()
   /// follows.
   void stopAccepting();
   std::size_t connections() const { return connections_.size(); }
   /// Closed connections so far, by reason.
-  const CloseCounts& closed() const { return closed_; }
+  const CloseCounts& closeCounts() const { return closed_; }
 
  private:
   friend class DownstreamConnection;  // it enters and removes itself in the members below
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -151,7 +151,7 @@
 
 void Gateway::reload(const Config& config) {
   applySettings(config.module);
-  upstream_.setTimes(config.connectTimeout, config.module.idleTimeout);
+  upstream_.setTimeouts(config.connectTimeout, config.module.idleTimeout);
   state_.balancer.onSettings(state_.clock.now(), config.module);
   state_.statistics.recordReload(Statistics::ReloadResult::applied);
   joinFleet(config);
@@ -193,19 +193,19 @@
 // --- Figures --------------------------------------------------------------------------------------------
 
 bool Gateway::isAcceptingClients() const {
-  return endpoints_.isReady() && !process_.isShuttingDown() && downstream_.takesClients();
+  return endpoints_.isReady() && !process_.isShuttingDown() && downstream_.isListening();
 }
 
 Statistics::Gauges Gateway::gauges() const {
   const balancer::EndpointCounts endpoints = state_.balancer.endpointCounts();
-  return {.upstreamAttempts = upstream_.written(),
+  return {.upstreamAttempts = upstream_.writtenAttempts(),
           .endpointsListed = endpoints.listed,
           .endpointsUnavailable = endpoints.unavailable};
 }
 
 std::vector<prometheus::MetricFamily> Gateway::collectMetrics() const {
   auto families = fleet_ ? fleet_->metrics() : std::vector<prometheus::MetricFamily>();
-  for (auto& family : collectRequestMetrics(state_.counters, admission_.guard(), downstream_.closed()))
+  for (auto& family : collectRequestMetrics(state_.counters, admission_.guard(), downstream_.closeCounts()))
     families.push_back(std::move(family));
   return families;
 }
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -46,7 +46,7 @@
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
-  boost::asio::ip::tcp::endpoint listening() const { return downstream_.listening(); }
+  boost::asio::ip::tcp::endpoint listening() const { return downstream_.localEndpoint(); }
   /// Where the management endpoint listens; none if it is off.
   std::optional<boost::asio::ip::tcp::endpoint> management() const;
   /// Null if membership is off.
--- a/src/gateway/incremental_body.hpp
+++ b/src/gateway/incremental_body.hpp
@@ -12,7 +12,7 @@
 /// all the bytes that a peer announces, so that a peer could exhaust the memory by its head alone.
 struct IncrementalBody {
   using value_type = std::string;
-  class reader {
+  class reader {  // NOLINT(readability-identifier-naming): the name that Beast looks for
    public:
     template <bool request, class Fields>
     reader(boost::beast::http::header<request, Fields>&, value_type& body) : body_(body) {}
--- a/src/gateway/ops_client.cpp
+++ b/src/gateway/ops_client.cpp
@@ -144,7 +144,12 @@
     for (const auto& [otherObserver, otherMembers] : presentMembers_)
       for (const std::string& member : members)
         if (!otherMembers.contains(member))
-          text += observer + " sees " + member + ", " + otherObserver + " does not\n";
+          text.append(observer)
+              .append(" sees ")
+              .append(member)
+              .append(", ")
+              .append(otherObserver)
+              .append(" does not\n");
   return text;
 }
 
--- a/src/gateway/process_lifecycle.cpp
+++ b/src/gateway/process_lifecycle.cpp
@@ -58,7 +58,7 @@
 }
 
 void ProcessLifecycle::onDiscoveryAnswer() {
-  if (downstream_.takesClients())
+  if (downstream_.isListening())
     return;
   listenTimer_.expires_at(std::min(listenTimer_.expiry(), startedAt_ + kMinListenDelay));
   startListeningAtTimer();
@@ -72,19 +72,19 @@
 }
 
 void ProcessLifecycle::startListening() {
-  if (downstream_.takesClients() || isShuttingDown_)
+  if (downstream_.isListening() || isShuttingDown_)
     return;
   downstream_.listen(address_, sharing_ == AddressSharing::shared);
   if (isOtherProcessPresent())
-    HotRestart::steerToLatestListener(downstream_.listener());
+    HotRestart::steerToLatestListener(downstream_.listenerHandle());
 }
 
 void ProcessLifecycle::partitionResources() {
   const auto processes = isOtherProcessPresent() ? ServingProcesses::two : ServingProcesses::one;
   const ConnectionLimits limits =
       partitionDescriptors(resources_.descriptors, resources_.maxDownstream, processes);
-  downstream_.allow(limits.downstream);
-  upstream_.allow(limits.upstream);
+  downstream_.setConnectionLimit(limits.downstream);
+  upstream_.setConnectionLimit(limits.upstream);
   memory_->limit(processes == ServingProcesses::two ? resources_.bodyBytes / 2 : resources_.bodyBytes);
   log_.write(LogLevel::info, "hot_restart",
              processes == ServingProcesses::two
@@ -99,7 +99,7 @@
 }
 
 void ProcessLifecycle::drainClients() {
-  downstream_.lastAnswers();
+  downstream_.closeAfterResponses();
   stopAcceptingTimer_.expires_after(kAcceptOn);
   stopAcceptingTimer_.async_wait([this](error_code ec) {
     if (!ec)
--- a/src/gateway/request_completion.cpp
+++ b/src/gateway/request_completion.cpp
@@ -86,8 +86,8 @@
   state_.requests.scheduleRemoval(context.id);
 }
 
-DownstreamServer::Answered RequestCompletion::outcomeRecorder(const RequestContext& context,
-                                                              Statistics::Outcome outcome) {
+ResponseCallback RequestCompletion::outcomeRecorder(const RequestContext& context,
+                                                    Statistics::Outcome outcome) {
   const std::string clientId = state_.requestLog.isAccessLogged() ? context.clientId() : std::string();
   return [this, classIndex = context.statisticsClass, outcome, isReceived = context.isReceived,
           receivedAt = context.receivedAt, clientId](bool isSent) {
@@ -110,10 +110,10 @@
   state_.requests.finish(context);
   auto recordOutcome = outcomeRecorder(context, outcome);
   if (body)
-    downstream_.answer(context.client, std::move(response), std::move(body), length,
-                       std::move(recordOutcome));
+    downstream_.respond(context.client, std::move(response), std::move(body), length,
+                        std::move(recordOutcome));
   else
-    downstream_.answer(context.client, std::move(response), std::move(recordOutcome));
+    downstream_.respond(context.client, std::move(response), std::move(recordOutcome));
 }
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/request_completion.hpp
+++ b/src/gateway/request_completion.hpp
@@ -26,7 +26,7 @@
   void sendResponse(RequestContext& context, HttpResponse response, Statistics::Outcome outcome,
                     std::shared_ptr<BodyStream> body = nullptr, std::optional<std::uint64_t> length = {});
   /// Records the outcome once the response has left, or failed to.
-  DownstreamServer::Answered outcomeRecorder(const RequestContext& context, Statistics::Outcome outcome);
+  ResponseCallback outcomeRecorder(const RequestContext& context, Statistics::Outcome outcome);
 
   GatewayState& state_;
   DownstreamServer& downstream_;
--- a/src/gateway/request_intake.cpp
+++ b/src/gateway/request_intake.cpp
@@ -52,7 +52,7 @@
 void RequestIntake::answerHealthCheck(DownstreamRequestId client, Readiness readiness) {
   const http::status status =
       readiness == Readiness::ready ? http::status::ok : http::status::service_unavailable;
-  downstream_.answer(client, emptyResponse(status), nullptr);
+  downstream_.respond(client, emptyResponse(status), nullptr);
 }
 
 // Where an invalid message ends is doubtful, so its connection is closed: what follows must not be read as a
@@ -61,7 +61,7 @@
   HttpResponse response = emptyResponse(rejection.status);
   response.keep_alive(false);
   const std::size_t classIndex = state_.statistics.findClass(firstPathSegment(request.message.target()));
-  downstream_.answer(request.id, std::move(response), [this, classIndex](bool) {
+  downstream_.respond(request.id, std::move(response), [this, classIndex](bool) {
     state_.statistics.recordOutcome(classIndex, Statistics::Outcome::failure, std::nullopt);
   });
 }
@@ -69,11 +69,11 @@
 void RequestIntake::acceptRequest(DownstreamRequest request, balancer::Request validated) {
   // A connection may wait in the accept queue until its client has given up. The request and the client's
   // disconnection are then found together.
-  if (!downstream_.present(request.id)) {
+  if (!downstream_.isClientPresent(request.id)) {
     const std::string& className = state_.settings.classes[validated.classIndex].name;
     state_.statistics.recordOutcome(state_.statistics.findClass(className), Statistics::Outcome::failure,
                                     std::nullopt);
-    return downstream_.leave(request.id);
+    return downstream_.disconnectClient(request.id);
   }
   const RequestContext& context = addContext(std::move(request), validated);
   validated.id = context.id;
@@ -112,7 +112,7 @@
   context->receivedAt = Clock::now();
   state_.statistics.incrementInFlight();
   for (std::uint32_t attempt = 0; attempt < context->attemptsStarted; ++attempt)
-    upstream_.uploaded({context->id, attempt}, context->timeLimit);
+    upstream_.completeUpload({context->id, attempt}, context->timeLimit);
   state_.balancer.onUploaded(state_.clock.now(), context->id, context->timeLimit);
   actions_.executePending();
 }
@@ -129,7 +129,7 @@
   actions_.executePending();
   // Where attempts may not be cancelled, one that waits for its connection would still be sent.
   for (std::uint32_t attempt = 0; attempt < attemptsStarted; ++attempt)
-    upstream_.drop({id, attempt});
+    upstream_.abandonIfUnsent({id, attempt});
 }
 
 void RequestIntake::recordLocalRejection(const std::string& target, RejectionKind kind) {
--- a/src/gateway/upstream_connection.cpp
+++ b/src/gateway/upstream_connection.cpp
@@ -58,7 +58,7 @@
 void UpstreamConnection::dropBodies() {
   if (const auto upload = std::exchange(upload_, nullptr)) {
     upload->onReadable = nullptr;
-    if (upload->touched())
+    if (upload->consumptionStarted())
       upload->abandon();  // otherwise another attempt may send it
   }
   if (const auto download = std::exchange(download_, nullptr)) {
--- a/src/gateway/upstream_pool.cpp
+++ b/src/gateway/upstream_pool.cpp
@@ -42,12 +42,12 @@
   stop();
 }
 
-void UpstreamPool::setTimes(Duration connectTimeout, Duration idleTimeout) {
+void UpstreamPool::setTimeouts(Duration connectTimeout, Duration idleTimeout) {
   limits_.connectTimeout = connectTimeout;
   limits_.idleTimeout = idleTimeout;
 }
 
-void UpstreamPool::allow(std::size_t connections) {
+void UpstreamPool::setConnectionLimit(std::size_t connections) {
   limits_.connections = connections;
   while (open_ > limits_.connections && closeOldestIdle()) {
   }
@@ -92,7 +92,7 @@
   begin(host, {key, std::move(head), std::move(upload), limit, latestStart});
 }
 
-void UpstreamPool::uploaded(AttemptKey key, Duration limit) {
+void UpstreamPool::completeUpload(AttemptKey key, Duration limit) {
   const auto it = busy_.find(key);
   if (it != busy_.end())
     it->second->restartTimeLimit(limit);
@@ -133,7 +133,7 @@
   connection->complete(Outcome::cancelled);
 }
 
-void UpstreamPool::drop(AttemptKey key) {
+void UpstreamPool::abandonIfUnsent(AttemptKey key) {
   const auto it = busy_.find(key);
   if (it == busy_.end() || !it->second->isConnecting())
     return;
@@ -166,7 +166,7 @@
   const auto now = Clock::now();
   const bool isQuarantined = now < state.quarantinedUntil;
   for (std::size_t i = state.idle.size(); i-- > 0;) {
-    const auto connection = state.idle[i];
+    auto connection = state.idle[i];
     if (isQuarantined && now - connection->idleSince() < kQuarantineIdleTime)
       continue;
     state.idle.erase(state.idle.begin() + static_cast<std::ptrdiff_t>(i));
--- a/src/gateway/upstream_pool.hpp
+++ b/src/gateway/upstream_pool.hpp
@@ -41,26 +41,26 @@
   /// exactly once. `latestStart`: it may not be written later than this, from now.
   void start(AttemptKey key, balancer::HostId host, HttpRequest request, balancer::Duration limit,
              balancer::Duration latestStart = balancer::Duration::max());
-  /// With a streamed body, in chunks if its length is not known. uploaded() sets the time limit anew.
+  /// With a streamed body, in chunks if its length is not known. completeUpload() sets the time limit anew.
   void start(AttemptKey key, balancer::HostId host, HttpRequest head, std::shared_ptr<BodyStream> upload,
              std::optional<std::uint64_t> length, balancer::Duration limit,
              balancer::Duration latestStart = balancer::Duration::max());
   /// The last byte of the upload has come from the client: the time limit runs from now on.
-  void uploaded(AttemptKey key, balancer::Duration limit);
+  void completeUpload(AttemptKey key, balancer::Duration limit);
   void cancel(AttemptKey key);
   /// Ends the attempt if nothing of it was written yet.
-  void drop(AttemptKey key);
+  void abandonIfUnsent(AttemptKey key);
   /// The host accepts nothing new; what was sent to it may complete.
   void drain(balancer::HostId host);
   void closeIdle(balancer::HostId host);
   /// Closes all connections and reports nothing.
   void stop();
-  void setTimes(balancer::Duration connectTimeout, balancer::Duration idleTimeout);
+  void setTimeouts(balancer::Duration connectTimeout, balancer::Duration idleTimeout);
   /// Sets the limit on connections; if more are open, idle ones are closed.
-  void allow(std::size_t connections);
+  void setConnectionLimit(std::size_t connections);
   std::size_t connections() const { return open_; }
   /// Attempts whose last byte was written.
-  std::uint64_t written() const { return written_; }
+  std::uint64_t writtenAttempts() const { return written_; }
 
  private:
   friend class UpstreamConnection;  // it enters and removes itself in the maps below
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -15,8 +15,8 @@
 #include <vector>
 
 #include "gateway/config.hpp"
-#include "gateway/gateway.hpp"
 #include "gateway/config_printer.hpp"
+#include "gateway/gateway.hpp"
 #include "gateway/ops_client.hpp"
 
 namespace {
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -114,7 +114,7 @@
 };
 
 TEST_F(Closes, OfAnIdleConnectionPastItsTimeAreNoReset) {
-  waits.clients.idle = 10ms;
+  waits.clients.idleTimeout = 10ms;
   addHost("a", always(ok()));
   start();
   PlainClient c(io, gateway->listening());
@@ -146,7 +146,7 @@
 }
 
 TEST_F(Closes, OfAConnectionWithAPartOfARequestAreNoReset) {
-  waits.clients.slow = 10ms;
+  waits.clients.requestTimeout = 10ms;
   addHost("a", always(ok()));
   start();
   PlainClient c(io, gateway->listening());
@@ -272,22 +272,22 @@
 };
 
 TEST_F(Listening, AConnectionThatWaitsAtTheStopMaySendItsRequest) {
-  const auto at = server.listening();
+  const auto at = server.localEndpoint();
   PlainClient c(io, at);  // not accepted yet: the loop has not run
-  server.lastAnswers();
+  server.closeAfterResponses();
   server.stopAccepting();
   c.send("GET /read HTTP/1.1\r\nHost: x\r\n\r\n");
   ASSERT_TRUE(until([&] { return requests.size() == 1 || !c.open(); }));
   ASSERT_EQ(requests.size(), 1u);
-  server.answer(requests[0].id, HttpResponse{}, nullptr);
+  server.respond(requests[0].id, HttpResponse{}, nullptr);
   EXPECT_TRUE(until([&] { return !c.open(); }));
   EXPECT_NE(c.come.find("200 OK"), std::string::npos);
   EXPECT_FALSE(c.reset);
 }
 
 TEST_F(Listening, AConnectionThatSendsNothingDoesNotHoldUpTheStop) {
-  PlainClient c(io, server.listening());
-  server.lastAnswers();
+  PlainClient c(io, server.localEndpoint());
+  server.closeAfterResponses();
   server.stopAccepting();
   EXPECT_TRUE(until([&] { return !c.open(); }));
   c.halfClose();
@@ -295,7 +295,7 @@
 }
 
 TEST_F(Listening, NoConnectionCompletesBetweenTheLastAcceptAndTheClose) {
-  const auto at = server.listening();
+  const auto at = server.localEndpoint();
   bool came = false;
   observer.beforeListenerCloses = [&] {
     tcp::socket late(io, tcp::v4());
@@ -304,7 +304,7 @@
     pollfd look{late.native_handle(), POLLOUT, 0};
     came = up || ::poll(&look, 1, 0) > 0;
   };
-  server.lastAnswers();
+  server.closeAfterResponses();
   server.stopAccepting();
   EXPECT_FALSE(came) << "it would be reset with its request";
 }
--- a/tests/departures_test.cpp
+++ b/tests/departures_test.cpp
@@ -181,7 +181,7 @@
   server.listen(loopback(), false);
   std::vector<std::unique_ptr<PlainClient>> clients;
   for (std::size_t i = 0; i < kWaiting; ++i)
-    clients.push_back(std::make_unique<PlainClient>(io, server.listening()));
+    clients.push_back(std::make_unique<PlainClient>(io, server.localEndpoint()));
   std::size_t before = 0;
   while (server.connections() < kWaiting) {
     ASSERT_GT(io.run_one_for(kPatience), 0u);
--- a/tests/dispatch_guard_test.cpp
+++ b/tests/dispatch_guard_test.cpp
@@ -43,7 +43,7 @@
 TEST_F(DispatchGuardTest, AdmitsAFirstAttemptWithTheTimeLeftAsItsDeadline) {
   const Admission admission = admit(0, 812'900us);
   EXPECT_FALSE(admission.denied);
-  EXPECT_EQ(admission.told, 812ms);
+  EXPECT_EQ(admission.deadline, 812ms);
 }
 
 TEST_F(DispatchGuardTest, DeniesARequestWhoseClientIsDisconnected) {
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -298,7 +298,7 @@
 }
 
 TEST_F(GatewayTest, AConnectionTooSlowToSendIsClosed) {
-  waits.clients.slow = std::chrono::milliseconds(20);
+  waits.clients.requestTimeout = std::chrono::milliseconds(20);
   twoHosts(always(answerText(200, "", "ok")));
   auto c = client();
   c->send("GET /read HT");
@@ -307,16 +307,16 @@
 }
 
 TEST_F(GatewayTest, APeerWithoutACompleteFirstRequestIsClosedEvenIfItSends) {
-  waits.clients.first = std::chrono::milliseconds(20);
+  waits.clients.firstRequestTimeout = std::chrono::milliseconds(20);
   twoHosts(always(answerText(200, "", "ok")));
   auto silent = client(), slow = client();
   slow->send("GET /re");
   EXPECT_TRUE(until([&] { return silent->closedByPeer && slow->closedByPeer; }));
-  EXPECT_LT(DownstreamServer::Limits{}.first, std::chrono::seconds(3)) << "the terms' limit";
+  EXPECT_LT(DownstreamServer::Limits{}.firstRequestTimeout, std::chrono::seconds(3)) << "the terms' limit";
 }
 
 TEST_F(GatewayTest, AServedClientKeepsItsConnectionPastTheFirstLimit) {
-  waits.clients.first = std::chrono::milliseconds(2000);
+  waits.clients.firstRequestTimeout = std::chrono::milliseconds(2000);
   twoHosts(always(answerText(200, "", "ok")));
   auto kept = client();
   kept->send(text("read"));
@@ -368,7 +368,7 @@
 
 TEST_F(GatewayTest, SilentPeersWithAnIncompleteRequestAreEvictedForNewOnes) {
   waits.clients.connections = 3;
-  waits.clients.first = std::chrono::minutes(5);
+  waits.clients.firstRequestTimeout = std::chrono::minutes(5);
   twoHosts(always(answerText(200, "", "ok")));
   std::vector<std::shared_ptr<Client>> strangers;
   for (int i = 0; i < 4; ++i) {  // one over the limit, as the listener takes it
