--- a/tests/embed/main.cpp
+++ b/tests/embed/main.cpp
@@ -21,7 +21,7 @@
   hollyrun::balancer::Request request;
   request.id = 1;
   request.classIndex = 0;
-  request.left = 1s;
+  request.remaining = 1s;
   balancer.onRequest(1ms, request);
   for (const hollyrun::balancer::Action& action : balancer.actions())
     if (action.kind == hollyrun::balancer::ActionKind::send)
