--- a/include/hollyrun/actions.hpp
+++ b/include/hollyrun/actions.hpp
@@ -11,50 +11,50 @@
 
 /// Why a request is rejected or failed without a further attempt.
 enum class RejectReason : std::uint8_t {
-  none,                  ///< not an action that ends a request
-  belowThreshold,        ///< its score lies below the shedding threshold: overload
-  deadlineExceeded,      ///< no time is left in which an answer is of use
-  attemptsExhausted,     ///< all its attempts are made
-  queueTooLong,          ///< it would wait too long, in its key's queue or at any host
-  noEndpoint,            ///< no host may take it
-  retryBudgetExhausted,  ///< a retry is allowed, and the retry budget is used up
-  abandoned,             ///< its last attempt was given up unsent
+  none,                  ///< the action does not end a request
+  belowThreshold,        ///< overload: the request's score is below the shedding threshold
+  deadlineExceeded,      ///< an answer can no longer arrive in time to be useful
+  attemptsExhausted,     ///< the request has used all its attempts
+  queueTooLong,          ///< the expected wait is too long, in the queue of its key or at any host
+  noEndpoint,            ///< no host may be sent the request now
+  retryBudgetExhausted,  ///< a retry is allowed, but the retry budget is used up
+  abandoned,             ///< the last attempt was abandoned before it was sent
 };
-/// The number of reasons, `none` included.
+/// Number of reasons, including `none`.
 inline constexpr std::size_t kRejectReasonCount = 8;
 
-/// What is to be done.
+/// What the embedding proxy is to do.
 enum class ActionKind {
-  send,           ///< an attempt of a request to a host
-  reject,         ///< answer the client that the request was not executed and may be sent again
+  send,           ///< send an attempt of a request to a host
+  reject,         ///< answer the client that the request was not executed and may be retried
   fail,           ///< answer the client that the request failed and may have been executed
-  cancel,         ///< an attempt whose answer is no longer needed
-  close,          ///< the idle connections to a host
-  wake,           ///< call Balancer::onWake at a time; replaces an earlier wake
+  cancel,         ///< cancel an attempt whose answer is no longer needed
+  close,          ///< close the idle connections to a host
+  wake,           ///< call Balancer::onWake at `wakeAt`; replaces an earlier wake
   pollDiscovery,  ///< poll discovery for the endpoint list
   log,            ///< write a line to the log
 };
 
-/// An action; which fields hold depends on its kind.
+/// An action. Each field names the kinds that set it; the others leave its default.
 struct Action {
   ActionKind kind = ActionKind::log;
-  /// send, reject, fail, cancel.
+  /// Set by send, reject, fail and cancel.
   RequestId request = 0;
-  /// send, cancel: number of the attempt, from 0.
+  /// Set by send and cancel: number of the attempt within its request, from 0.
   std::uint32_t attempt = 0;
-  /// send, close.
+  /// Set by send and close.
   HostId host = kNone;
-  /// send: of the attempt.
+  /// Set by send: time within which the attempt must end.
   Duration timeLimit{};
-  /// send: it may not be written later than so long from now.
+  /// Set by send: time from now after which the attempt must no longer be written.
   Duration latestStart = Duration::max();
-  /// reject: 0 = none.
+  /// Set by reject: retry-after for the client; 0 = none.
   Duration retryAfter{};
-  /// wake.
+  /// Set by wake.
   Time wakeAt{};
-  /// reject, fail.
+  /// Set by reject and fail.
   RejectReason reason = RejectReason::none;
-  /// log.
+  /// Set by log.
   std::string text;
 };
 
--- a/include/hollyrun/balancer.hpp
+++ b/include/hollyrun/balancer.hpp
@@ -1,16 +1,15 @@
-/// The balancer: the decisions of an HTTP load balancer run as a set of
-/// replicated proxies.
+/// The balancer: the decision logic of an HTTP load balancer that runs as a set
+/// of replicated proxies.
 ///
-/// The embedding proxy reports events and the clock to a Balancer, and carries
-/// out the actions that it returns. The Balancer does no I/O, reads no clock,
-/// starts no thread and keeps no globals: the same seed, settings and events
-/// give the same actions.
+/// The embedding proxy reports events and the current time to a Balancer and
+/// carries out the actions that the Balancer returns. The Balancer does no I/O,
+/// reads no clock, starts no thread and has no global state: the same seed,
+/// settings and events produce the same actions.
 ///
-/// Misuse: an event that names an unknown request, attempt or host is ignored;
-/// so is a second request under an id that is still open. A request of an
-/// unknown class is handled as Idempotency::none with the lowest priority.
-/// Settings that make no sense are rejected by the constructor
-/// (std::invalid_argument).
+/// Invalid input: an event that names an unknown request, attempt or host is
+/// ignored, and so is a request whose id is still in use. A request of an
+/// unknown class is handled as Idempotency::none with the lowest priority. The
+/// constructor rejects invalid settings with std::invalid_argument.
 #pragma once
 
 #include <cstddef>
@@ -26,34 +25,35 @@
 
 namespace hollyrun::balancer {
 
-/// Endpoints that are known now.
+/// Numbers of known endpoints.
 struct EndpointCounts {
-  /// By the last lists.
+  /// Endpoints that the latest lists name as serving or draining.
   std::size_t listed = 0;
-  /// Those of them that are sent nothing while others are ready.
+  /// Listed endpoints that receive no requests while others are available.
   std::size_t unavailable = 0;
 };
 
-/// Decides for one gateway. Events must come in order of time, from one thread
-/// at a time.
+/// Makes the decisions of one gateway. Events must be reported in order of
+/// time, by one thread at a time.
 class Balancer {
  public:
-  /// Throws std::invalid_argument that says which setting is wrong.
+  /// Throws std::invalid_argument with a message that names the invalid setting.
   Balancer(Settings settings, Time now);
   ~Balancer();
   Balancer(Balancer &&) noexcept;
   Balancer &operator=(Balancer &&) noexcept;
 
-  /// New settings apply from now on; requests under way keep their class as it
-  /// was. The seed stays, and what was learned about hosts and classes too.
-  /// Throws std::invalid_argument; nothing has changed then.
+  /// Replaces the settings. Open requests keep the class settings that they
+  /// arrived with. The seed and all statistics about hosts and classes are
+  /// kept. Throws std::invalid_argument for invalid settings and then changes
+  /// nothing.
   void onSettings(Time now, Settings settings);
   /// A list of endpoints has arrived, or the poll for it has failed.
   void onEndpoints(Time now, EndpointListKind kind, const std::vector<Endpoint> &entries);
   /// A request has arrived.
   void onRequest(Time now, const Request &request);
-  /// The last byte of the request has arrived; its client waits for `left` from
-  /// now on.
+  /// The last byte of the request has arrived; its client waits for another
+  /// `left` from now.
   void onUploaded(Time now, RequestId request, Duration left);
   /// An attempt's answer is being streamed to the client: no other attempt can
   /// answer the request any more.
@@ -62,21 +62,22 @@
   void onResult(Time now, const AttemptResult &result);
   /// The client has closed its connection.
   void onClientDisconnected(Time now, RequestId request);
-  /// At or after the time of ActionKind::wake; extra calls do no harm.
+  /// Must be called at or after the time that ActionKind::wake asks for; further
+  /// calls are harmless.
   void onWake(Time now);
 
-  /// Actions since the last clear, in the order in which they are to be carried
-  /// out.
+  /// Pending actions, in the order in which they are to be carried out. The
+  /// caller clears the list.
   std::vector<Action> &actions();
 
-  /// kNone if no list has named the address.
+  /// Returns kNone if no endpoint list has named the address.
   HostId findHost(std::string_view address) const;
   /// Throws std::out_of_range for an unknown host.
   const std::string &address(HostId host) const;
   EndpointCounts endpointCounts() const;
-  /// Requests with a score below it are rejected now; 0 to 100.
+  /// Requests whose score is below the threshold are rejected; 0 to 100.
   double sheddingThreshold() const;
-  /// Requests that are not over, or have attempts in flight.
+  /// Number of requests that have not ended or still have attempts in flight.
   std::size_t openRequests() const;
 
  private:
--- a/include/hollyrun/events.hpp
+++ b/include/hollyrun/events.hpp
@@ -11,74 +11,74 @@
 /// Whether an endpoint accepts requests.
 enum class EndpointState {
   serving,   ///< accepts requests
-  draining,  ///< completes those that it has and accepts no more
-  removed,   ///< is no longer listed
+  draining,  ///< completes its requests and accepts no new ones
+  removed,   ///< no longer listed
 };
 
 /// An entry of an endpoint list.
 struct Endpoint {
-  /// Identifies the endpoint over its restarts.
+  /// Identifies the endpoint across restarts.
   std::string address;
   std::string zone;
   std::string machineType;
-  /// Within the zone; scope of Idempotency::keyed with DeduplicationScope::cell.
+  /// Cell within the zone: the scope of deduplication under DeduplicationScope::cell.
   std::int64_t cell = 0;
-  /// Capacity, comparable across endpoints; above 0.
+  /// Capacity relative to other endpoints; above 0.
   double weight = 1;
   EndpointState state = EndpointState::serving;
-  /// Latest start of its process; zero = long past.
+  /// Latest start of the endpoint's process; zero = long ago.
   Time upSince{};
 };
 
-/// What a list of endpoints is.
+/// How a list of endpoints is to be read.
 enum class EndpointListKind {
-  delta,        ///< names the endpoints that changed
-  snapshot,     ///< names all endpoints; the others are removed
-  cached,       ///< a snapshot of earlier, which may be stale
-  unavailable,  ///< the poll failed: no list
+  delta,        ///< names only the endpoints that changed
+  snapshot,     ///< names all endpoints; endpoints that it does not name are removed
+  cached,       ///< an earlier snapshot, which may be stale
+  unavailable,  ///< the poll failed and returned no list
 };
 
-/// A request of a client.
+/// A client's request.
 struct Request {
   RequestId id = 0;
-  /// Into Settings::classes; any other index stands for an unknown class.
+  /// Index into Settings::classes; any index out of range means an unknown class.
   std::uint32_t classIndex = kNone;
-  /// Into Settings::tenants; any other index stands for a tenant without a quota.
+  /// Index into Settings::tenants; any index out of range means a tenant without a quota.
   std::uint32_t tenantIndex = kNone;
-  /// Until the client gives this try up; counts from onUploaded while `uploading`.
+  /// Time until the client abandons this try. While `uploading`, the time starts at onUploaded.
   Duration remaining{};
-  /// Expected work; zero = not known.
+  /// Expected work; zero = unknown.
   Duration cost{};
-  /// With hasKey: for key affinity and for classes ordered per key.
+  /// Used for key affinity and by classes that are ordered per key; valid if `hasKey`.
   std::uint64_t key = 0;
   bool hasKey = false;
-  /// Its body has not arrived completely.
+  /// The request's body has not arrived completely.
   bool uploading = false;
 };
 
-/// The end of an attempt.
+/// How an attempt ended.
 enum class Outcome {
   served,         ///< answered
   error,          ///< the server failed; may have been executed
-  rejected,       ///< by the server, never executed
-  timeout,        ///< may have been executed
-  connectFailed,  ///< never executed
+  rejected,       ///< rejected by the server; not executed
+  timeout,        ///< no answer in time; may have been executed
+  connectFailed,  ///< no connection was opened; not executed
   reset,          ///< the connection was lost; may have been executed
-  cancelled,      ///< may have been executed
-  abandoned,      ///< not sent: the client no longer waits
-  localFailure    ///< not sent, for a reason that says nothing about the endpoint
+  cancelled,      ///< cancelled by the proxy; may have been executed
+  abandoned,      ///< not sent because the client no longer waits
+  localFailure    ///< not sent for a reason unrelated to the endpoint
 };
 
-/// The result of an attempt that ActionKind::send asked for.
+/// The result of an attempt that was requested by ActionKind::send.
 struct AttemptResult {
   RequestId request = 0;
-  /// Number of the attempt, from 0.
+  /// Number of the attempt within its request, from 0.
   std::uint32_t attempt = 0;
   HostId host = kNone;
   Outcome outcome = Outcome::served;
-  /// From the send to the outcome.
+  /// Time from sending the attempt to its outcome.
   Duration elapsed{};
-  /// The client's request is answered: nothing more is to be done for it.
+  /// The client's request is answered and needs no further action.
   bool terminal = false;
 };
 
