--- a/src/balancer/action_list.hpp
+++ b/src/balancer/action_list.hpp
@@ -1,4 +1,4 @@
-/// Builds the list of actions that a Balancer gives out.
+/// Builds the list of actions that a Balancer returns.
 #pragma once
 
 #include <chrono>
@@ -30,7 +30,7 @@
   void wake(Time at) { append(ActionKind::wake).wakeAt = at; }
   void pollDiscovery() { append(ActionKind::pollDiscovery); }
 
-  /// Log lines are limited in rate: asked before a text is built.
+  /// Whether the rate limit on log lines permits one now. Callers check before they build the text.
   bool mayLog(Time now) const { return now - lastLogAt_ >= kLogInterval || lastLogAt_ == Time{}; }
   void log(Time now, std::string text) {
     append(ActionKind::log).text = std::move(text);
--- a/src/balancer/arrival_rate.hpp
+++ b/src/balancer/arrival_rate.hpp
@@ -1,4 +1,4 @@
-/// The rate of arriving requests, and how far statistics over so many samples can be trusted.
+/// Measures the rate of arriving requests and how reliable statistics are at that rate.
 #pragma once
 
 #include <algorithm>
@@ -8,10 +8,10 @@
 
 namespace hollyrun::balancer {
 
-/// Statistics are updated this often: a few response times.
+/// Interval between updates of the statistics: a few response times.
 inline constexpr Duration kSweepInterval = std::chrono::milliseconds(100);
-inline constexpr double kFastGain = 0.2;    // per sweep: rates over about half a second
-inline constexpr double kSlowGain = 0.008;  // per sweep: the traffic mix is remembered about ten seconds
+inline constexpr double kFastGain = 0.2;    // per sweep: averages over about half a second
+inline constexpr double kSlowGain = 0.008;  // per sweep: averages over about ten seconds, for the traffic mix
 
 class ArrivalRate {
  public:
@@ -23,19 +23,21 @@
     arrivals_ = 0;
   }
 
-  /// Requests a second.
+  /// Requests per second.
   double perSecond() const { return perSecond_; }
 
-  /// 0.05 to 1: below 1 the samples are sparse, and estimates over a fixed time are noisy.
+  /// Reliability of estimates over a fixed time, 0.05 to 1. Below 1 samples are sparse and the estimates
+  /// noisy.
   double sampleConfidence() const { return std::clamp(perSecond_ / kSteadyRate, 0.05, 1.0); }
 
-  /// Gain per sweep: over half a second, and at least over some twenty requests, since fewer give only noise.
+  /// Gain per sweep. The average extends over half a second, and over at least about twenty requests, since
+  /// an average over fewer is mostly noise.
   double fastGain() const { return kFastGain * sampleConfidence(); }
 
  private:
-  static constexpr double kSteadyRate = 80;  // requests a second that make half a second steady enough
+  static constexpr double kSteadyRate = 80;  // requests per second at which half a second has enough samples
 
-  double arrivals_ = 0;  // since the last sweep
+  double arrivals_ = 0;  // arrivals since the last sweep
   double sweeps_ = 0;
   double perSecond_ = kSteadyRate;
 };
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,5 +1,5 @@
-// The Balancer: construction, settings, endpoint lists, timers and sweeps. The events of requests are in
-// request_events.cpp.
+// The Balancer's construction, settings, endpoint lists, timers and sweeps. request_events.cpp handles the
+// events of requests.
 #include "hollyrun/balancer.hpp"
 
 #include <string>
@@ -46,14 +46,14 @@
     if (settings_.loadAdjustedWeights && kind != EndpointListKind::cached)
       reportedLoad_.applyReport(endpoints_.record(host), entry.weight);
     if (newProcess)
-      startProcess(host);
+      resetForNewProcess(host);
   }
   endpoints_.reindex();
   slowStart_.trackColdEndpoints(endpoints_, now_);
 }
 
-// What was learned about the endpoint's former process does not apply to the new one.
-void Balancer::Impl::startProcess(HostId host) {
+// Discards the statistics of the endpoint's previous process, which do not apply to the new one.
+void Balancer::Impl::resetForNewProcess(HostId host) {
   EndpointRecord& record = endpoints_.record(host);
   record.health.resetForNewProcess();
   record.serviceTime = {.relative = serviceTimes_.assumedRelative(record, now_)};
@@ -62,7 +62,7 @@
   record.connections.failedDials = 0;
   for (const auto& requestClass : classes_)
     requestClass->endpointFailureRates.erase(host);
-  slowStart_.startProcess(record, random_.drawUnit(), now_);
+  slowStart_.resetForNewProcess(record, random_.drawUnit(), now_);
 }
 
 EndpointCounts Balancer::Impl::endpointCounts() const {
@@ -84,7 +84,7 @@
 }
 
 void Balancer::Impl::runTimers() {
-  while (const std::optional<Timer> timer = timers_.takeDue(now_))
+  while (const std::optional<Timer> timer = timers_.popDue(now_))
     runTimer(*timer);
   if (now_ < nextSweepAt_)
     return;
@@ -98,17 +98,17 @@
   if (!request || request->ended || request->responseStarted)
     return;
   switch (timer.kind) {
-    case TimerKind::deadline:  // an outcome that never comes must not leave the client without an answer
+    case TimerKind::deadline:  // answers the client even if the outcome of an attempt is never reported
       rejectOrFail(*request, RejectReason::deadlineExceeded);
       break;
-    case TimerKind::hedge:  // a slow endpoint not known yet would use up the whole objective
+    case TimerKind::hedge:  // an endpoint not yet known to be slow could use up the whole latency objective
       if (shedder_.hasSpareCapacity() && retries_.mayHedge(*request) && send(*request) == RejectReason::none)
         retries_.spendBudget();
       break;
     case TimerKind::keyQueue:
       if (!request->isOrderedPerKey() || request->attemptCount > 0)
         break;
-      if (retries_.isHopeless(*request, 0, now_))
+      if (retries_.wouldFinishTooLate(*request, 0, now_))
         rejectOrFail(*request, RejectReason::queueTooLong);
       keySequencer_.markDue(request->key);
       break;
@@ -131,7 +131,7 @@
 // --- Sweeps ---
 
 void Balancer::Impl::sweepEndpoints() {
-  serviceTimes_.fadeUnused(endpoints_, arrivals_.sampleConfidence(), now_);
+  serviceTimes_.decayUnused(endpoints_, arrivals_.sampleConfidence(), now_);
   outliers_.beginSweep(endpoints_, arrivals_.fastGain(), now_);
   endpoints_.removeEndedAttempts(requests_);
   outliers_.detectSilence(endpoints_, requests_, serviceTimes_.expected(), now_);
@@ -164,7 +164,7 @@
   keySequencer_.removeIdle(now_);
   concurrencyLimit_.smoothAtSweep(concurrencyLimit_.inFlightNow(endpoints_, requests_, now_));
   updateThreshold();
-  if (!shedder_.hasChangedStep() || !actions_.mayLog(now_))
+  if (!shedder_.hasChangedBand() || !actions_.mayLog(now_))
     return;
   shedder_.markLogged();
   const double maximum = concurrencyLimit_.maximum(slowStart_.warmCount(endpoints_, now_), now_);
--- a/src/balancer/balancer_impl.hpp
+++ b/src/balancer/balancer_impl.hpp
@@ -1,4 +1,4 @@
-/// The parts of a Balancer and how events pass through them. Each event updates the parts and appends
+/// The components of a Balancer and the handlers of its events. Each event updates the components and appends
 /// actions.
 #pragma once
 
@@ -31,11 +31,12 @@
 
 struct Balancer::Impl {
   Impl(Settings settings, Time now);
-  // The parts refer to each other.
+  // Not copyable: the components refer to each other.
   Impl(const Impl&) = delete;
   Impl& operator=(const Impl&) = delete;
 
-  /// Handles one event: its handler, then what any event may lead to.
+  /// Runs the handler of one event, then the steps that may follow any event: sending requests of keys that
+  /// are due, polling discovery and scheduling the next wake.
   template <class Handler, class... Arguments>
   void handle(Time now, Handler handler, Arguments&&... arguments) {
     now_ = now;
@@ -46,7 +47,7 @@
     scheduleWake();
   }
 
-  // Handlers of events.
+  // Event handlers.
   void applySettings(Settings settings);
   void applyEndpoints(EndpointListKind kind, const std::vector<Endpoint>& entries);
   void acceptRequest(const Request& event);
@@ -79,7 +80,7 @@
   void rejectOrFail(PendingRequest& request, RejectReason reason);
   void finish(PendingRequest& request);
   void cancelAttempts(PendingRequest& request, std::uint32_t exceptAttempt = kNone);
-  void eraseIfOver(const PendingRequest& request);
+  void eraseIfComplete(const PendingRequest& request);
 
   // Timers and sweeps.
   void schedule(Time at, const PendingRequest& request, TimerKind kind);
@@ -91,7 +92,7 @@
   void updateThreshold();
 
   // Endpoints.
-  void startProcess(HostId host);
+  void resetForNewProcess(HostId host);
 
   Settings settings_;
   RandomSource random_;
--- a/src/balancer/client_wait.hpp
+++ b/src/balancer/client_wait.hpp
@@ -1,4 +1,4 @@
-/// Estimates how long a client had waited before the request arrived here.
+/// Estimates how long a client had already waited when its request arrived.
 #pragma once
 
 #include <algorithm>
@@ -7,11 +7,12 @@
 
 namespace hollyrun::balancer {
 
-/// Clients grant each first try the same time, and a later try what is left of their total wait. A remaining
-/// time that differs from the usual one (a running median) therefore shows how much was spent before.
+/// Clients allow the same time for each first try and, for a later try, the rest of their total timeout. A
+/// remaining time that differs from the usual one (a running median) therefore shows how much of the total
+/// timeout earlier tries have used.
 class ClientWaitEstimator {
  public:
-  /// Records the remaining time of a request; returns the time that its client has already waited.
+  /// Records a request's remaining time; returns the time that its client has already waited.
   Duration record(Duration remaining, Duration clientTimeout) {
     if (usualRemaining_ == Duration{})
       usualRemaining_ = remaining;
@@ -25,7 +26,7 @@
   Duration usualRemaining() const { return usualRemaining_; }
 
  private:
-  static constexpr double kTolerance = 0.02;  // of the client's total wait: closer times are the same
+  static constexpr double kTolerance = 0.02;  // fraction of clientTimeout by which equal times may differ
 
   Duration usualRemaining_{};
 };
--- a/src/balancer/concurrency_limit.cpp
+++ b/src/balancer/concurrency_limit.cpp
@@ -6,37 +6,42 @@
 namespace hollyrun::balancer {
 namespace {
 
-constexpr double kObjectiveFraction = 0.45;  // mean time in flight allowed, as a part of the objective
-// Where the objective is many expected times long, requests that wait for most of it overload the endpoints
-// until they slow down, and then stay slow. So long a queue gains nothing. Overloaded endpoints lengthen the
-// expected time, and a maximum that followed it would keep them overloaded: it follows the least of the
-// recent past.
-constexpr double kMaxExpectedTimes = 3.5;
-// Attempts held by an endpoint that fell silent say nothing of a queue, and where answers are quick they are
-// many expected times' worth before the silence shows.
+// Allowed mean time in flight, as a fraction of the latency objective.
+constexpr double kObjectiveFraction = 0.45;
+// Allowed mean time in flight, as a multiple of the expected service time. Where the objective is many times
+// the service time, requests that queue for most of it gain nothing: they overload the endpoints until these
+// slow down, and keep them slow. Overload also lengthens the expected service time, and a limit that followed
+// it would keep the endpoints overloaded; the limit therefore follows its recent minimum.
+constexpr double kMaxServiceTimes = 3.5;
+// Lower bound of the limit above. Attempts at an endpoint that has stopped responding are not a sign of
+// queueing, and where service times are short they age by many service times before the silence is detected.
 constexpr Duration kMinAllowedTime = std::chrono::milliseconds(80);
-// An attempt counts for this multiple of the mean time allowed at most, where an endpoint is sent so many
-// requests a second that a stall shows in half a second.
+// An attempt is counted up to an age of this multiple of the allowed mean time in flight, at endpoints that
+// receive kFrequentRate requests per second, enough for a stall to be detected within half a second.
 constexpr double kMaxAgeFactor = 3;
-constexpr double kFrequentRate = 8;
-constexpr double kMaxSlowdown = 3;     // as the answers slow down, by the third power of it up to this
-constexpr double kArrivalGain = 0.05;  // per arrival, over the last twenty
-constexpr double kSweepGain = 0.5;
+constexpr double kFrequentRate = 8;  // requests per second and endpoint
+constexpr double kMaxSlowdown =
+    3;  // bound on the growth of service times; the counted age grows by its third power
+constexpr double kArrivalGain = 0.05;      // per arrival: averages over the last twenty
+constexpr double kSweepGain = 0.5;         // per sweep
 constexpr double kObjectiveGain = 0.02;    // per arrival
-constexpr double kInitialPerEndpoint = 6;  // maximum assumed for an endpoint before anything was measured
+constexpr double kInitialPerEndpoint = 6;  // attempts in flight, assumed before anything is measured
 constexpr Duration kInitialTime = 10 * kSweepInterval;
-// After a burst that overloads the endpoints nearly all is rejected, endpoints stand idle, and a maximum that
-// follows the few answers would never grow back. All gateways together may have this many at an endpoint: one
-// at work and one waiting.
+// Attempts that all gateways together may always have in flight at an endpoint: one being served and one
+// waiting. A burst that overloads the endpoints leads to the rejection of nearly all requests and then to
+// idle endpoints; a limit based only on the few answers would never recover.
 constexpr double kFloorPerEndpoint = 2;
-// Endpoints once overloaded stay slow long after, and a rejection is the first sign of it. This multiple of
-// the fraction of rejections is taken off the maximum, up to a half, and forgotten in half a second.
+// Rejections are the first sign of overload, and endpoints stay slow long after an overload. The limit is
+// reduced by this multiple of the fraction of rejected attempts, by at most half. Rejections decay within
+// half a second.
 constexpr double kRejectionFactor = 4;
 constexpr double kMaxRejectionCut = 0.5;
-// When all endpoints slow down together, a maximum that follows the falling rate would idle them. What an
-// endpoint had in flight while nothing was shed stays allowed; per sweep: forgotten in some minutes.
+// Decay, per sweep and over some minutes, of the number of attempts that an endpoint had in flight while
+// nothing was shed. That number stays allowed: when all endpoints slow down together, a limit that followed
+// the falling rate would leave them idle.
 constexpr double kBaselineDecay = 0.001;
-constexpr double kOutcomePrior = 10;  // attempts assumed good, so that a handful of samples proves nothing
+// Attempts assumed successful, so that a handful of rejections does not change the limit.
+constexpr double kOutcomePrior = 10;
 
 }  // namespace
 
@@ -58,43 +63,45 @@
 
 double ConcurrencyLimit::maximum(double warmEndpoints, Time now) const {
   const double rejectionFactor = 1 - std::min(kRejectionFactor * rejections_ / outcomes_, kMaxRejectionCut);
-  // Before anything was measured (this gateway's start in an overload) and after a pause, assumptions for
-  // each endpoint stand in.
+  // Assumed values per endpoint apply before anything is measured (the gateway may start during an overload)
+  // and after a pause in the traffic.
   const double initial = kInitialPerEndpoint / settings_.replicaCount;
   const double floor = kFloorPerEndpoint / settings_.replicaCount;
   const double perEndpoint = now - startedAt_ < kInitialTime ? initial : std::max(floor, baselineInFlight_);
   return rejectionFactor * std::max(timelyRate_ * allowedTime(), perEndpoint * std::max(warmEndpoints, 1.0));
 }
 
-// Seconds in flight, in the mean, that the maximum allows.
+// Mean time in flight, in seconds, that the limit allows.
 double ConcurrencyLimit::allowedTime() const {
   const double time = meanObjective_ * kObjectiveFraction;
-  const double least = serviceTimes_.leastExpected();
-  if (least <= 0)
+  const double minExpected = serviceTimes_.minExpected();
+  if (minExpected <= 0)
     return time;
-  return std::min(time, std::max(kMaxExpectedTimes * least, toSeconds(kMinAllowedTime)));
+  return std::min(time, std::max(kMaxServiceTimes * minExpected, toSeconds(kMinAllowedTime)));
 }
 
-// What a few stalled endpoints hold until it times out would fill the maximum of a pool that idles. Where
-// endpoints are seldom used an attempt counts for the mean time allowed; for longer as all answers slow down.
+// Ignores old attempts: those that a few stalled endpoints hold until they time out would reach the limit of
+// a pool that is otherwise idle. Where endpoints are used rarely, an attempt is counted up to the allowed
+// mean time in flight, and for longer as all service times grow.
 double ConcurrencyLimit::inFlightNow(const EndpointRegistry& endpoints, const RequestTable& requests,
                                      Time now) const {
   const double perEndpoint = arrivals_.perSecond() / std::max(endpoints.servingCount(), 1.0);
-  const double least = serviceTimes_.leastExpected();
-  const double slowdown = least > 0 ? std::min(serviceTimes_.expected() / least, kMaxSlowdown) : 1;
+  const double minExpected = serviceTimes_.minExpected();
+  const double slowdown =
+      minExpected > 0 ? std::min(serviceTimes_.expected() / minExpected, kMaxSlowdown) : 1;
   const double ageFactor = std::max(1 + (kMaxAgeFactor - 1) * std::min(perEndpoint / kFrequentRate, 1.0),
                                     slowdown * slowdown * slowdown);
-  const Time oldest = now - scaled(std::chrono::seconds(1), ageFactor * allowedTime());
+  const Time oldestCounted = now - scaled(std::chrono::seconds(1), ageFactor * allowedTime());
   double inFlight = 0;
   for (HostId host : endpoints.busy()) {
     const EndpointRecord& record = endpoints.record(host);
     if (record.health.isUnhealthy())
-      continue;  // one bad endpoint must not raise the pool's threshold
+      continue;  // one unhealthy endpoint must not raise the shedding threshold of the pool
     for (auto reference = record.attempts.rbegin(); reference != record.attempts.rend(); ++reference) {
       const Attempt* attempt = requests.findInFlight(*reference, host);
       if (!attempt)
         continue;
-      if (attempt->sentAt < oldest)
+      if (attempt->sentAt < oldestCounted)
         break;
       inFlight += 1;
     }
@@ -107,7 +114,8 @@
       (inFlight - smoothedInFlight_) * kArrivalGain * std::sqrt(arrivals_.sampleConfidence());
 }
 
-// With few arrivals a past burst would linger if only arrivals updated the mean.
+// Needed where arrivals are rare: with updates on arrivals alone, a past burst would stay in the mean too
+// long.
 void ConcurrencyLimit::smoothAtSweep(double inFlight) {
   const double confidence = arrivals_.sampleConfidence();
   smoothedInFlight_ += (inFlight - smoothedInFlight_) * kSweepGain * confidence * confidence;
--- a/src/balancer/concurrency_limit.hpp
+++ b/src/balancer/concurrency_limit.hpp
@@ -1,7 +1,7 @@
-/// The limit on attempts in flight, and how many are in flight compared with it.
+/// Limits the attempts in flight and measures how many there are.
 ///
-/// By Little's law the mean time in flight is in flight / rate, so the pool carries rate x objective at most
-/// if answers are to be in time.
+/// By Little's law the mean time in flight is (attempts in flight) / rate. For answers to meet the latency
+/// objective, the pool may have at most rate x objective attempts in flight.
 #pragma once
 
 #include "balancer/arrival_rate.hpp"
@@ -15,24 +15,25 @@
   ConcurrencyLimit(const Settings& settings, const ArrivalRate& arrivals,
                    const ServiceTimeModel& serviceTimes, Time now);
 
-  /// A request whose answer has value for `objectiveTime` has arrived.
+  /// Records the arrival of a request whose answer has value for `objectiveTime`.
   void recordArrival(Duration objectiveTime);
-  /// An answer of so much work, in units of the mean request, and of this part of its full value.
+  /// Records an answer. `work` is relative to the mean request; `value` is the fraction of the full value, 0
+  /// to 1.
   void recordServed(double work, double value) { timelyWork_ += work * value; }
-  /// A rejection, weighted by how far the endpoint is trusted.
+  /// Records a rejection, weighted by the selection fraction of the endpoint, 0 to 1.
   void recordRejection(double weight) { rejections_ += weight; }
   void recordOutcome() { outcomes_ += 1; }
 
-  /// Attempts in flight now, without those that are in flight so long that they say nothing of a queue.
+  /// Attempts in flight now, without those in flight for so long that they do not indicate queueing.
   double inFlightNow(const EndpointRegistry& endpoints, const RequestTable& requests, Time now) const;
   void smoothAtArrival(double inFlight);
   void smoothAtSweep(double inFlight);
   double smoothedInFlight() const { return smoothedInFlight_; }
 
-  /// Attempts in flight at most; `warmEndpoints` counts a cold one by its ramp fraction.
+  /// Maximum number of attempts in flight. `warmEndpoints` counts a cold endpoint by its ramp fraction.
   double maximum(double warmEndpoints, Time now) const;
 
-  /// The steps of a sweep: the rate goes before the ArrivalRate's sweep.
+  /// The steps of a sweep. sweepRate must precede the sweep of the ArrivalRate.
   void sweepRate();
   void sweepBaseline(bool hasSpareCapacity, const EndpointRegistry& endpoints);
 
@@ -43,13 +44,13 @@
   const ArrivalRate& arrivals_;
   const ServiceTimeModel& serviceTimes_;
   Time startedAt_;
-  double timelyWork_ = 0;  // answered in time since the last sweep
-  double timelyRate_ = 0;  // a second
-  double rejections_ = 0;  // decayed counts
-  double outcomes_;
-  double baselineInFlight_ = 0;  // an endpoint, while nothing is shed
+  double timelyWork_ = 0;        // work answered in time since the last sweep
+  double timelyRate_ = 0;        // work answered in time per second
+  double rejections_ = 0;        // decayed count
+  double outcomes_;              // decayed count
+  double baselineInFlight_ = 0;  // attempts per endpoint while nothing is shed
   double smoothedInFlight_ = 0;
-  double meanObjective_ = 0;  // seconds, over the recent arrivals
+  double meanObjective_ = 0;  // seconds, mean over the recent arrivals
 };
 
 }  // namespace hollyrun::balancer
--- a/src/balancer/connection_tracker.cpp
+++ b/src/balancer/connection_tracker.cpp
@@ -5,7 +5,8 @@
 namespace hollyrun::balancer {
 namespace {
 
-// After a failed dial the endpoint is down or at its connection limit; the pause doubles each time.
+// Pause after a failed dial, doubled for each further failure: the endpoint is down or at its connection
+// limit.
 constexpr Duration kDialBackoff = std::chrono::seconds(1);
 constexpr int kMaxDialBackoffDoublings = 3;
 
@@ -25,7 +26,7 @@
   if (attempt.newConnection && outcome == Outcome::served)
     connections.failedDials = 0;
   connections.lastUsedAt = now;
-  staleConnections_.record(attempt.idleStep, outcome);
+  staleConnections_.record(attempt.idleBucket, outcome);
 }
 
 }  // namespace hollyrun::balancer
--- a/src/balancer/connection_tracker.hpp
+++ b/src/balancer/connection_tracker.hpp
@@ -13,7 +13,7 @@
  public:
   explicit ConnectionTracker(const Settings& settings) : settings_(settings) {}
 
-  /// An open connection can carry one more attempt.
+  /// Whether an open connection can carry one more attempt.
   bool hasFreeConnection(const EndpointRecord& record, Time now) const {
     const EndpointConnections& connections = record.connections;
     const bool timedOut = settings_.idleTimeout > Duration{} && record.inFlight == 0 &&
@@ -21,21 +21,22 @@
     return !timedOut && record.inFlight < connections.open * settings_.streamsPerConnection;
   }
 
-  /// Step of the StaleConnectionEstimator for the connection that an attempt would use now.
-  std::size_t idleStep(const EndpointRecord& record, Time now) const {
+  /// Bucket of the StaleConnectionEstimator for the connection that an attempt would use now.
+  std::size_t idleBucket(const EndpointRecord& record, Time now) const {
     if (!hasFreeConnection(record, now) || record.inFlight > 0)
       return 0;
-    return StaleConnectionEstimator::stepOf(now - record.connections.lastUsedAt);
+    return StaleConnectionEstimator::bucketOf(now - record.connections.lastUsedAt);
   }
-  bool isStale(std::size_t step) const { return staleConnections_.isStale(step); }
+  bool isStale(std::size_t bucket) const { return staleConnections_.isStale(bucket); }
 
-  /// Whether a connection can be had: a trusted open one, or a new one.
+  /// Whether a connection is available: an open one that is not stale, or a new one.
   bool isReachable(const EndpointRecord& record, Time now) const {
     return now >= record.connections.dialAfter ||
-           (hasFreeConnection(record, now) && !isStale(idleStep(record, now)));
+           (hasFreeConnection(record, now) && !isStale(idleBucket(record, now)));
   }
 
-  /// An attempt is sent now; an idle connection that has reached its time-out counts as its replacement.
+  /// Records that an attempt is sent now. A new connection replaces an idle one that has reached its timeout,
+  /// so the count of open connections is unchanged in that case.
   void use(EndpointRecord& record, Time now) const {
     record.connections.lastUsedAt = now;
     if (!hasFreeConnection(record, now))
@@ -43,20 +44,20 @@
   }
   void closeAll(EndpointRecord& record) const { record.connections.open = 0; }
 
-  /// Connections kept to endpoints that this gateway no longer uses would add up to their limits and lock
-  /// other gateways out.
+  /// Whether the idle connections are to be closed. Connections that gateways keep to endpoints they no
+  /// longer use would add up to the endpoints' limits and lock out other gateways.
   bool shouldCloseIdle(const EndpointRecord& record, Time now) const {
     return record.connections.open > 0 && record.inFlight == 0 &&
-           now - record.connections.lastUsedAt >= kIdleClose;
+           now - record.connections.lastUsedAt >= kIdleCloseDelay;
   }
 
-  /// After a failed dial open connections stay in use: unused, they would be closed or lost.
+  /// After a failed dial the open connections stay in use; unused connections would be closed or lost.
   void recordResult(EndpointRecord& record, const Attempt& attempt, Outcome outcome, Time now,
                     RandomSource& random);
   void decay() { staleConnections_.decay(); }
 
  private:
-  static constexpr Duration kIdleClose = std::chrono::seconds(5);
+  static constexpr Duration kIdleCloseDelay = std::chrono::seconds(5);
 
   const Settings& settings_;
   StaleConnectionEstimator staleConnections_;
--- a/src/balancer/discovery_poller.hpp
+++ b/src/balancer/discovery_poller.hpp
@@ -13,18 +13,18 @@
  public:
   explicit DiscoveryPoller(const Settings& settings) : settings_(settings) {}
 
-  /// A poll failed: the next one follows after an exponential backoff with jitter.
+  /// Records a failed poll; the next one follows after an exponential backoff with jitter.
   void recordFailure(Time now, RandomSource& random) {
     failures_ = std::min(failures_ + 1, kMaxBackoffDoublings);
     polling_ = false;
     Duration backoff = kBackoff * (1 << failures_);
-    // A limit applied after the jitter would make all gateways poll at the same moment.
+    // The limit is applied before the jitter. Applied after it, all gateways would poll at the same moment.
     if (settings_.maxDiscoverySilence > Duration{})
       backoff = std::min(backoff, settings_.maxDiscoverySilence / 5);
     nextPollAt_ = now + scaled(backoff, 0.5 + random.drawUnit());
   }
 
-  /// A cached list may be stale: discovery is polled at once.
+  /// Records a cached list. It may be stale, so discovery is polled at once.
   void recordCachedList(Time now) {
     if (settings_.pollDiscovery)
       nextPollAt_ = now;
@@ -35,9 +35,9 @@
     answered_ = true;
   }
 
-  /// Whether discovery is to be polled now; if so, the poll counts as sent.
+  /// Whether discovery is to be polled now; if so, records the poll as sent.
   bool startPollIfDue(Time now) {
-    // Without this, one lost answer would stop the gateway from ever polling again.
+    // Without this check a single lost answer would stop the gateway from ever polling again.
     const bool lost = !answered_ && settings_.maxDiscoverySilence > Duration{} &&
                       now - polledAt_ > settings_.maxDiscoverySilence / 2;
     if (!settings_.pollDiscovery || (polling_ && !lost) || now < nextPollAt_)
@@ -53,8 +53,8 @@
   static constexpr int kMaxBackoffDoublings = 4;
 
   const Settings& settings_;
-  bool polling_ = false;   // until a poll fails: lists are pushed from then on
-  bool answered_ = false;  // since the last poll
+  bool polling_ = false;   // from a poll until a failure: discovery pushes lists after a successful poll
+  bool answered_ = false;  // a list has arrived since the last poll
   Time polledAt_{};
   Time nextPollAt_{};
   int failures_ = 0;
--- a/src/balancer/dispatch_guard.cpp
+++ b/src/balancer/dispatch_guard.cpp
@@ -11,10 +11,10 @@
     "client_gone", "out_of_time", "window_over", "not_serving", "restarted",
     "too_many",    "may_repeat",  "other_group", "parallel"};
 
-// The rules grant one second from the moment at which a drain was listed. Half of it is left for a process
-// that is descheduled between its reading of the clock and its write.
+// Time after a drain was listed in which requests may still be sent. The protocol allows one second; the
+// other half is a margin for a process that is descheduled between reading the clock and writing.
 constexpr Duration kDrainGrace = std::chrono::milliseconds(500);
-// The deadline is sent in whole milliseconds: less than one cannot be expressed.
+// The deadline is sent in whole milliseconds, so a shorter time cannot be expressed.
 constexpr Duration kMinDeadline = std::chrono::milliseconds(1);
 
 }  // namespace
@@ -42,25 +42,25 @@
 
 void AttemptHistory::wrote(std::uint32_t attempt, const EndpointStatus& server, Time now) {
   attempts_.push_back(
-      {.number = attempt, .server = server.id, .zone = server.zone, .cell = server.cell, .at = now});
+      {.number = attempt, .server = server.id, .zone = server.zone, .cell = server.cell, .firstByteAt = now});
 }
 
 void AttemptHistory::ended(std::uint32_t attempt, Outcome outcome) {
   const auto it = std::ranges::find(attempts_, attempt, &Attempt::number);
   if (it == attempts_.end())
     return;
-  it->out = false;
+  it->inFlight = false;
   it->mayHaveExecuted = !provesNotExecuted(outcome);
 }
 
 Admission DispatchGuard::admit(const DispatchFacts& facts) {
-  const std::optional<DenialReason> denied = judge(facts);
+  const std::optional<DenialReason> denied = findDenial(facts);
   if (denied)
     ++denied_[static_cast<std::size_t>(*denied)];
   return {denied, std::chrono::duration_cast<std::chrono::milliseconds>(facts.left)};
 }
 
-std::optional<DenialReason> DispatchGuard::judge(const DispatchFacts& facts) {
+std::optional<DenialReason> DispatchGuard::findDenial(const DispatchFacts& facts) {
   if (facts.attempt >= facts.terms.maxAttempts)
     return DenialReason::attemptsExhausted;
   if (!facts.clientPresent)
@@ -74,10 +74,11 @@
   return checkResend(facts);
 }
 
-// No rule applies before an attempt may have been executed.
+// Checks the rules on repeated attempts: none may run in parallel without hedging, and an attempt that may
+// have been executed restricts whether, where and when the request may be sent again.
 std::optional<DenialReason> DispatchGuard::checkResend(const DispatchFacts& facts) {
   for (const AttemptHistory::Attempt& earlier : facts.history.attempts_) {
-    if (earlier.out && !facts.terms.allowHedging)
+    if (earlier.inFlight && !facts.terms.allowHedging)
       return DenialReason::hedgingForbidden;
     if (!earlier.mayHaveExecuted || facts.terms.idempotency == Idempotency::idempotent)
       continue;
@@ -89,7 +90,7 @@
         facts.terms.deduplicationScope != DeduplicationScope::cell || earlier.cell == facts.server.cell;
     if (!sameZone || !sameCell)
       return DenialReason::outsideDeduplicationScope;
-    if (facts.now - earlier.at > facts.terms.deduplicationWindow)
+    if (facts.now - earlier.firstByteAt > facts.terms.deduplicationWindow)
       return DenialReason::deduplicationWindowPassed;
   }
   return std::nullopt;
--- a/src/balancer/dispatch_guard.hpp
+++ b/src/balancer/dispatch_guard.hpp
@@ -1,11 +1,11 @@
-/// The last check before an attempt reaches an upstream host. The balancer decides early, and the facts that
-/// it decided on may have changed by the time a connection is up; the guard is asked again just before the
-/// connection is dialled and before the first byte is written, with the facts read at that moment, and it
-/// alone determines the deadline that is sent to the server. It holds no sockets and reads no clock.
+/// The last check before an attempt reaches an upstream host. The state that the balancer based its decision
+/// on may have changed by the time a connection is established. The guard is therefore consulted again just
+/// before the connection is dialled and just before the first byte is written, with the state at that moment.
+/// It alone determines the deadline that is sent to the server. It owns no sockets and reads no clock.
 ///
-/// A denial is one of two things. Most are races that have to be expected: the client disconnected, the
-/// deadline passed, the server began to drain. The others are decisions that no course of events excuses (a
-/// fourth attempt, the repeat of a request that must not be repeated): violations, which are counted apart
+/// Denials are of two kinds. Most follow from expected races: the client disconnected, the deadline passed,
+/// the server began to drain. The others are violations, wrong decisions that no order of events can explain
+/// (a fourth attempt, the repeat of a request that must not be repeated). Violations are counted separately
 /// and end the process where that is configured, so that tests and soaks find them.
 #pragma once
 
@@ -21,35 +21,35 @@
 
 namespace hollyrun::balancer {
 
-/// Why an attempt may not take place.
+/// Why an attempt must not be sent.
 enum class DenialReason : std::uint8_t {
-  clientDisconnected,         ///< the client has closed its side, or has its answer
-  deadlineExceeded,           ///< nothing is left of the time that the attempt may take
-  deduplicationWindowPassed,  ///< a keyed request's repeats are not dropped any more
+  clientDisconnected,         ///< the client has disconnected or already has its answer
+  deadlineExceeded,           ///< no time is left for the attempt
+  deduplicationWindowPassed,  ///< servers no longer drop repeats of this keyed request
   notServing,                 ///< the server was listed as draining or removed too long ago
-  restarted,  ///< another process runs there than the one that was chosen: its slow start was not asked for
-  attemptsExhausted,          ///< violation: more attempts than the settings allow
-  notIdempotent,              ///< violation: an earlier attempt may have run, and the class forbids a second
-  outsideDeduplicationScope,  ///< violation: an earlier attempt may have run where this server does not know
-                              ///< of it
-  hedgingForbidden,  ///< violation: an earlier attempt is out, and the settings allow only one at a time
+  restarted,          ///< the server restarted after it was selected, so its slow start was not considered
+  attemptsExhausted,  ///< violation: more attempts than the settings allow
+  notIdempotent,      ///< violation: an earlier attempt may have been executed, and the class forbids repeats
+  outsideDeduplicationScope,  ///< violation: an earlier attempt may have been executed at a server that does
+                              ///< not share its idempotency keys with this one
+  hedgingForbidden,  ///< violation: an earlier attempt is in flight, and the settings forbid a second
 };
 inline constexpr std::size_t kDenialReasonCount = 9;
 
 std::string_view nameOf(DenialReason reason);
 bool isViolation(DenialReason reason);
 
-/// An upstream host as of the last lists.
+/// The state of an upstream host according to the latest lists.
 struct EndpointStatus {
   HostId id = kNone;
   std::string zone;
   std::int64_t cell = 0;
   EndpointState state = EndpointState::serving;
-  Time stateSince{};  ///< when a list first said that this process is not serving
-  Time upSince{};     ///< its last start; zero = long past
+  Time stateSince{};  ///< when a list first named this process as not serving
+  Time upSince{};     ///< latest start of the host's process; zero = long ago
 };
 
-/// The attempts of a request, as seen at the sockets.
+/// The attempts of a request whose first byte was written to a socket.
 class AttemptHistory {
  public:
   void wrote(std::uint32_t attempt, const EndpointStatus& server, Time now);
@@ -63,34 +63,34 @@
     HostId server = kNone;
     std::string zone;
     std::int64_t cell = 0;
-    Time at{};  // of its first byte
-    bool out = true, mayHaveExecuted = true;
+    Time firstByteAt{};
+    bool inFlight = true, mayHaveExecuted = true;
   };
   std::vector<Attempt> attempts_;
 };
 
-/// The settings that an attempt was decided under. A reload may have changed them since.
+/// The settings under which an attempt was decided; a reload may have changed the settings since.
 struct AttemptTerms {
   Idempotency idempotency = Idempotency::none;
   DeduplicationScope deduplicationScope = DeduplicationScope::all;
   Duration deduplicationWindow{};
   std::uint32_t maxAttempts = 1;
   bool allowHedging = false;
-  Time serverUpSince{};  ///< of the process that was chosen
+  Time serverUpSince{};  ///< start of the process that was selected
 };
 
-/// All that the admission of an attempt depends on, read when it is requested.
+/// The state that the admission of an attempt depends on, at the time of the request for admission.
 struct DispatchFacts {
   Time now{};
   bool clientPresent = false;
-  std::uint32_t attempt = 0;  ///< its number, from 0
-  Duration left{};            ///< of the attempt's own time, which is no longer than the client's
+  std::uint32_t attempt = 0;  ///< number of the attempt within its request, from 0
+  Duration left{};            ///< time left for the attempt, at most the time left for the client's request
   const AttemptTerms& terms;
   const EndpointStatus& server;
   const AttemptHistory& history;
 };
 
-/// The deadline to send to the server, in whole milliseconds and at least one; or why nothing may be sent.
+/// The deadline to send to the server, in whole milliseconds and at least one, or the reason for a denial.
 struct Admission {
   std::optional<DenialReason> denied;
   std::chrono::milliseconds deadline{};
@@ -98,13 +98,14 @@
 
 class DispatchGuard {
  public:
-  /// Asked before a connection is dialled and before an attempt's first byte; counts what it denies.
+  /// Decides whether the attempt may proceed; called before a connection is dialled and before the attempt's
+  /// first byte is written. Counts denials by reason.
   Admission admit(const DispatchFacts& facts);
 
   std::uint64_t denied(DenialReason reason) const { return denied_[static_cast<std::size_t>(reason)]; }
 
  private:
-  static std::optional<DenialReason> judge(const DispatchFacts& facts);
+  static std::optional<DenialReason> findDenial(const DispatchFacts& facts);
   static std::optional<DenialReason> checkResend(const DispatchFacts& facts);
 
   std::array<std::uint64_t, kDenialReasonCount> denied_{};
--- a/src/balancer/endpoint_record.hpp
+++ b/src/balancer/endpoint_record.hpp
@@ -1,5 +1,5 @@
-/// What is kept for one endpoint and for one machine type, in one block so that a look at an endpoint touches
-/// little memory. Each component is written by the part that its comment names; all others only read it.
+/// The state of one endpoint and of one machine type. Each is a single block, so that examining an endpoint
+/// touches little memory. Each group of fields is written only by the component that its comment names.
 #pragma once
 
 #include <cstdint>
@@ -11,22 +11,22 @@
 
 enum class HealthState {
   healthy,
-  ejected,    ///< sent nothing until the ejection ends
-  probation,  ///< sent one attempt at a time; its outcome decides
+  ejected,    ///< receives no attempts until the ejection ends
+  probation,  ///< receives one attempt at a time, whose outcome decides about the next state
 };
 
 /// Written by OutlierDetector.
 struct EndpointHealth {
   HealthState state = HealthState::healthy;
-  double failureRate = 0;  // of the recent attempts
-  bool silent = false;     // holds attempts and nothing was heard of it for too long
-  int ejections = 0;       // in a row
+  double failureRate = 0;  // of recent attempts, 0 to 1
+  bool silent = false;     // has attempts in flight and has not responded for too long
+  int ejections = 0;       // consecutive, up to a limit
   int consecutiveRejections = 0;
-  double outcomes = 0;  // decayed counts, for the pool's error rate
-  double errors = 0;
+  double outcomes = 0;  // decayed count, for the pool's error rate
+  double errors = 0;    // decayed count of failures and rejections
   Time ejectedUntil{};
   Time lastHeardAt{};
-  Time restUntil{};  // nothing is sent before
+  Time pausedUntil{};  // no attempt is sent before this time
 
   bool isUnhealthy() const { return state != HealthState::healthy || silent; }
   void resetForNewProcess() {
@@ -40,22 +40,22 @@
 
 /// Written by ServiceTimeModel.
 struct EndpointServiceTime {
-  double relative = 1;  // time taken divided by the class's expected service time
-  double answers = 0;   // and losses from which it was estimated
+  double relative = 1;  // service time divided by the class's expected service time
+  double answers = 0;   // number of samples, including rejections and timeouts
 };
 
 /// Written by ReportedLoad.
 struct EndpointReportedLoad {
-  double load = 1;               // one and what it holds a core, as last reported
-  double selectionFraction = 1;  // of its draws that it keeps
+  double load = 1;               // 1 + requests in flight per core, as last reported
+  double selectionFraction = 1;  // factor on the selection probability
 };
 
 /// Written by ConnectionTracker.
 struct EndpointConnections {
-  std::uint32_t open = 0;  // that should be open
-  int failedDials = 0;     // in a row
+  std::uint32_t open = 0;  // estimated number of open connections
+  int failedDials = 0;     // consecutive, up to a limit
   Time lastUsedAt{};
-  Time dialAfter{};  // no new connection is opened before
+  Time dialAfter{};  // no new connection is opened before this time
 };
 
 /// Written by SlowStart.
@@ -66,17 +66,17 @@
 
 /// Written by SlowStart.
 struct MachineTypeThroughput {
-  double served = 0;  // by warm endpoints since the last sweep,
-  double count = 0;   // and how many they are
-  double rate = 0;    // answers a second from a warm endpoint
-  double proven = 0;  // the highest rate lately
+  double served = 0;    // by warm endpoints since the last sweep,
+  double count = 0;     // and how many they are
+  double rate = 0;      // answers a second from a warm endpoint
+  double peakRate = 0;  // the highest rate lately
 };
 
-/// Endpoints of one machine type.
+/// The endpoints of one machine type.
 struct MachineTypeRecord {
-  double answers = 0;              // ServiceTimeModel: and losses from which the next was estimated
-  double relativeServiceTime = 1;  // ServiceTimeModel: mean of its endpoints; assumed for one not measured
-  double largestWeight = 0;        // EndpointRegistry: of an endpoint without load
+  double answers = 0;              // ServiceTimeModel: number of samples of relativeServiceTime
+  double relativeServiceTime = 1;  // ServiceTimeModel: mean, assumed for endpoints without samples
+  double largestWeight = 0;        // EndpointRegistry: weight of an endpoint without load
   MachineTypeThroughput throughput;
 };
 
@@ -85,10 +85,10 @@
   Endpoint endpoint;
   std::uint64_t addressHash = 0;
   MachineTypeRecord* machineType = nullptr;
-  bool indexed = false;                    // in the lists that are kept in order
+  bool indexed = false;                    // contained in the registry's ordered lists
   std::uint32_t inFlight = 0;              // attempts of requests whose upload is complete
-  double servedSinceSweep = 0;             // answers
-  std::vector<RequestReference> attempts;  // in order of sending; those that have ended are removed later
+  double servedSinceSweep = 0;             // answers since the last sweep
+  std::vector<RequestReference> attempts;  // in order of sending; may include ended attempts
 
   EndpointHealth health;
   EndpointServiceTime serviceTime;
--- a/src/balancer/endpoint_registry.cpp
+++ b/src/balancer/endpoint_registry.cpp
@@ -9,19 +9,23 @@
 namespace hollyrun::balancer {
 namespace {
 
-// Endpoints accept a limited number of connections, and if each of many gateways opened one to every endpoint
-// the others would be locked out. A gateway uses this many endpoints, or this multiple of its part of the
-// pool.
+// A gateway uses at least this many endpoints, plus this multiple of its share of the pool. Endpoints accept
+// a limited number of connections; if each of many gateways connected to every endpoint, some would be locked
+// out.
 constexpr double kMinSubsetSize = 6;
 constexpr double kSubsetFactor = 4;
-constexpr std::uint32_t kGatewaysInRound = 16;  // gateways dealt out over the pool at a time
-constexpr std::uint32_t kMinRounds = 4;   // with candidates: full rounds at least, so gateways per endpoint
-constexpr std::size_t kLargeFleet = 600;  // endpoints from which on a request chooses among few of them,
-constexpr std::uint32_t kLargeFleetCandidates = 64;  // so many; back to all at three quarters of it
-// With one virtual node, some endpoints would get half as many keys again as others.
+constexpr std::uint32_t kGatewaysInRound = 16;  // gateways that divide the pool among themselves
+constexpr std::uint32_t kMinRounds =
+    4;  // with a candidate limit: minimum number of full rounds, hence gateways per endpoint
+// Number of endpoints from which requests consider only kLargeFleetCandidates of them. Below three quarters
+// of this number, requests consider all endpoints again.
+constexpr std::size_t kLargeFleet = 600;
+constexpr std::uint32_t kLargeFleetCandidates = 64;
+// Virtual nodes per endpoint. With a single one, some endpoints would receive 1.5 times as many keys as
+// others.
 constexpr std::uint64_t kVirtualNodes = 8;
 
-// Removes from a sorted list what `isRemoved`, and merges `added` in.
+// Removes the elements for which `isRemoved` holds from a sorted list and merges `added` into it.
 template <class T, class IsRemoved, class Less = std::less<>>
 void updateSorted(std::vector<T>& list, std::vector<T> added, IsRemoved isRemoved, Less less = {}) {
   std::erase_if(list, isRemoved);
@@ -33,12 +37,12 @@
 }  // namespace
 
 HostId EndpointRegistry::find(std::string_view address) const {
-  const auto found = idOf_.find(std::string(address));
-  return found == idOf_.end() ? kNone : found->second;
+  const auto found = idByAddress_.find(std::string(address));
+  return found == idByAddress_.end() ? kNone : found->second;
 }
 
 EndpointRegistry::UpdateResult EndpointRegistry::update(const Endpoint& endpoint) {
-  const auto [known, isNew] = idOf_.emplace(endpoint.address, static_cast<HostId>(records_.size()));
+  const auto [known, isNew] = idByAddress_.emplace(endpoint.address, static_cast<HostId>(records_.size()));
   if (isNew)
     records_.emplace_back().addressHash = hashText(endpoint.address);
   EndpointRecord& record = records_[known->second];
@@ -79,9 +83,9 @@
   std::erase_if(busy_, [&](HostId host) { return records_[host].attempts.empty(); });
 }
 
-// In a large fleet a request chooses among few endpoints even where the settings ask for all: the cost of a
-// choice, and the connections that it leads to, must not grow with the fleet. The two ways order endpoints
-// differently, so all are indexed again when one replaces the other.
+// In a large fleet a request considers few endpoints even if the settings ask for all, so that the cost of a
+// selection and the number of connections do not grow with the fleet. Endpoints are ordered differently with
+// and without a limit, so all of them are indexed again when the limit changes.
 void EndpointRegistry::updateCandidateLimit() {
   const auto serving = static_cast<std::size_t>(std::ranges::count_if(records_, &EndpointRecord::isServing));
   const std::size_t threshold = candidateLimit_ > 0 ? kLargeFleet - kLargeFleet / 4 : kLargeFleet;
@@ -93,7 +97,8 @@
     record.indexed = false;
 }
 
-// With candidates a subset ends where the next gateway's begins: a full round uses each endpoint once.
+// With a candidate limit, a subset ends where the next gateway's subset begins, so that a full round uses
+// each endpoint once.
 std::uint32_t EndpointRegistry::gatewaysInRound() const {
   if (candidateLimit_ == 0)
     return kGatewaysInRound;
@@ -119,7 +124,7 @@
   updateSorted(ring_, std::move(nodes), isRemoved);
 }
 
-// With key affinity all endpoints are in use, since each may be the one that has served a key.
+// With key affinity all endpoints are in use, since any of them may have served a key before.
 void EndpointRegistry::updateSubsetSize() {
   const std::uint64_t arc = UINT64_MAX / gatewaysInRound();
   const auto arcEnd = std::upper_bound(subsetOrder_.begin(), subsetOrder_.end(), VirtualNode{arc, kNone});
--- a/src/balancer/endpoint_registry.hpp
+++ b/src/balancer/endpoint_registry.hpp
@@ -1,8 +1,8 @@
 /// The known endpoints, this gateway's subset of them and the consistent-hash ring.
 ///
-/// Deterministic subsetting: endpoints lie on a circle, in an order of its own for every round of gateways,
-/// and the gateways of a round start evenly around it, so that endpoints that come or go move only their
-/// neighbours.
+/// Deterministic subsetting: endpoints are placed on a circle, in a different order for each round of
+/// gateways, and the gateways of a round start at evenly spaced positions. An endpoint that is added or
+/// removed affects only the subsets next to it.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 
 namespace hollyrun::balancer {
 
-/// A place of an endpoint on a circle of hashes.
+/// A position of an endpoint on the circle of hash values.
 struct VirtualNode {
   std::uint64_t position = 0;
   HostId host = kNone;
@@ -32,48 +32,48 @@
   const EndpointRecord& record(HostId host) const { return records_[host]; }
   const std::vector<EndpointRecord>& records() const { return records_; }
 
-  /// kNone if no list has named the address.
+  /// Returns kNone if no list has named the address.
   HostId find(std::string_view address) const;
 
   struct UpdateResult {
     HostId host = kNone;
-    bool newProcess = false;  ///< not known before, or started again since
+    bool newProcess = false;  ///< a new endpoint, or one that has restarted since the last update
   };
-  /// Stores what a list says about an endpoint. `reindex` is needed after the list's last one.
+  /// Stores an endpoint list's entry. `reindex` must be called after the last entry of the list.
   UpdateResult update(const Endpoint& endpoint);
 
-  /// Before a whole list is applied: what it leaves out is removed.
+  /// Called before a complete list is applied, so that endpoints it does not name are removed.
   void markAllRemoved();
 
-  /// Takes endpoints that no longer serve out of the ordered lists, and merges in those that now do.
+  /// Removes endpoints that no longer serve from the ordered lists and adds those that now do.
   void reindex();
-  /// The same from the beginning, after the settings have changed.
+  /// Rebuilds the ordered lists after the settings have changed.
   void rebuildIndex();
 
-  /// Serving endpoints in order of address: the same order after every start.
+  /// The serving endpoints in order of address, which is the same after every start.
   const std::vector<HostId>& serving() const { return serving_; }
   double servingCount() const { return static_cast<double>(serving_.size()); }
   /// The serving endpoints, this gateway's subset first.
   const std::vector<VirtualNode>& subsetOrder() const { return subsetOrder_; }
-  /// The serving endpoints for keys, at the same places at all gateways.
+  /// The consistent-hash ring of the serving endpoints; the same at all gateways.
   const std::vector<VirtualNode>& ring() const { return ring_; }
-  /// Endpoints of `subsetOrder` that belong to the subset.
+  /// Number of endpoints at the front of `subsetOrder` that form the subset.
   std::size_t subsetSize() const { return subsetSize_; }
-  /// Endpoints of `subsetOrder` in use while one of them is idle.
+  /// Number of endpoints at the front of `subsetOrder` that are used while one of them is idle.
   std::size_t activeSize() const { return activeSize_; }
-  /// Endpoints that a request chooses from; 0 = all of them.
+  /// Number of endpoints that a request considers; 0 = all.
   std::uint32_t candidateLimit() const { return candidateLimit_; }
   /// Serving endpoints that may have attempts in flight.
   const std::vector<HostId>& busy() const { return busy_; }
 
   std::map<std::string, MachineTypeRecord>& machineTypes() { return machineTypes_; }
 
-  /// The endpoint works for the request from now on.
+  /// Records that the request has an attempt in flight at the endpoint.
   void addAttempt(HostId host, const PendingRequest& request);
-  /// Removes the first attempts of each busy endpoint that are no longer in flight.
+  /// Removes, for each busy endpoint, the attempts before the first one that is still in flight.
   void removeEndedAttempts(const RequestTable& requests);
 
-  /// Quantile over the serving endpoints of what `value` gives for a record.
+  /// Quantile of `value(record)` over the serving endpoints; `whenEmpty` if there are none.
   template <class Value>
   double quantile(Value value, double fraction, double whenEmpty) const {
     std::vector<double> values;
@@ -97,7 +97,7 @@
 
   const Settings& settings_;
   std::vector<EndpointRecord> records_;
-  std::unordered_map<std::string, HostId> idOf_;
+  std::unordered_map<std::string, HostId> idByAddress_;
   std::map<std::string, MachineTypeRecord> machineTypes_;
   std::vector<HostId> serving_;
   std::vector<VirtualNode> subsetOrder_;
--- a/src/balancer/endpoint_selector.cpp
+++ b/src/balancer/endpoint_selector.cpp
@@ -34,8 +34,8 @@
     if (host != kNone)
       return host;
   }
-  const HostId host = drawIdle(request, endpoints, random);
-  return host != kNone ? host : drawLessLoaded(request, endpoints, random);
+  const HostId host = selectIdle(request, endpoints, random);
+  return host != kNone ? host : selectLessLoaded(request, endpoints, random);
 }
 
 // All endpoints; or, with candidates set, few of them: for a key those from its place on the ring on, which
@@ -126,7 +126,7 @@
   for (HostId host : candidates_) {
     const std::uint64_t hash = mixBits(endpoints.record(host).addressHash ^ request.key);
     const double unit = (static_cast<double>(hash >> 11) + 0.5) * 0x1.0p-53;
-    affinityRank_[host] = -std::log(unit) / drawWeight(host, *request.requestClass, endpoints);
+    affinityRank_[host] = -std::log(unit) / selectionWeight(host, *request.requestClass, endpoints);
   }
   std::partial_sort(candidates_.begin(), candidates_.begin() + static_cast<std::ptrdiff_t>(count),
                     candidates_.end(),
@@ -136,8 +136,8 @@
 
 // Beside many gateways this gateway's attempts in flight say little, every endpoint looks idle, and the own
 // zone would be overloaded; so the draw prefers endpoints that answer fast, and the own zone only slightly.
-HostId EndpointSelector::drawIdle(const PendingRequest& request, const EndpointRegistry& endpoints,
-                                  RandomSource& random) const {
+HostId EndpointSelector::selectIdle(const PendingRequest& request, const EndpointRegistry& endpoints,
+                                    RandomSource& random) const {
   double sum = 0;
   HostId chosen = kNone;
   for (HostId host : candidates_) {
@@ -146,7 +146,7 @@
       continue;
     const double zoneFactor = record.endpoint.zone == inputs_.settings.zone ? kLocalZoneFactor : 1;
     const double weight = zoneFactor * record.reportedLoad.selectionFraction *
-                          drawWeight(host, *request.requestClass, endpoints);
+                          selectionWeight(host, *request.requestClass, endpoints);
     sum += weight;
     if (random.drawUnit() * sum < weight)
       chosen = host;
@@ -154,8 +154,8 @@
   return chosen;
 }
 
-HostId EndpointSelector::drawLessLoaded(const PendingRequest& request, const EndpointRegistry& endpoints,
-                                        RandomSource& random) const {
+HostId EndpointSelector::selectLessLoaded(const PendingRequest& request, const EndpointRegistry& endpoints,
+                                          RandomSource& random) const {
   const HostId first = candidates_[random.drawBelow(candidates_.size())];
   const HostId second = candidates_[random.drawBelow(candidates_.size())];
   const RequestClass& requestClass = *request.requestClass;
@@ -166,8 +166,8 @@
   return firstLoad <= secondLoad ? first : second;
 }
 
-double EndpointSelector::drawWeight(HostId host, const RequestClass& requestClass,
-                                    const EndpointRegistry& endpoints) const {
+double EndpointSelector::selectionWeight(HostId host, const RequestClass& requestClass,
+                                         const EndpointRegistry& endpoints) const {
   const double relative = endpoints.record(host).serviceTime.relative;
   return inputs_.outliers.selectionFraction(host, requestClass) /
          std::max(relative * relative, kMinSquaredServiceTime);
--- a/src/balancer/endpoint_selector.hpp
+++ b/src/balancer/endpoint_selector.hpp
@@ -39,7 +39,7 @@
 
   /// Nothing is sent to the endpoint while others are ready.
   bool isUnavailable(const EndpointRecord& record, Time now) const {
-    return now < record.health.restUntil || !inputs_.connections.isReachable(record, now) ||
+    return now < record.health.pausedUntil || !inputs_.connections.isReachable(record, now) ||
            record.health.silent || record.health.state == HealthState::ejected ||
            (record.health.state == HealthState::probation && record.inFlight > 0);
   }
@@ -69,13 +69,14 @@
   HostId selectByKey(const PendingRequest& request, const EndpointRegistry& endpoints, RandomSource& random,
                      Time now);
   void sortByAffinity(const PendingRequest& request, const EndpointRegistry& endpoints, std::size_t count);
-  HostId drawIdle(const PendingRequest& request, const EndpointRegistry& endpoints,
-                  RandomSource& random) const;
-  HostId drawLessLoaded(const PendingRequest& request, const EndpointRegistry& endpoints,
-                        RandomSource& random) const;
+  HostId selectIdle(const PendingRequest& request, const EndpointRegistry& endpoints,
+                    RandomSource& random) const;
+  HostId selectLessLoaded(const PendingRequest& request, const EndpointRegistry& endpoints,
+                          RandomSource& random) const;
   std::size_t endpointsForKey(std::uint64_t key, const EndpointRegistry& endpoints) const;
 
-  double drawWeight(HostId host, const RequestClass& requestClass, const EndpointRegistry& endpoints) const;
+  double selectionWeight(HostId host, const RequestClass& requestClass,
+                         const EndpointRegistry& endpoints) const;
   bool isIdle(const EndpointRecord& record) const;
 
   Inputs inputs_;
--- a/src/balancer/load_shedder.cpp
+++ b/src/balancer/load_shedder.cpp
@@ -9,8 +9,8 @@
 // What one of many gateways has in flight varies by its square root, and the cubic would turn the variation
 // into rejections. With sparse samples full shedding comes this much later, and its beginning this much
 // earlier, so that the variation lies about the same maximum.
-constexpr double kSparseRange = 0.5;
-constexpr double kSparseEarlier = 0.25;
+constexpr double kSparseRangeExtension = 0.5;
+constexpr double kSparseStartShift = 0.25;
 constexpr double kErrorThreshold = 0.1;  // fraction of failed attempts: a few per cent is everyday noise
 constexpr double kErrorMaximum = 0.7;
 constexpr double kErrorPrior = 10;  // attempts assumed good, so that a handful of samples proves nothing
@@ -42,8 +42,8 @@
 
 void LoadShedder::updateThreshold(double inFlight, double maximum, double sampleConfidence) {
   const double sparseness = 1 - sampleConfidence;
-  const double inFlightOverload = (inFlight / maximum - kInFlightThreshold + kSparseEarlier * sparseness) /
-                                  (1 - kInFlightThreshold + kSparseRange * sparseness);
+  const double inFlightOverload = (inFlight / maximum - kInFlightThreshold + kSparseStartShift * sparseness) /
+                                  (1 - kInFlightThreshold + kSparseRangeExtension * sparseness);
   const double overload = std::clamp(std::max(inFlightOverload, errorOverload_), 0.0, 1.0);
   threshold_ = 100 * overload * overload * overload;
 }
--- a/src/balancer/load_shedder.hpp
+++ b/src/balancer/load_shedder.hpp
@@ -38,8 +38,8 @@
   /// Little or nothing is shed.
   bool hasSpareCapacity() const { return threshold_ <= 1; }
   /// Whether a text about the threshold is due: it has moved to another fifth of its range.
-  bool hasChangedStep() const { return step() != loggedStep_; }
-  void markLogged() { loggedStep_ = step(); }
+  bool hasChangedBand() const { return band() != loggedBand_; }
+  void markLogged() { loggedBand_ = band(); }
   double errorOverload() const { return errorOverload_; }
 
   void updateThreshold(double inFlight, double maximum, double sampleConfidence);
@@ -47,12 +47,12 @@
   void decayRanking(double gain) { ranking_.decay(gain); }
 
  private:
-  int step() const { return static_cast<int>(threshold_ / 20); }
+  int band() const { return static_cast<int>(threshold_ / 20); }
 
   PriorityRanking ranking_;
   double threshold_ = 0;
   double errorOverload_ = 0;
-  int loggedStep_ = 0;
+  int loggedBand_ = 0;
 };
 
 }  // namespace hollyrun::balancer
--- a/src/balancer/outlier_detector.cpp
+++ b/src/balancer/outlier_detector.cpp
@@ -15,8 +15,8 @@
 constexpr Duration kEjectionTime = std::chrono::seconds(1);  // doubled each time,
 constexpr int kMaxEjectionDoublings = 3;                     // up to so often
 constexpr double kSilenceFactor = 4;  // silent: nothing heard for this multiple of the expected time,
-constexpr Duration kMinSilence = std::chrono::milliseconds(150);  // and at least for this long
-constexpr Duration kFullRest = std::chrono::milliseconds(100);    // a few response times without load
+constexpr Duration kMinSilence = std::chrono::milliseconds(150);      // and at least for this long
+constexpr Duration kRejectionPause = std::chrono::milliseconds(100);  // a few response times without load
 
 bool isFailure(Outcome outcome) {
   return outcome == Outcome::timeout || outcome == Outcome::error || outcome == Outcome::connectFailed ||
@@ -31,7 +31,7 @@
   EndpointHealth& health = record.health;
   const bool failed = isFailure(outcome);
   const bool rejected = outcome == Outcome::rejected;
-  recordReply(health, outcome, now, random);
+  recordHostResponse(health, outcome, now, random);
   health.outcomes += 1;
   if (failed || rejected)
     health.errors += 1;
@@ -51,13 +51,14 @@
     actions.log(now, "host returned " + record.endpoint.address);
 }
 
-void OutlierDetector::recordReply(EndpointHealth& health, Outcome outcome, Time now, RandomSource& random) {
+void OutlierDetector::recordHostResponse(EndpointHealth& health, Outcome outcome, Time now,
+                                         RandomSource& random) {
   if (outcome == Outcome::served || outcome == Outcome::rejected || outcome == Outcome::error)
     health.lastHeardAt = now;
   if (outcome == Outcome::served)
     health.consecutiveRejections = 0;
   if (outcome == Outcome::rejected && ++health.consecutiveRejections >= kMaxConsecutiveRejections)
-    health.restUntil = now + scaled(kFullRest, 0.5 + random.drawUnit());
+    health.pausedUntil = now + scaled(kRejectionPause, 0.5 + random.drawUnit());
 }
 
 void OutlierDetector::recordClassResult(HostId host, RequestClass& requestClass, bool lost) {
--- a/src/balancer/outlier_detector.hpp
+++ b/src/balancer/outlier_detector.hpp
@@ -24,7 +24,7 @@
                     Time now, RandomSource& random, ActionList& actions) const;
 
   /// Whether a further rejection shows that the pool is full, and not only this endpoint.
-  static bool rejectionConcernsPool(const EndpointRecord& record) {
+  static bool rejectionIndicatesPoolOverload(const EndpointRecord& record) {
     return record.health.consecutiveRejections < kMaxConsecutiveRejections;
   }
 
@@ -52,7 +52,7 @@
 
   static void eject(EndpointRecord& record, const char* reason, Time now, RandomSource& random,
                     ActionList& actions);
-  static void recordReply(EndpointHealth& health, Outcome outcome, Time now, RandomSource& random);
+  static void recordHostResponse(EndpointHealth& health, Outcome outcome, Time now, RandomSource& random);
   static void recordClassResult(HostId host, RequestClass& requestClass, bool lost);
 
   double unhealthyCount_ = 0;  // ejected or in probation, as the sweep began
--- a/src/balancer/request_events.cpp
+++ b/src/balancer/request_events.cpp
@@ -83,7 +83,7 @@
 
 void Balancer::Impl::enqueueForKey(PendingRequest& request) {
   const std::size_t before = keySequencer_.enqueue(request.key, request.slot);
-  if (before > 0 && retries_.isHopeless(request, before, now_)) {
+  if (before > 0 && retries_.wouldFinishTooLate(request, before, now_)) {
     rejectOrFail(request, RejectReason::queueTooLong);
     return;
   }
@@ -123,7 +123,7 @@
     return RejectReason::attemptsExhausted;
   // A request with less time than an answer takes now gains little, takes the capacity of others and feeds an
   // overload. Without overload there is capacity to try.
-  if (!shedder_.hasSpareCapacity() && retries_.isHopeless(request, 0, now_))
+  if (!shedder_.hasSpareCapacity() && retries_.wouldFinishTooLate(request, 0, now_))
     return RejectReason::queueTooLong;
   const HostId host = selector_.select(request, endpoints_, random_, now_);
   if (host == kNone)
@@ -135,11 +135,11 @@
 void Balancer::Impl::startAttempt(PendingRequest& request, HostId host, Duration timeLimit) {
   EndpointRecord& record = endpoints_.record(host);
   slowStart_.spend(record, now_);
-  std::size_t idleStep = connections_.idleStep(record, now_);
-  if (connections_.isStale(idleStep)) {
+  std::size_t idleBucket = connections_.idleBucket(record, now_);
+  if (connections_.isStale(idleBucket)) {
     actions_.closeIdle(host);
     connections_.closeAll(record);
-    idleStep = 0;
+    idleBucket = 0;
   }
   // Computed before the new attempt counts as one that may have been executed.
   const Duration latestStart = retries_.latestRepeatStart(request) - now_;
@@ -148,7 +148,7 @@
                                             .inFlight = true,
                                             .mayHaveExecuted = true,
                                             .newConnection = !connections_.hasFreeConnection(record, now_),
-                                            .idleStep = idleStep};
+                                            .idleBucket = idleBucket};
   connections_.use(record, now_);
   if (!request.uploading)
     endpoints_.addAttempt(host, request);
@@ -193,7 +193,7 @@
     cancelAttempts(request);
   }
   if (request.ended) {
-    eraseIfOver(request);
+    eraseIfComplete(request);
     return;
   }
   if (request.responseStarted || request.attemptsInFlight > 0)
@@ -218,7 +218,7 @@
     concurrencyLimit_.recordServed(serviceTimes_.workOf(request), value);
   } else if (outcome == Outcome::rejected) {
     serviceTimes_.recordRejected(record, confidence);
-    if (OutlierDetector::rejectionConcernsPool(record))
+    if (OutlierDetector::rejectionIndicatesPoolOverload(record))
       concurrencyLimit_.recordRejection(outliers_.selectionFraction(host, requestClass));
   } else if (outcome == Outcome::timeout) {
     serviceTimes_.recordTimeout(record, requestClass, request.cost, seconds, confidence);
@@ -265,7 +265,7 @@
 
 // A rejection claims that a retry is harmless, so it needs proof; else the request fails.
 void Balancer::Impl::rejectOrFail(PendingRequest& request, RejectReason reason) {
-  if (RetryPolicy::isRetryHarmless(request)) {
+  if (RetryPolicy::isSafeToRetry(request)) {
     reject(request, reason);
     return;
   }
@@ -286,7 +286,7 @@
 void Balancer::Impl::finish(PendingRequest& request) {
   request.ended = true;
   cancelAttempts(request);
-  eraseIfOver(request);
+  eraseIfComplete(request);
 }
 
 // Work that can no longer be of use.
@@ -302,7 +302,7 @@
   }
 }
 
-void Balancer::Impl::eraseIfOver(const PendingRequest& request) {
+void Balancer::Impl::eraseIfComplete(const PendingRequest& request) {
   if (!request.ended || request.attemptsInFlight > 0)
     return;
   if (request.isOrderedPerKey())
--- a/src/balancer/request_table.cpp
+++ b/src/balancer/request_table.cpp
@@ -9,7 +9,7 @@
   }
   const std::uint32_t slot = freeSlots_.back();
   freeSlots_.pop_back();
-  slotOf_.emplace(id, slot);
+  slotById_.emplace(id, slot);
   return slots_[slot] = PendingRequest{.id = id, .slot = slot};
 }
 
--- a/src/balancer/request_table.hpp
+++ b/src/balancer/request_table.hpp
@@ -27,7 +27,7 @@
   bool mayHaveExecuted = false;
   bool cancelled = false;
   bool newConnection = false;
-  std::size_t idleStep = 0;  ///< of StaleConnectionEstimator, for the connection used; 0 = fresh or new
+  std::size_t idleBucket = 0;  ///< of StaleConnectionEstimator, for the connection used; 0 = fresh or new
 };
 
 struct PendingRequest {
@@ -59,20 +59,20 @@
 
 class RequestTable {
  public:
-  bool contains(RequestId request) const { return slotOf_.count(request) > 0; }
+  bool contains(RequestId request) const { return slotById_.count(request) > 0; }
 
   /// A new request under this id, with its slot set. References to other requests become invalid.
   PendingRequest& insert(RequestId id);
 
   PendingRequest* find(RequestId request) {
-    const auto found = slotOf_.find(request);
-    return found == slotOf_.end() ? nullptr : &slots_[found->second];
+    const auto found = slotById_.find(request);
+    return found == slotById_.end() ? nullptr : &slots_[found->second];
   }
   PendingRequest& atSlot(std::uint32_t slot) { return slots_[slot]; }
 
   /// The request's fields stay readable until the next insert.
   void erase(const PendingRequest& request) {
-    slotOf_.erase(request.id);
+    slotById_.erase(request.id);
     freeSlots_.push_back(request.slot);
   }
 
@@ -87,12 +87,12 @@
     return nullptr;
   }
 
-  std::size_t size() const { return slotOf_.size(); }
+  std::size_t size() const { return slotById_.size(); }
 
  private:
   std::vector<PendingRequest> slots_;
   std::vector<std::uint32_t> freeSlots_;
-  std::unordered_map<RequestId, std::uint32_t> slotOf_;
+  std::unordered_map<RequestId, std::uint32_t> slotById_;
 };
 
 }  // namespace hollyrun::balancer
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -26,7 +26,7 @@
   return now <= latestRepeatStart(request);
 }
 
-bool RetryPolicy::isRetryHarmless(const PendingRequest& request) {
+bool RetryPolicy::isSafeToRetry(const PendingRequest& request) {
   const ClassSettings& settings = request.requestClass->settings;
   if (std::ranges::none_of(request.attemptsMade(), &Attempt::mayHaveExecuted))
     return true;
--- a/src/balancer/retry_policy.hpp
+++ b/src/balancer/retry_policy.hpp
@@ -18,7 +18,7 @@
 
   /// Each new request adds to the retry budget; `requestsPerSecond` bounds what is saved.
   void recordArrival(double requestsPerSecond) {
-    budget_ = std::min(budget_ + kBudgetPerRequest, kSavedRetries + kBudgetPerRequest * requestsPerSecond);
+    budget_ = std::min(budget_ + kBudgetPerRequest, kBaseBudget + kBudgetPerRequest * requestsPerSecond);
   }
   bool hasBudget() const { return budget_ >= 1; }
   void spendBudget() { budget_ -= 1; }
@@ -30,7 +30,7 @@
            requestClass.settings.idempotency != Idempotency::none && requestClass.expectedServiceTime > 0;
   }
   static Duration hedgeDelay(const PendingRequest& request) {
-    return scaled(expectedTime(request), kHedgeExpectedTimes);
+    return scaled(expectedTime(request), kHedgeDelayFactor);
   }
   /// Evaluated when the hedged request is due: a reload may have forbidden hedging since its timer was set.
   bool mayHedge(const PendingRequest& request) const {
@@ -51,7 +51,7 @@
 
   /// The request and those before it in its queue would not be answered in time. One that waits past its last
   /// useful time blocks its key and is a late failure in the end.
-  bool isHopeless(const PendingRequest& request, std::size_t requestsBefore, Time now) const {
+  bool wouldFinishTooLate(const PendingRequest& request, std::size_t requestsBefore, Time now) const {
     return now + static_cast<Duration::rep>(requestsBefore + 1) * expectedTime(request) >=
            lastUsefulTime(request);
   }
@@ -80,7 +80,7 @@
   }
 
   /// Whether the client may send the request again: a rejection claims so, and needs proof.
-  static bool isRetryHarmless(const PendingRequest& request);
+  static bool isSafeToRetry(const PendingRequest& request);
 
  private:
   static bool allowsName(const std::optional<std::vector<std::string>>& allowed, const std::string& name) {
@@ -90,11 +90,11 @@
                        const EndpointRegistry& endpoints, Time now) const;
 
   static constexpr double kBudgetPerRequest = 0.3;  // retries per new request
-  static constexpr double kSavedRetries = 3;        // that may be saved, beyond those of a second
-  static constexpr double kHedgeExpectedTimes = 2.5;
+  static constexpr double kBaseBudget = 3;          // that may be saved, beyond those of a second
+  static constexpr double kHedgeDelayFactor = 2.5;
 
   const Settings& settings_;
-  double budget_ = kSavedRetries;
+  double budget_ = kBaseBudget;
 };
 
 }  // namespace hollyrun::balancer
--- a/src/balancer/service_time.cpp
+++ b/src/balancer/service_time.cpp
@@ -8,16 +8,16 @@
 // An answer counts as this many expected times at most, so that the slow few weigh less.
 constexpr double kSampleClip = 2;
 constexpr double kMaxRelativeSample = 20;
-constexpr double kTypePrior = 4;       // answers for which a machine type is assumed to be a usual one
-constexpr double kFadeGain = 0.05;     // per sweep without requests: fades in two seconds at least
-constexpr double kRelativeGain = 0.1;  // per answer: over an endpoint's last ten
+constexpr double kMachineTypePrior = 4;    // answers for which a machine type is assumed to be a usual one
+constexpr double kUnusedDecayGain = 0.05;  // per sweep without requests: fades in two seconds at least
+constexpr double kRelativeGain = 0.1;      // per answer: over an endpoint's last ten
 // One of many gateways meets an endpoint every few seconds; by ten answers it would learn too late. While
 // samples are sparse an endpoint's first answers weigh this much among those of the prior.
-constexpr double kSparseFirst = 2;
+constexpr double kSparseInitialGain = 2;
 constexpr double kRejectedFactor = 2;  // a rejection counts as this multiple of the relative service time
 // Per sweep; the least rises one per cent a second.
 constexpr double kMeanGain = 0.05;
-constexpr double kLeastRise = 0.001;
+constexpr double kMinExpectedRise = 0.001;
 
 }  // namespace
 
@@ -43,7 +43,7 @@
   const double sample = seconds / cost;
   if (expected <= 0)
     expected = sample;
-  learn(record, seconds / (expected * cost), confidence);
+  recordSample(record, seconds / (expected * cost), confidence);
   requestClass.answers += 1;
   expected += std::max(kServiceTimeGain, 1 / requestClass.answers) *
               (std::min(sample, kSampleClip * expected) - expected);
@@ -52,40 +52,40 @@
 // An endpoint that stays full, or drains before the list says so, holds little and would look idle.
 void ServiceTimeModel::recordRejected(EndpointRecord& record, double confidence) {
   const double slower = kRejectedFactor * record.serviceTime.relative;
-  learn(record, std::max(slower, record.machineType->relativeServiceTime), confidence);
+  recordSample(record, std::max(slower, record.machineType->relativeServiceTime), confidence);
 }
 
 void ServiceTimeModel::recordTimeout(EndpointRecord& record, const RequestClass& requestClass, double cost,
                                      double seconds, double confidence) {
   const double expected = requestClass.expectedServiceTime;
   if (expected > 0 && seconds > expected * cost)
-    learn(record, seconds / (expected * cost), confidence);
+    recordSample(record, seconds / (expected * cost), confidence);
 }
 
 // Losses count for the machine type as well, or an overloaded type, which answers little, would go on being
 // assumed to be a usual one. They are clipped, or the tenth of its endpoints that is stuck would keep
 // requests from the others at every gateway.
-void ServiceTimeModel::learn(EndpointRecord& record, double sample, double confidence) {
+void ServiceTimeModel::recordSample(EndpointRecord& record, double sample, double confidence) {
   sample = std::min(sample, kMaxRelativeSample);
   EndpointServiceTime& endpoint = record.serviceTime;
   endpoint.answers += 1;
-  endpoint.relative +=
-      std::max(kRelativeGain, kSparseFirst * (1 - confidence) / (endpoint.answers + kTypePrior)) *
-      (sample - endpoint.relative);
+  endpoint.relative += std::max(kRelativeGain, kSparseInitialGain * (1 - confidence) /
+                                                   (endpoint.answers + kMachineTypePrior)) *
+                       (sample - endpoint.relative);
   MachineTypeRecord& type = *record.machineType;
   type.answers += 1;
   type.relativeServiceTime +=
-      std::max(kServiceTimeGain, 1 / (type.answers + kTypePrior)) *
+      std::max(kServiceTimeGain, 1 / (type.answers + kMachineTypePrior)) *
       (std::min(sample, kSampleClip * type.relativeServiceTime) - type.relativeServiceTime);
 }
 
-void ServiceTimeModel::fadeUnused(EndpointRegistry& endpoints, double confidence, Time now) const {
+void ServiceTimeModel::decayUnused(EndpointRegistry& endpoints, double confidence, Time now) const {
   for (HostId host : endpoints.serving()) {
     EndpointRecord& record = endpoints.record(host);
     if (record.servedSinceSweep > 0 || record.inFlight > 0)
       continue;
     record.serviceTime.relative +=
-        kFadeGain * confidence * (assumedRelative(record, now) - record.serviceTime.relative);
+        kUnusedDecayGain * confidence * (assumedRelative(record, now) - record.serviceTime.relative);
   }
 }
 
@@ -105,8 +105,8 @@
   }
   expected_ = measured > 0 ? sum / measured : 0;
   meanExpected_ += (meanExpected_ > 0 ? kMeanGain : 1) * (expected_ - meanExpected_);
-  leastExpected_ =
-      leastExpected_ > 0 ? std::min(leastExpected_ * (1 + kLeastRise), meanExpected_) : meanExpected_;
+  minExpected_ =
+      minExpected_ > 0 ? std::min(minExpected_ * (1 + kMinExpectedRise), meanExpected_) : meanExpected_;
 }
 
 double ServiceTimeModel::workOf(const PendingRequest& request) const {
--- a/src/balancer/service_time.hpp
+++ b/src/balancer/service_time.hpp
@@ -26,7 +26,7 @@
 
   /// A relative service time learned in trouble keeps requests away, and without requests it would never
   /// change: it fades to what is assumed for an endpoint not measured.
-  void fadeUnused(EndpointRegistry& endpoints, double confidence, Time now) const;
+  void decayUnused(EndpointRegistry& endpoints, double confidence, Time now) const;
   void updateMedian(const EndpointRegistry& endpoints);
   void sweepClasses(const RequestClassTable& classes);
 
@@ -45,17 +45,17 @@
   /// Mean over the classes, in seconds; 0 before the first answer.
   double expected() const { return expected_; }
   /// The least that the expected time has lately been, in the mean over two seconds; seconds.
-  double leastExpected() const { return leastExpected_; }
+  double minExpected() const { return minExpected_; }
 
  private:
-  static void learn(EndpointRecord& record, double sample, double confidence);
+  static void recordSample(EndpointRecord& record, double sample, double confidence);
 
   const SlowStart& slowStart_;
   double meanWork_ = 0;  // seconds, over the recent arrivals
   double medianRelative_ = 1;
   double expected_ = 0;
   double meanExpected_ = 0;
-  double leastExpected_ = 0;
+  double minExpected_ = 0;
 };
 
 /// Time that the request is expected to take at a usual endpoint.
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double kColdLoad = 0.45;  // load of a cold endpoint, as a part of the multiple that overloads it
-constexpr double kProvenDecay = 0.997;     // per sweep: proven rates fade over half a minute
+constexpr double kPeakRateDecay = 0.997;   // per sweep: peakRate rates fade over half a minute
 constexpr double kMinWindowSeconds = 0.1;  // of the overload window
 
 }  // namespace
@@ -17,9 +17,9 @@
 double SlowStart::refill(EndpointRecord& record, double fallbackRate, Time now) const {
   SlowStartBudget& budget = record.slowStart;
   const double window = std::max(toSeconds(settings_.overloadWindow), kMinWindowSeconds);
-  const double known = record.machineType->throughput.proven;
-  const double proven = known > 0 ? known : fallbackRate;
-  const double rate = proven * rampFraction(record, now) * kColdLoad * settings_.overloadMultiple;
+  const double known = record.machineType->throughput.peakRate;
+  const double peakRate = known > 0 ? known : fallbackRate;
+  const double rate = peakRate * rampFraction(record, now) * kColdLoad * settings_.overloadMultiple;
   budget.tokens =
       std::min(budget.tokens + rate * toSeconds(now - budget.refilledAt), std::max(1.0, rate * window / 4));
   budget.refilledAt = now;
@@ -43,27 +43,27 @@
 }
 
 // When nearly all endpoints restart in a deployment, the last warm ones are overloaded, and their falling
-// rates would starve the cold ones that could help; hence the slow decay of the proven rate.
+// rates would starve the cold ones that could help; hence the slow decay of the peakRate rate.
 void SlowStart::sweepThroughput(EndpointRegistry& endpoints, double gain, Time now) const {
   for (auto& [name, machineType] : endpoints.machineTypes())
-    machineType.throughput.served = machineType.throughput.count = 0;
+    machineType.throughput.answers = machineType.throughput.endpointCount = 0;
   const std::vector<VirtualNode>& order = endpoints.subsetOrder();
   for (std::size_t i = 0; i < order.size(); ++i) {
     EndpointRecord& record = endpoints.record(order[i].host);
     const bool inUse = i < endpoints.activeSize();
     if (inUse && !isCold(record, now) && !record.health.isUnhealthy()) {
-      record.machineType->throughput.served += record.servedSinceSweep;
-      record.machineType->throughput.count += 1;
+      record.machineType->throughput.answers += record.servedSinceSweep;
+      record.machineType->throughput.endpointCount += 1;
     }
     record.servedSinceSweep = 0;
   }
   for (auto& [name, machineType] : endpoints.machineTypes()) {
     MachineTypeThroughput& throughput = machineType.throughput;
-    if (throughput.count > 0) {
-      const double perEndpoint = throughput.served / throughput.count / toSeconds(kSweepInterval);
+    if (throughput.endpointCount > 0) {
+      const double perEndpoint = throughput.answers / throughput.endpointCount / toSeconds(kSweepInterval);
       throughput.rate += gain * (perEndpoint - throughput.rate);
     }
-    throughput.proven = std::max(throughput.rate, throughput.proven * kProvenDecay);
+    throughput.peakRate = std::max(throughput.rate, throughput.peakRate * kPeakRateDecay);
   }
 }
 
--- a/src/balancer/slow_start.hpp
+++ b/src/balancer/slow_start.hpp
@@ -67,7 +67,7 @@
 
   /// A first request from every gateway at the same moment would be a burst; a random phase in [0, 1) spreads
   /// them.
-  void startProcess(EndpointRecord& record, double phase, Time now) const {
+  void resetForNewProcess(EndpointRecord& record, double phase, Time now) const {
     record.slowStart.tokens = phase;
     record.slowStart.refilledAt = now;
   }
--- a/src/balancer/timer_queue.hpp
+++ b/src/balancer/timer_queue.hpp
@@ -30,7 +30,7 @@
   void schedule(const Timer& timer) { timers_.push(timer); }
 
   /// Removes and returns the first timer that is due; none if no timer is.
-  std::optional<Timer> takeDue(Time now) {
+  std::optional<Timer> popDue(Time now) {
     if (timers_.empty() || timers_.top().at > now)
       return std::nullopt;
     const Timer timer = timers_.top();
--- a/tests/balancer/load_shedder_test.cpp
+++ b/tests/balancer/load_shedder_test.cpp
@@ -62,11 +62,11 @@
 
 TEST(LoadShedderTest, ATextIsDueOncePerFifthOfTheRange) {
   LoadShedder shedder;
-  EXPECT_FALSE(shedder.hasChangedStep());
+  EXPECT_FALSE(shedder.hasChangedBand());
   shedder.updateThreshold(100, 100, 1);
-  EXPECT_TRUE(shedder.hasChangedStep());
+  EXPECT_TRUE(shedder.hasChangedBand());
   shedder.markLogged();
-  EXPECT_FALSE(shedder.hasChangedStep());
+  EXPECT_FALSE(shedder.hasChangedBand());
 }
 
 }  // namespace
--- a/tests/balancer/outlier_detector_test.cpp
+++ b/tests/balancer/outlier_detector_test.cpp
@@ -80,13 +80,13 @@
 
 TEST_F(OutlierDetectorTest, ThreeRejectionsInARowRestTheEndpoint) {
   record(0, Outcome::rejected, 2);
-  EXPECT_TRUE(OutlierDetector::rejectionConcernsPool(endpoints_.record(0)));
-  EXPECT_EQ(endpoints_.record(0).health.restUntil, Time{});
+  EXPECT_TRUE(OutlierDetector::rejectionIndicatesPoolOverload(endpoints_.record(0)));
+  EXPECT_EQ(endpoints_.record(0).health.pausedUntil, Time{});
   record(0, Outcome::rejected);
-  EXPECT_FALSE(OutlierDetector::rejectionConcernsPool(endpoints_.record(0)));
-  EXPECT_GE(endpoints_.record(0).health.restUntil, now_ + milliseconds(50));
+  EXPECT_FALSE(OutlierDetector::rejectionIndicatesPoolOverload(endpoints_.record(0)));
+  EXPECT_GE(endpoints_.record(0).health.pausedUntil, now_ + milliseconds(50));
   record(0, Outcome::served);
-  EXPECT_TRUE(OutlierDetector::rejectionConcernsPool(endpoints_.record(0)));
+  EXPECT_TRUE(OutlierDetector::rejectionIndicatesPoolOverload(endpoints_.record(0)));
 }
 
 TEST_F(OutlierDetectorTest, AClassThatFailsAtOneEndpointLeavesItNotTheOthers) {
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -58,17 +58,17 @@
   attempted(true);
   settingsOfClass().idempotency = Idempotency::none;
   EXPECT_FALSE(isAllowed());
-  EXPECT_FALSE(RetryPolicy::isRetryHarmless(request_));
+  EXPECT_FALSE(RetryPolicy::isSafeToRetry(request_));
   settingsOfClass().idempotency = Idempotency::idempotent;
   EXPECT_TRUE(isAllowed());
-  EXPECT_TRUE(RetryPolicy::isRetryHarmless(request_));
+  EXPECT_TRUE(RetryPolicy::isSafeToRetry(request_));
 }
 
 TEST_F(RetryPolicyTest, ARequestThatWasNotExecutedIsRepeatedAnywhere) {
   attempted(false);
   settingsOfClass().idempotency = Idempotency::none;
   EXPECT_TRUE(isAllowed());
-  EXPECT_TRUE(RetryPolicy::isRetryHarmless(request_));
+  EXPECT_TRUE(RetryPolicy::isSafeToRetry(request_));
 }
 
 TEST_F(RetryPolicyTest, AKeyedRequestStaysInItsScopeAndWindow) {
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -39,8 +39,8 @@
 }
 
 TEST_F(SlowStartTest, AColdEndpointIsSentNoMoreThanItsTokensAllow) {
-  type_.throughput.proven = 100;
-  slowStart_.startProcess(record_, 0, seconds(100));
+  type_.throughput.peakRate = 100;
+  slowStart_.resetForNewProcess(record_, 0, seconds(100));
   EXPECT_FALSE(slowStart_.allows(record_, 0, seconds(100)));
   EXPECT_TRUE(slowStart_.allows(record_, 0, seconds(101)));
   int sent = 0;
--- a/tests/balancer/stale_connections_test.cpp
+++ b/tests/balancer/stale_connections_test.cpp
@@ -10,11 +10,11 @@
 using std::chrono::seconds;
 
 TEST(StaleConnectionEstimatorTest, StepsDoubleFromAQuarterOfASecond) {
-  EXPECT_EQ(StaleConnectionEstimator::stepOf(milliseconds(249)), 0u);
-  EXPECT_EQ(StaleConnectionEstimator::stepOf(milliseconds(250)), 1u);
-  EXPECT_EQ(StaleConnectionEstimator::stepOf(milliseconds(499)), 1u);
-  EXPECT_EQ(StaleConnectionEstimator::stepOf(milliseconds(500)), 2u);
-  EXPECT_EQ(StaleConnectionEstimator::stepOf(std::chrono::hours(1)), 7u);
+  EXPECT_EQ(StaleConnectionEstimator::bucketOf(milliseconds(249)), 0u);
+  EXPECT_EQ(StaleConnectionEstimator::bucketOf(milliseconds(250)), 1u);
+  EXPECT_EQ(StaleConnectionEstimator::bucketOf(milliseconds(499)), 1u);
+  EXPECT_EQ(StaleConnectionEstimator::bucketOf(milliseconds(500)), 2u);
+  EXPECT_EQ(StaleConnectionEstimator::bucketOf(std::chrono::hours(1)), 7u);
 }
 
 TEST(StaleConnectionEstimatorTest, LossesMakeLongerIdleTimesStaleAndShorterOnesNot) {
--- a/tests/balancer/timer_queue_test.cpp
+++ b/tests/balancer/timer_queue_test.cpp
@@ -14,11 +14,11 @@
   timers.schedule({seconds(3), 0, 30, TimerKind::deadline});
   timers.schedule({seconds(1), 1, 10, TimerKind::hedge});
   timers.schedule({seconds(2), 2, 20, TimerKind::keyQueue});
-  EXPECT_FALSE(timers.takeDue(milliseconds(999)));
-  EXPECT_EQ(timers.takeDue(seconds(2))->request, 10u);
-  EXPECT_EQ(timers.takeDue(seconds(2))->request, 20u);
-  EXPECT_FALSE(timers.takeDue(seconds(2)));
-  EXPECT_EQ(timers.takeDue(seconds(3))->kind, TimerKind::deadline);
+  EXPECT_FALSE(timers.popDue(milliseconds(999)));
+  EXPECT_EQ(timers.popDue(seconds(2))->request, 10u);
+  EXPECT_EQ(timers.popDue(seconds(2))->request, 20u);
+  EXPECT_FALSE(timers.popDue(seconds(2)));
+  EXPECT_EQ(timers.popDue(seconds(3))->kind, TimerKind::deadline);
 }
 
 TEST(TimerQueueTest, EqualTimesGoBySlot) {
@@ -26,7 +26,7 @@
   for (std::uint32_t slot : {2u, 0u, 1u})
     timers.schedule({seconds(1), slot, 100 + slot, TimerKind::deadline});
   for (std::uint32_t slot : {0u, 1u, 2u})
-    EXPECT_EQ(timers.takeDue(seconds(1))->slot, slot);
+    EXPECT_EQ(timers.popDue(seconds(1))->slot, slot);
 }
 
 TEST(TimerQueueTest, NextTimeSkipsRequestsThatAreOver) {
