--- a/src/balancer/endpoint_record.hpp
+++ b/src/balancer/endpoint_record.hpp
@@ -66,10 +66,10 @@
 
 /// Written by SlowStart.
 struct MachineTypeThroughput {
-  double served = 0;    // by warm endpoints since the last sweep,
-  double count = 0;     // and how many they are
-  double rate = 0;      // answers a second from a warm endpoint
-  double peakRate = 0;  // the highest rate lately
+  double answers = 0;        // answers of warm endpoints since the last sweep
+  double endpointCount = 0;  // number of those endpoints
+  double rate = 0;           // answers per second and warm endpoint
+  double peakRate = 0;       // recent maximum of the rate
 };
 
 /// The endpoints of one machine type.
--- a/src/balancer/endpoint_selector.cpp
+++ b/src/balancer/endpoint_selector.cpp
@@ -9,9 +9,11 @@
 namespace hollyrun::balancer {
 namespace {
 
-constexpr double kLocalZoneFactor = 2;       // in the draw: less than an endpoint 1.4 times as fast has
-constexpr std::size_t kMinKeyEndpoints = 3;  // endpoints that share one key at least,
-constexpr double kKeySpread = 2;             // and times those that its part of the traffic fills
+constexpr double kLocalZoneFactor = 2;  // weight of the local zone: about that of being 1.4 times as fast
+constexpr std::size_t kMinKeyEndpoints = 3;  // endpoints considered for a key
+// Endpoints considered for a frequent key, as a multiple of those that its fraction of the traffic would
+// fully use.
+constexpr double kKeySpread = 2;
 constexpr double kMinSquaredServiceTime = 0.01;
 constexpr double kMinServiceTime = 0.05;
 
@@ -24,7 +26,7 @@
 HostId EndpointSelector::select(const PendingRequest& request, EndpointRegistry& endpoints,
                                 RandomSource& random, Time now) {
   collectCandidates(request, Availability::required, endpoints, random, now);
-  // Without a healthy endpoint, any that the rules allow is better than none.
+  // Without an available endpoint, any endpoint that the rules allow is better than none.
   if (candidates_.empty())
     collectCandidates(request, Availability::ignored, endpoints, random, now);
   if (candidates_.empty())
@@ -38,9 +40,9 @@
   return host != kNone ? host : selectLessLoaded(request, endpoints, random);
 }
 
-// All endpoints; or, with candidates set, few of them: for a key those from its place on the ring on, which
-// is the same at all gateways, else some of this gateway's subset. Where these are not ready the scan goes
-// on.
+// Scans all endpoints or, with a candidate limit, only a few: for a key, those that follow its position on
+// the ring, which is the same at all gateways; otherwise a part of this gateway's subset. The scan continues
+// past endpoints that are not available.
 EndpointSelector::CandidateScan EndpointSelector::startScan(const PendingRequest& request,
                                                             const EndpointRegistry& endpoints,
                                                             RandomSource& random) const {
@@ -52,9 +54,9 @@
     const std::size_t subset = endpoints.subsetSize();
     return {order, subset, random.drawBelow(subset), std::min<std::size_t>(limit, subset)};
   }
-  // A frequent key has as many places as the endpoints that share it need.
-  const std::size_t places = endpointsForKey(request.key, endpoints) / limit + 1;
-  const std::uint64_t position = mixBits(request.key + random.drawBelow(places));
+  // A frequent key has several positions, as many as its endpoints need.
+  const std::size_t positions = endpointsForKey(request.key, endpoints) / limit + 1;
+  const std::uint64_t position = mixBits(request.key + random.drawBelow(positions));
   const std::vector<VirtualNode>& ring = endpoints.ring();
   const auto start = std::lower_bound(ring.begin(), ring.end(), VirtualNode{position, 0}) - ring.begin();
   return {ring, ring.size(), static_cast<std::size_t>(start), limit};
@@ -72,7 +74,7 @@
   for (std::size_t i = 0; i < scan.nodes.size() && !(foundIdle && candidates_.size() >= scan.wanted); ++i) {
     const HostId host = scan.at(i);
     if (std::exchange(lastScan_[host], scans_) == scans_)
-      continue;  // seen at another virtual node
+      continue;  // already examined at another virtual node
     EndpointRecord& record = endpoints.record(host);
     if (availability == Availability::required &&
         (isUnavailable(record, now) || std::ranges::count(request.attemptsMade(), host, &Attempt::host) > 0))
@@ -86,8 +88,9 @@
   }
 }
 
-// Endpoints that share a key: a frequent key needs more than one can serve. An endpoint used by nearly this
-// gateway alone is seen to be busy and the next one is used; beside many gateways no one of them sees that.
+// Number of endpoints that share a key, since the traffic of a frequent key may exceed the capacity of one
+// endpoint. A gateway that sends most of an endpoint's traffic can see that the endpoint is busy and uses the
+// next one. One of many gateways cannot see that, so it spreads the key in advance.
 std::size_t EndpointSelector::endpointsForKey(std::uint64_t key, const EndpointRegistry& endpoints) const {
   const double wanted = kKeySpread * inputs_.keyFrequency.fractionOf(key) * endpoints.servingCount() *
                         (1 - inputs_.arrivals.sampleConfidence());
@@ -100,7 +103,8 @@
   const std::size_t count = std::min(std::max(kMinKeyEndpoints, spread), candidates_.size());
   sortByAffinity(request, endpoints, count);
   const std::size_t start = spread > 1 ? random.drawBelow(std::min(spread, count)) : 0;
-  // An endpoint of a large fleet is used so seldom that nearly each request would open a connection.
+  // Endpoints of a large fleet are used so rarely that nearly every request would open a connection, so an
+  // endpoint with an open one is preferred.
   const bool isLargeFleet = endpoints.candidateLimit() > 0 && inputs_.settings.candidates == 0;
   for (std::size_t i = 0; isLargeFleet && i < count; ++i) {
     const HostId host = candidates_[(start + i) % count];
@@ -117,9 +121,10 @@
   return kNone;
 }
 
-// Keeps the first candidates of the key's weighted rendezvous order, nearly the same at all gateways. Without
-// weights every endpoint would get the same part of the keys, and gateways that share a large pool, none of
-// which sees that a small endpoint is busy, would overload it together.
+// Keeps the first `count` candidates in the key's order of weighted rendezvous hashing, which is nearly the
+// same at all gateways. Without weights every endpoint would receive the same share of the keys, and the
+// gateways of a large pool would together overload a small endpoint, since none of them can see that it is
+// busy.
 void EndpointSelector::sortByAffinity(const PendingRequest& request, const EndpointRegistry& endpoints,
                                       std::size_t count) {
   affinityRank_.resize(endpoints.records().size());
@@ -134,8 +139,9 @@
   candidates_.resize(count);
 }
 
-// Beside many gateways this gateway's attempts in flight say little, every endpoint looks idle, and the own
-// zone would be overloaded; so the draw prefers endpoints that answer fast, and the own zone only slightly.
+// Draws an idle endpoint, preferring fast endpoints and, only slightly, the local zone. In a large group of
+// gateways, the attempts of a single one say little about an endpoint's load: every endpoint looks idle, and
+// a strong preference would overload the local zone.
 HostId EndpointSelector::selectIdle(const PendingRequest& request, const EndpointRegistry& endpoints,
                                     RandomSource& random) const {
   double sum = 0;
@@ -173,7 +179,8 @@
          std::max(relative * relative, kMinSquaredServiceTime);
 }
 
-// An idle endpoint has no attempt of this gateway in flight; a fast one may have more.
+// Whether the endpoint has no attempt of this gateway in flight. An endpoint that is faster than the median
+// counts as idle with more attempts.
 bool EndpointSelector::isIdle(const EndpointRecord& record) const {
   const double allowed =
       inputs_.serviceTimes.medianRelative() / std::max(record.serviceTime.relative, kMinServiceTime);
--- a/src/balancer/endpoint_selector.hpp
+++ b/src/balancer/endpoint_selector.hpp
@@ -1,7 +1,8 @@
-/// Selects the endpoint of an attempt: candidates, key affinity, weighted draw, power of two choices.
+/// Selects the endpoint of an attempt: candidates, key affinity, weighted random selection, power of two
+/// choices.
 ///
-/// A request is sent to a random ready endpoint with few requests of this gateway, else to the less loaded of
-/// two drawn ones.
+/// A request is sent to a random available endpoint that is idle for this gateway; if there is none, to the
+/// less loaded of two random ones.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +22,7 @@
 
 class EndpointSelector {
  public:
-  /// The parts that a selection depends on.
+  /// The components that a selection depends on.
   struct Inputs {
     const Settings& settings;
     const ArrivalRate& arrivals;
@@ -34,10 +35,10 @@
   };
   explicit EndpointSelector(const Inputs& inputs) : inputs_(inputs) {}
 
-  /// kNone if the rules allow no endpoint. Refills the slow-start tokens of cold candidates.
+  /// Returns kNone if the rules allow no endpoint. Refills the slow-start tokens of cold candidates.
   HostId select(const PendingRequest& request, EndpointRegistry& endpoints, RandomSource& random, Time now);
 
-  /// Nothing is sent to the endpoint while others are ready.
+  /// Whether the endpoint receives no attempts while others are available.
   bool isUnavailable(const EndpointRecord& record, Time now) const {
     return now < record.health.pausedUntil || !inputs_.connections.isReachable(record, now) ||
            record.health.silent || record.health.state == HealthState::ejected ||
@@ -45,19 +46,19 @@
   }
 
  private:
-  /// The order in which a request looks at endpoints: from `start` on around the first `ownCount`, then the
-  /// others.
+  /// The order in which endpoints are examined: circularly from `start` through the first `primaryCount`
+  /// nodes, then the other nodes.
   struct CandidateScan {
     const std::vector<VirtualNode>& nodes;
-    std::size_t ownCount;
+    std::size_t primaryCount;
     std::size_t start;
-    std::size_t wanted;  // candidates, one of them idle, that end the scan
+    std::size_t wanted;  // number of candidates, one of them idle, that ends the scan
 
     HostId at(std::size_t index) const {
-      if (index >= ownCount)
+      if (index >= primaryCount)
         return nodes[index].host;
       const std::size_t shifted = index + start;
-      return nodes[shifted < ownCount ? shifted : shifted - ownCount].host;
+      return nodes[shifted < primaryCount ? shifted : shifted - primaryCount].host;
     }
   };
   enum class Availability { required, ignored };
@@ -80,10 +81,10 @@
   bool isIdle(const EndpointRecord& record) const;
 
   Inputs inputs_;
-  std::vector<HostId> candidates_;  // of the selection at work
+  std::vector<HostId> candidates_;  // of the current selection
   std::uint64_t scans_ = 0;
-  std::vector<std::uint64_t> lastScan_;  // by HostId: the scan that looked at it last
-  std::vector<double> affinityRank_;     // by HostId: of a candidate, for the request's key
+  std::vector<std::uint64_t> lastScan_;  // by HostId: number of the last scan that examined the endpoint
+  std::vector<double> affinityRank_;     // by HostId: rank of a candidate for the request's key
 };
 
 }  // namespace hollyrun::balancer
--- a/src/balancer/hash.hpp
+++ b/src/balancer/hash.hpp
@@ -6,7 +6,7 @@
 
 namespace hollyrun::balancer {
 
-/// The finisher of splitmix64: spreads every input bit over all output bits.
+/// The finalizer of splitmix64: every input bit affects all output bits.
 inline std::uint64_t mixBits(std::uint64_t value) {
   value += 0x9e3779b97f4a7c15ULL;
   value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -14,7 +14,7 @@
   return value ^ (value >> 31);
 }
 
-/// FNV-1a with mixed bits.
+/// FNV-1a, followed by mixBits.
 inline std::uint64_t hashText(std::string_view text) {
   std::uint64_t hash = 0xcbf29ce484222325ULL;
   for (unsigned char character : text)
--- a/src/balancer/key_frequency.hpp
+++ b/src/balancer/key_frequency.hpp
@@ -1,4 +1,4 @@
-/// Each key's fraction of the recent traffic.
+/// Measures the fraction of the recent traffic that each key accounts for.
 #pragma once
 
 #include <algorithm>
@@ -18,12 +18,13 @@
   /// Fraction of the recent requests that had this key, 0 to 1.
   double fractionOf(std::uint64_t key) const {
     const auto seen = static_cast<double>(std::count(recent_.begin(), recent_.end(), key));
-    // The first requests of all say little about the frequency of their keys.
+    // The lower bound on the divisor: the very first requests say little about the frequency of their keys.
     return seen / static_cast<double>(std::max(recent_.size(), kWindow / 4));
   }
 
  private:
-  static constexpr std::size_t kWindow = 256;  // requests: a key of one per cent of the traffic is seen
+  static constexpr std::size_t kWindow =
+      256;  // requests: enough to detect a key with one percent of the traffic
   std::deque<std::uint64_t> recent_;
 };
 
--- a/src/balancer/key_sequencer.hpp
+++ b/src/balancer/key_sequencer.hpp
@@ -1,8 +1,8 @@
-/// Orders requests that have to run one at a time per key.
+/// Orders requests that must be executed one at a time per key.
 ///
-/// A request stays in its key's queue until it is over and its attempts have ended; only the first of a queue
-/// is sent. After an attempt whose end is not certain the key rests for a cooldown. Without either, two
-/// requests of one key could run at the same time or out of order.
+/// A request stays in its key's queue until the request and all its attempts have ended; only the first
+/// request of a queue is sent. After an attempt that may still be executing, the key pauses for a cooldown.
+/// Without these two rules, two requests of one key could be executed concurrently or out of order.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 class KeySequencer {
  public:
-  /// Appends a request's slot to its key's queue; returns how many are before it.
+  /// Appends a request's slot to its key's queue; returns the number of requests before it.
   std::size_t enqueue(std::uint64_t key, std::uint32_t slot) {
     std::deque<std::uint32_t>& waiting = queues_[key].slots;
     waiting.push_back(slot);
@@ -28,13 +28,13 @@
     markDue(key);
   }
 
-  /// The key's queue is looked at by the next visitDue.
+  /// Marks the key's queue to be visited by the next visitDue.
   void markDue(std::uint64_t key) { dueKeys_.push_back(key); }
 
   void startCooldown(std::uint64_t key, Time until) { queues_[key].cooldownUntil = until; }
 
-  /// Calls `visit(slot, cooldownUntil)` for the first request of each key marked as due, also of those that
-  /// the visits mark.
+  /// Calls `visit(slot, cooldownUntil)` for the first request of each key marked as due, including keys that
+  /// the visits themselves mark.
   template <class Visit>
   void visitDue(Time now, Visit visit) {
     for (std::size_t i = 0; i < dueKeys_.size(); ++i) {
@@ -50,7 +50,7 @@
     dueKeys_.clear();
   }
 
-  /// Forgets the keys without requests whose cooldown is over.
+  /// Removes keys that have no requests and whose cooldown is over.
   void removeIdle(Time now) {
     std::erase_if(queues_, [now](const auto& entry) {
       return entry.second.slots.empty() && now >= entry.second.cooldownUntil;
--- a/src/balancer/load_shedder.cpp
+++ b/src/balancer/load_shedder.cpp
@@ -6,14 +6,16 @@
 namespace {
 
 constexpr double kInFlightThreshold = 0.5;  // fraction of the maximum in flight below which nothing is shed
-// What one of many gateways has in flight varies by its square root, and the cubic would turn the variation
-// into rejections. With sparse samples full shedding comes this much later, and its beginning this much
-// earlier, so that the variation lies about the same maximum.
+// The number of attempts that one of many gateways has in flight varies by about its square root, and the
+// cubic threshold would turn that variation into rejections. With sparse samples, the range from no to full
+// shedding is therefore wider and starts earlier, by these fractions of the maximum, so that the variation is
+// centred on the same maximum.
 constexpr double kSparseRangeExtension = 0.5;
 constexpr double kSparseStartShift = 0.25;
-constexpr double kErrorThreshold = 0.1;  // fraction of failed attempts: a few per cent is everyday noise
-constexpr double kErrorMaximum = 0.7;
-constexpr double kErrorPrior = 10;  // attempts assumed good, so that a handful of samples proves nothing
+constexpr double kErrorThreshold =
+    0.1;  // fraction of failed attempts that starts shedding; a few percent are normal
+constexpr double kErrorMaximum = 0.7;  // fraction of failed attempts that leads to full shedding
+constexpr double kErrorPrior = 10;     // attempts assumed successful, so that a few failures shed nothing
 
 }  // namespace
 
--- a/src/balancer/load_shedder.hpp
+++ b/src/balancer/load_shedder.hpp
@@ -1,7 +1,8 @@
-/// Load shedding: requests whose score lies below a threshold are rejected unsent.
+/// Load shedding: requests whose score is below a threshold are rejected without being sent.
 ///
 /// A score, 1 to 100, ranks a request by priority within the recent traffic, so that a threshold of t rejects
-/// about t per cent. The threshold is 100 x^3, x being the larger of the error and in-flight overloads.
+/// about t percent of it. The threshold is 100 x^3, where x is the larger of the error overload and the
+/// in-flight overload.
 #pragma once
 
 #include <string>
@@ -11,12 +12,12 @@
 
 namespace hollyrun::balancer {
 
-/// The recent traffic by priority weight.
+/// Ranks requests by priority weight within the recent traffic.
 class PriorityRanking {
  public:
-  /// Records a request; returns the fraction of the traffic, 0 to 1, that ranks below it. The draw, 0 to 1,
-  /// spreads each weight over its own band, so that equal weights share the loss and a higher one is never
-  /// shed first.
+  /// Records a request; returns the fraction of the traffic, 0 to 1, that ranks below it. `draw`, 0 to 1,
+  /// spreads requests of equal weight over the band of that weight, so that equal weights share the
+  /// rejections and a higher weight is never shed first.
   double rank(double priorityWeight, double draw);
   void decay(double gain);
 
@@ -25,19 +26,19 @@
     double priorityWeight = 0;
     double seen = 0;  // decayed count
   };
-  std::vector<Level> levels_;  // in order of weight
+  std::vector<Level> levels_;  // in ascending order of weight
 };
 
 class LoadShedder {
  public:
-  /// The score of a request, 1 to 100; `draw` uniform in [0, 1).
+  /// The score of a request, 1 to 100; `draw` must be uniform in [0, 1).
   double score(double priorityWeight, double draw) { return 1 + 99 * ranking_.rank(priorityWeight, draw); }
 
-  /// Scores below it are rejected, 0 to 100.
+  /// Requests with a lower score are rejected; 0 to 100.
   double threshold() const { return threshold_; }
-  /// Little or nothing is shed.
+  /// Whether little or nothing is shed.
   bool hasSpareCapacity() const { return threshold_ <= 1; }
-  /// Whether a text about the threshold is due: it has moved to another fifth of its range.
+  /// Whether a log line is due: the threshold has moved to another fifth of its range since the last one.
   bool hasChangedBand() const { return band() != loggedBand_; }
   void markLogged() { loggedBand_ = band(); }
   double errorOverload() const { return errorOverload_; }
--- a/src/balancer/outlier_detector.cpp
+++ b/src/balancer/outlier_detector.cpp
@@ -5,17 +5,22 @@
 namespace hollyrun::balancer {
 namespace {
 
-constexpr double kFailureGain = 0.12;          // per outcome: five failures on end make one half
-constexpr double kEjectionFailureRate = 0.45;  // ejects,
-constexpr double kEjectionPeerFactor = 2.5;  // if it is also this multiple of the better quarter of the pool
+constexpr double kFailureGain = 0.12;  // per outcome: five consecutive failures raise the rate to one half
+// An endpoint is ejected if its failure rate exceeds both this rate and this multiple of the lower quartile
+// of the pool.
+constexpr double kEjectionFailureRate = 0.45;
+constexpr double kEjectionPeerFactor = 2.5;
 constexpr double kRecoveredFailureRate = 0.05;
-constexpr double kClassGain = 0.25;  // per outcome of the class at the endpoint: three on end make a half
-constexpr double kPeersGain = 0.02;  // per outcome of the class anywhere: what its peers do, over fifty
-constexpr double kMaxEjected = 0.5;  // of the pool, so that a trouble of all endpoints never empties it
-constexpr Duration kEjectionTime = std::chrono::seconds(1);  // doubled each time,
-constexpr int kMaxEjectionDoublings = 3;                     // up to so often
-constexpr double kSilenceFactor = 4;  // silent: nothing heard for this multiple of the expected time,
-constexpr Duration kMinSilence = std::chrono::milliseconds(150);      // and at least for this long
+constexpr double kClassGain = 0.25;  // per outcome of the class at the endpoint: three failures make one half
+constexpr double kPeersGain = 0.02;  // per outcome of the class at any endpoint: averages over about fifty
+// Fraction of the pool that may be ejected, so that a failure of all endpoints never empties the pool.
+constexpr double kMaxEjected = 0.5;
+constexpr Duration kEjectionTime = std::chrono::seconds(1);  // doubled for each consecutive ejection
+constexpr int kMaxEjectionDoublings = 3;
+// An endpoint is silent after this multiple of the expected service time without a response, and after no
+// less than kMinSilence.
+constexpr double kSilenceFactor = 4;
+constexpr Duration kMinSilence = std::chrono::milliseconds(150);
 constexpr Duration kRejectionPause = std::chrono::milliseconds(100);  // a few response times without load
 
 bool isFailure(Outcome outcome) {
@@ -42,13 +47,13 @@
   if (health.state != HealthState::probation || rejected)
     return;
   if (failed) {
-    eject(record, "trial failed", now, random, actions);
+    eject(record, "failure in probation", now, random, actions);
     return;
   }
   health.state = HealthState::healthy;
   health.failureRate = 0;
   if (actions.mayLog(now))
-    actions.log(now, "host returned " + record.endpoint.address);
+    actions.log(now, "host recovered " + record.endpoint.address);
 }
 
 void OutlierDetector::recordHostResponse(EndpointHealth& health, Outcome outcome, Time now,
@@ -61,12 +66,12 @@
     health.pausedUntil = now + scaled(kRejectionPause, 0.5 + random.drawUnit());
 }
 
-void OutlierDetector::recordClassResult(HostId host, RequestClass& requestClass, bool lost) {
-  const double sample = lost ? 1 : 0;
+void OutlierDetector::recordClassResult(HostId host, RequestClass& requestClass, bool failed) {
+  const double sample = failed ? 1 : 0;
   const auto known = requestClass.endpointFailureRates.find(host);
   if (known != requestClass.endpointFailureRates.end())
     known->second += kClassGain * (sample - known->second);
-  else if (lost)
+  else if (failed)
     requestClass.endpointFailureRates.emplace(host, kClassGain);
   requestClass.failureRate += kPeersGain * (sample - requestClass.failureRate);
 }
@@ -95,7 +100,7 @@
   }
 }
 
-// A paused or lost endpoint would otherwise gather requests until they time out.
+// Without this check, a paused or lost endpoint would accumulate requests until they time out.
 void OutlierDetector::detectSilence(EndpointRegistry& endpoints, const RequestTable& requests,
                                     double expectedServiceTime, Time now) const {
   for (HostId host : endpoints.busy()) {
@@ -107,7 +112,7 @@
   }
 }
 
-// Endpoints are compared with their peers, so that a trouble of all endpoints ejects none.
+// Compares endpoints with their peers, so that a failure common to all endpoints ejects none.
 void OutlierDetector::ejectOutliers(EndpointRegistry& endpoints, Time now, RandomSource& random,
                                     ActionList& actions) const {
   const double peerRate =
@@ -120,7 +125,7 @@
     if (health.state != HealthState::healthy || unhealthy + 1 > kMaxEjected * endpoints.servingCount())
       continue;
     if (health.failureRate > limit) {
-      eject(record, "failing", now, random, actions);
+      eject(record, "high failure rate", now, random, actions);
       ++unhealthy;
     } else if (health.ejections > 0 && health.failureRate < kRecoveredFailureRate &&
                now > health.ejectedUntil + 4 * kEjectionTime) {
--- a/src/balancer/outlier_detector.hpp
+++ b/src/balancer/outlier_detector.hpp
@@ -1,5 +1,5 @@
-/// Outlier detection: failure rates of endpoints and of classes at endpoints, ejection, probation and
-/// silence.
+/// Outlier detection: tracks failure rates per endpoint and per class at an endpoint, ejects outliers,
+/// readmits them through probation and detects endpoints that have stopped responding.
 #pragma once
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 
 class OutlierDetector {
  public:
-  /// Outcomes that say nothing about the endpoint are ignored.
+  /// Whether the outcome says anything about the endpoint.
   static bool isEvidence(Outcome outcome) {
     return outcome != Outcome::cancelled && outcome != Outcome::abandoned && outcome != Outcome::localFailure;
   }
@@ -23,7 +23,7 @@
   void recordResult(EndpointRecord& record, HostId host, RequestClass& requestClass, Outcome outcome,
                     Time now, RandomSource& random, ActionList& actions) const;
 
-  /// Whether a further rejection shows that the pool is full, and not only this endpoint.
+  /// Whether a further rejection indicates that the whole pool is full, and not only this endpoint.
   static bool rejectionIndicatesPoolOverload(const EndpointRecord& record) {
     return record.health.consecutiveRejections < kMaxConsecutiveRejections;
   }
@@ -34,8 +34,9 @@
                      Time now) const;
   void ejectOutliers(EndpointRegistry& endpoints, Time now, RandomSource& random, ActionList& actions) const;
 
-  /// Part of its draws that an endpoint keeps for a class, 0.03 to 1: less as it fails that class more than
-  /// its peers do. An endpoint may fail one class and serve the others; its mean over all would hide that.
+  /// Factor on the probability of selecting an endpoint for a class, 0.03 to 1: the lower, the more often the
+  /// endpoint fails this class compared with its peers. An endpoint may fail one class and serve the others,
+  /// which its mean over all classes would hide.
   double selectionFraction(HostId host, const RequestClass& requestClass) const {
     const auto failures = requestClass.endpointFailureRates.find(host);
     if (failures == requestClass.endpointFailureRates.end())
@@ -46,16 +47,17 @@
   }
 
  private:
-  static constexpr int kMaxConsecutiveRejections = 3;    // not a short peak: the endpoint rests
-  static constexpr double kPeerTolerance = 1.5;          // multiple of the peers' rate that is noise
-  static constexpr double kMinSelectionFraction = 0.03;  // a trickle shows when it is healthy again
+  static constexpr int kMaxConsecutiveRejections = 3;  // more are not a short peak: the endpoint is paused
+  static constexpr double kPeerTolerance =
+      1.5;  // multiple of the peers' failure rate that is tolerated as noise
+  static constexpr double kMinSelectionFraction = 0.03;  // keeps some traffic, to detect recovery
 
   static void eject(EndpointRecord& record, const char* reason, Time now, RandomSource& random,
                     ActionList& actions);
   static void recordHostResponse(EndpointHealth& health, Outcome outcome, Time now, RandomSource& random);
-  static void recordClassResult(HostId host, RequestClass& requestClass, bool lost);
+  static void recordClassResult(HostId host, RequestClass& requestClass, bool failed);
 
-  double unhealthyCount_ = 0;  // ejected or in probation, as the sweep began
+  double unhealthyCount_ = 0;  // endpoints ejected or in probation at the start of the sweep
 };
 
 }  // namespace hollyrun::balancer
--- a/src/balancer/random_source.hpp
+++ b/src/balancer/random_source.hpp
@@ -1,4 +1,4 @@
-/// The only source of random numbers of a Balancer: the same seed gives the same draws.
+/// The only source of random numbers of a Balancer; the same seed produces the same sequence.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,7 @@
 
 namespace hollyrun::balancer {
 
-/// The standard distributions differ between standard libraries, so the draws are computed here.
+/// Computes its own distributions, since those of the standard differ between library implementations.
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
--- a/src/balancer/reported_load.hpp
+++ b/src/balancer/reported_load.hpp
@@ -1,8 +1,8 @@
-/// What endpoint weights that fall with load say about how busy the endpoints are.
+/// Derives the load of endpoints from endpoint weights that fall with load.
 ///
-/// Such weights show what an endpoint holds for all gateways together, some time ago. An endpoint that all
-/// gateways avoid at the same time empties and looks best next, so that the load would oscillate; for this
-/// reason each report changes its selection fraction only a little.
+/// Such weights show, with a delay, the load that all gateways together put on an endpoint. If all gateways
+/// avoided a loaded endpoint at the same time, it would become idle and then attract all of them, and the
+/// load would oscillate. Each report therefore changes the endpoint's selection fraction only a little.
 #pragma once
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 
 class ReportedLoad {
  public:
-  /// Applies a new list's weight of an endpoint.
+  /// Applies an endpoint's weight from a new list.
   void applyReport(EndpointRecord& record, double weight) const {
     EndpointReportedLoad& reported = record.reportedLoad;
     reported.load = record.machineType->largestWeight / std::max(weight, 0.001);
@@ -29,10 +29,11 @@
   }
 
  private:
-  static constexpr double kOverloaded = 1.5;    // times the median load: too much
-  static constexpr double kReduction = 0.5;     // power of the excess by which each report cuts the fraction
-  static constexpr double kRecovery = 1.1;      // and the factor of its way back
-  static constexpr double kMinFraction = 0.05;  // a trickle, or an improvement would never be noticed
+  static constexpr double kOverloaded = 1.5;  // multiple of the median load
+  static constexpr double kReduction =
+      0.5;                                  // exponent of the excess that each report reduces the fraction by
+  static constexpr double kRecovery = 1.1;  // factor by which each report raises the fraction again
+  static constexpr double kMinFraction = 0.05;  // keeps some traffic, to detect an improvement
 
   double medianLoad_ = 1;
 };
--- a/src/balancer/request_class.cpp
+++ b/src/balancer/request_class.cpp
@@ -7,7 +7,7 @@
 namespace hollyrun::balancer {
 namespace {
 
-// A request of a class that is not in the settings is never repeated and has the lowest priority.
+// Requests of a class that is not in the settings are never repeated and have the lowest priority.
 ClassSettings unknownClass(const ClassSettings& pattern) {
   ClassSettings unknown = pattern;
   unknown.name.clear();
--- a/src/balancer/request_class.hpp
+++ b/src/balancer/request_class.hpp
@@ -1,4 +1,4 @@
-/// The request classes of the settings and what was learned about each of them.
+/// The request classes of the settings and the statistics about each of them.
 #pragma once
 
 #include <cstdint>
@@ -10,28 +10,28 @@
 
 namespace hollyrun::balancer {
 
-/// Written by the part that is named at each group of fields.
+/// Each group of fields is written only by the component that its comment names.
 struct RequestClass {
   ClassSettings settings;
-  ClientWaitEstimator clientWait;  // the Balancer
+  ClientWaitEstimator clientWait;  // Balancer
 
   // ServiceTimeModel
   double expectedServiceTime = 0;  // seconds; zero until the first answer
-  double answers = 0;              // from which it was estimated
-  double meanCost = 0;             // seconds, of the cost hints
+  double answers = 0;              // number of samples of expectedServiceTime
+  double meanCost = 0;             // seconds, mean of the cost hints
 
   // OutlierDetector
-  double failureRate = 0;                                   // of the recent attempts, over all endpoints
+  double failureRate = 0;                                   // of recent attempts at all endpoints, 0 to 1
   std::unordered_map<HostId, double> endpointFailureRates;  // only of endpoints where an attempt failed
 };
 
 class RequestClassTable {
  public:
-  /// Requests under way keep the class that they came with; a class whose settings changed gets a new record
-  /// with a copy of what was learned.
+  /// Open requests keep the class settings that they arrived with: a class whose settings have changed gets a
+  /// new record with a copy of the statistics.
   void applySettings(const Settings& settings);
 
-  /// An index beyond the settings' classes stands for the class of unknown requests.
+  /// An index out of range returns the unknown class.
   const std::shared_ptr<RequestClass>& at(std::uint32_t classIndex) const {
     return classes_[std::min<std::size_t>(classIndex, classes_.size() - 1)];
   }
@@ -40,7 +40,7 @@
   auto end() const { return classes_.end(); }
 
  private:
-  std::vector<std::shared_ptr<RequestClass>> classes_;  // those of the settings; last the unknown class
+  std::vector<std::shared_ptr<RequestClass>> classes_;  // the classes of the settings, then the unknown class
 };
 
 }  // namespace hollyrun::balancer
--- a/src/balancer/request_events.cpp
+++ b/src/balancer/request_events.cpp
@@ -1,4 +1,4 @@
-// Events of requests and attempts: from arrival to the end of the last attempt.
+// Handles the events of requests and attempts, from a request's arrival to the end of its last attempt.
 #include <algorithm>
 
 #include "balancer/balancer_impl.hpp"
@@ -7,10 +7,10 @@
 namespace hollyrun::balancer {
 namespace {
 
-// The longest time that an upload may take: 32 MB at 64 kB a second, and a little more.
+// Maximum time for an upload: 32 MB at 64 kB per second take 500 seconds; the rest is a margin.
 constexpr Duration kMaxUploadTime = std::chrono::minutes(10);
 
-// Zero would make ratios of times meaningless.
+// Lower bound of elapsed times: ratios of times are meaningless for zero.
 constexpr double kMinElapsedSeconds = 1e-6;
 
 }  // namespace
@@ -49,7 +49,7 @@
   const Duration waited = requestClass.clientWait.record(event.remaining, settings.clientTimeout);
   request.objectiveAt =
       now_ - waited + settings.latencyObjective + scaled(event.cost, settings.objectiveStretch);
-  // Where late answers have value, the time that counts extends beyond the objective by that fraction.
+  // Where late answers have value, the objective is extended by that fraction of the late time.
   const Duration lateTime = std::min(requestClass.clientWait.usualRemaining() - settings.latencyObjective,
                                      settings.latencyObjective);
   concurrencyLimit_.recordArrival(settings.latencyObjective + scaled(lateTime, settings.lateValueFraction));
@@ -67,7 +67,7 @@
   updateThreshold();
 }
 
-// The value that an answer can still have, and less beyond the tenant's quota.
+// The priority weight, reduced if the answer will be late or the tenant is beyond its quota.
 double Balancer::Impl::effectivePriority(const PendingRequest& request, std::uint32_t tenantIndex) {
   const ClassSettings& settings = request.requestClass->settings;
   double priority = settings.priorityWeight;
@@ -82,8 +82,8 @@
 }
 
 void Balancer::Impl::enqueueForKey(PendingRequest& request) {
-  const std::size_t before = keySequencer_.enqueue(request.key, request.slot);
-  if (before > 0 && retries_.wouldFinishTooLate(request, before, now_)) {
+  const std::size_t requestsBefore = keySequencer_.enqueue(request.key, request.slot);
+  if (requestsBefore > 0 && retries_.wouldFinishTooLate(request, requestsBefore, now_)) {
     rejectOrFail(request, RejectReason::queueTooLong);
     return;
   }
@@ -114,15 +114,15 @@
     schedule(now_ + RetryPolicy::hedgeDelay(request), request, TimerKind::hedge);
 }
 
-// Why the request was not sent; `none` if it was.
+// Returns why the request was not sent; `none` if it was.
 RejectReason Balancer::Impl::send(PendingRequest& request) {
   const Time lastUsefulTime = retries_.lastUsefulTime(request);
   if (lastUsefulTime <= now_)
     return RejectReason::deadlineExceeded;
   if (!retries_.hasAttemptsLeft(request))
     return RejectReason::attemptsExhausted;
-  // A request with less time than an answer takes now gains little, takes the capacity of others and feeds an
-  // overload. Without overload there is capacity to try.
+  // During an overload, a request with less time left than an answer currently takes has little chance, takes
+  // capacity from others and prolongs the overload. Without overload there is capacity to try.
   if (!shedder_.hasSpareCapacity() && retries_.wouldFinishTooLate(request, 0, now_))
     return RejectReason::queueTooLong;
   const HostId host = selector_.select(request, endpoints_, random_, now_);
@@ -141,7 +141,7 @@
     connections_.closeAll(record);
     idleBucket = 0;
   }
-  // Computed before the new attempt counts as one that may have been executed.
+  // Must be computed before the new attempt is recorded as one that may have been executed.
   const Duration latestStart = retries_.latestRepeatStart(request) - now_;
   request.attempts[request.attemptCount] = {.host = host,
                                             .sentAt = now_,
@@ -157,7 +157,7 @@
   ++request.attemptCount;
 }
 
-// Why the request was not sent again; `none` if it was.
+// Returns why the request was not sent again; `none` if it was.
 RejectReason Balancer::Impl::resend(PendingRequest& request, Outcome outcome) {
   if (outcome == Outcome::abandoned)
     return RejectReason::abandoned;
@@ -203,7 +203,8 @@
     rejectOrFail(request, reason);
 }
 
-// The parts learn from an outcome in this order: a rejection's weight goes by what was known before it.
+// Updates the statistics with an outcome. The order matters: the weight of a rejection is based on the
+// failure rates before it.
 void Balancer::Impl::recordOutcome(HostId host, const PendingRequest& request, const Attempt& attempt,
                                    const AttemptResult& result) {
   EndpointRecord& record = endpoints_.record(host);
@@ -263,7 +264,7 @@
     finish(*request);
 }
 
-// A rejection claims that a retry is harmless, so it needs proof; else the request fails.
+// A rejection asserts that a retry is safe. Where that is not proven, the request fails instead.
 void Balancer::Impl::rejectOrFail(PendingRequest& request, RejectReason reason) {
   if (RetryPolicy::isSafeToRetry(request)) {
     reject(request, reason);
@@ -273,7 +274,7 @@
   finish(request);
 }
 
-// Retry-after lengthens as the score falls; with jitter, or all retries would come at the same time.
+// The lower the score, the longer the retry-after. Jitter keeps the retries from arriving at the same time.
 void Balancer::Impl::reject(PendingRequest& request, RejectReason reason) {
   Duration retryAfter{};
   if (settings_.retryAfter)
@@ -289,7 +290,7 @@
   eraseIfComplete(request);
 }
 
-// Work that can no longer be of use.
+// Cancels attempts whose answers are no longer needed.
 void Balancer::Impl::cancelAttempts(PendingRequest& request, std::uint32_t exceptAttempt) {
   if (!settings_.cancel)
     return;
--- a/src/balancer/request_table.hpp
+++ b/src/balancer/request_table.hpp
@@ -1,4 +1,4 @@
-/// The requests and attempts under way.
+/// The open requests and their attempts.
 #pragma once
 
 #include <array>
@@ -12,7 +12,7 @@
 
 namespace hollyrun::balancer {
 
-inline constexpr std::size_t kMaxAttempts = 8;  // kept for one request
+inline constexpr std::size_t kMaxAttempts = 8;  // recorded per request
 
 /// Whether the outcome proves that the attempt was not executed.
 inline bool provesNotExecuted(Outcome outcome) {
@@ -27,20 +27,21 @@
   bool mayHaveExecuted = false;
   bool cancelled = false;
   bool newConnection = false;
-  std::size_t idleBucket = 0;  ///< of StaleConnectionEstimator, for the connection used; 0 = fresh or new
+  std::size_t idleBucket = 0;  ///< StaleConnectionEstimator bucket of the connection used; 0 = fresh or new
 };
 
 struct PendingRequest {
   RequestId id = 0;
   std::uint32_t slot = 0;
-  std::shared_ptr<RequestClass> requestClass{};  ///< as the settings had it when the request arrived
-  Time deadline{};                               ///< the client gives up
-  Time objectiveAt{};                            ///< an answer loses value after this
+  std::shared_ptr<RequestClass> requestClass{};  ///< with the settings at the request's arrival
+  Time deadline{};                               ///< the client stops waiting
+  Time objectiveAt{};                            ///< time after which an answer loses value
   double cost = 0;                               ///< relative to the mean of the class
   double score = 0;                              ///< 1 to 100, by priority within the recent traffic
   std::uint64_t key = 0;
   bool hasKey = false;
-  bool ended = false;            ///< the client's answer is decided, or it is gone; attempts may be in flight
+  bool ended = false;  ///< the client's answer is decided or the client has disconnected; attempts may be in
+                       ///< flight
   bool responseStarted = false;  ///< an attempt's answer is being streamed to the client
   bool uploading = false;
   std::array<Attempt, kMaxAttempts> attempts{};
@@ -51,7 +52,7 @@
   bool isOrderedPerKey() const { return hasKey && requestClass->settings.orderedPerKey; }
 };
 
-/// Names an attempt by its request; void once the request has left the slot.
+/// Refers to a request of an attempt; invalid once the request's slot is reused.
 struct RequestReference {
   std::uint32_t slot = 0;
   RequestId request = 0;
@@ -61,7 +62,7 @@
  public:
   bool contains(RequestId request) const { return slotById_.count(request) > 0; }
 
-  /// A new request under this id, with its slot set. References to other requests become invalid.
+  /// Adds a request with this id and sets its slot. C++ references to other requests become invalid.
   PendingRequest& insert(RequestId id);
 
   PendingRequest* find(RequestId request) {
@@ -70,13 +71,13 @@
   }
   PendingRequest& atSlot(std::uint32_t slot) { return slots_[slot]; }
 
-  /// The request's fields stay readable until the next insert.
+  /// Removes the request. Its fields stay readable until the next insert.
   void erase(const PendingRequest& request) {
     slotById_.erase(request.id);
     freeSlots_.push_back(request.slot);
   }
 
-  /// The request's attempt in flight at the endpoint; null if there is none.
+  /// Returns the request's attempt in flight at the endpoint; null if there is none.
   const Attempt* findInFlight(RequestReference reference, HostId host) const {
     const PendingRequest& request = slots_[reference.slot];
     if (request.id != reference.request)
--- a/src/balancer/retry_policy.hpp
+++ b/src/balancer/retry_policy.hpp
@@ -1,5 +1,5 @@
-/// Whether and until when a request may be sent (again): retry budget, idempotency, hedging, last useful
-/// time.
+/// Decides whether, where and until when a request may be sent or sent again: retry budget, idempotency,
+/// hedging, placement rules and last useful time.
 #pragma once
 
 #include <algorithm>
@@ -16,14 +16,14 @@
  public:
   explicit RetryPolicy(const Settings& settings) : settings_(settings) {}
 
-  /// Each new request adds to the retry budget; `requestsPerSecond` bounds what is saved.
+  /// Adds to the retry budget for a new request; `requestsPerSecond` bounds the unused budget.
   void recordArrival(double requestsPerSecond) {
     budget_ = std::min(budget_ + kBudgetPerRequest, kBaseBudget + kBudgetPerRequest * requestsPerSecond);
   }
   bool hasBudget() const { return budget_ >= 1; }
   void spendBudget() { budget_ -= 1; }
 
-  /// Whether a hedged request is to be prepared for a request just sent.
+  /// Whether a hedged request is to be scheduled for a request that was just sent.
   bool shouldPlanHedge(const PendingRequest& request) const {
     const RequestClass& requestClass = *request.requestClass;
     return settings_.allowHedging && !request.uploading &&
@@ -32,7 +32,8 @@
   static Duration hedgeDelay(const PendingRequest& request) {
     return scaled(expectedTime(request), kHedgeDelayFactor);
   }
-  /// Evaluated when the hedged request is due: a reload may have forbidden hedging since its timer was set.
+  /// Whether a hedged request that is due may be sent: a reload may have disabled hedging since it was
+  /// scheduled.
   bool mayHedge(const PendingRequest& request) const {
     return settings_.allowHedging && request.attemptsInFlight == 1 && hasBudget();
   }
@@ -41,7 +42,7 @@
     return request.attemptCount < std::min<std::size_t>(settings_.maxAttempts, kMaxAttempts);
   }
 
-  /// Latest time at which an answer has value and still reaches the client.
+  /// Latest time at which an answer still has value and reaches the client in time.
   Time lastUsefulTime(const PendingRequest& request) const {
     const Time end = request.deadline - 2 * settings_.step;
     if (request.requestClass->settings.lateValueFraction > 0)
@@ -49,14 +50,14 @@
     return std::min(end, request.objectiveAt - 2 * settings_.step);
   }
 
-  /// The request and those before it in its queue would not be answered in time. One that waits past its last
-  /// useful time blocks its key and is a late failure in the end.
+  /// Whether the request, after `requestsBefore` others in its queue, is expected to be answered too late. A
+  /// request that waits past its last useful time blocks its key and fails late anyway.
   bool wouldFinishTooLate(const PendingRequest& request, std::size_t requestsBefore, Time now) const {
     return now + static_cast<Duration::rep>(requestsBefore + 1) * expectedTime(request) >=
            lastUsefulTime(request);
   }
 
-  /// Latest time at which a keyed request that may have been executed may start again.
+  /// Latest time at which a keyed request that may have been executed may be sent again.
   Time latestRepeatStart(const PendingRequest& request) const {
     const ClassSettings& settings = request.requestClass->settings;
     if (settings.idempotency != Idempotency::keyed)
@@ -68,8 +69,8 @@
     return latest;
   }
 
-  /// The class's rules on placement and repeats allow the request at this endpoint now. Called for each
-  /// candidate of each request, hence inline.
+  /// Whether the class's rules on placement and repeats allow the request at this endpoint now. Inline
+  /// because it is called for each candidate of each request.
   bool isAllowed(const PendingRequest& request, const Endpoint& endpoint, const EndpointRegistry& endpoints,
                  Time now) const {
     const ClassSettings& settings = request.requestClass->settings;
@@ -79,7 +80,7 @@
     return request.attemptCount == 0 || isRepeatAllowed(request, endpoint, endpoints, now);
   }
 
-  /// Whether the client may send the request again: a rejection claims so, and needs proof.
+  /// Whether it is proven that the client may safely send the request again, as a rejection asserts.
   static bool isSafeToRetry(const PendingRequest& request);
 
  private:
@@ -89,9 +90,10 @@
   bool isRepeatAllowed(const PendingRequest& request, const Endpoint& endpoint,
                        const EndpointRegistry& endpoints, Time now) const;
 
-  static constexpr double kBudgetPerRequest = 0.3;  // retries per new request
-  static constexpr double kBaseBudget = 3;          // that may be saved, beyond those of a second
-  static constexpr double kHedgeDelayFactor = 2.5;
+  static constexpr double kBudgetPerRequest = 0.3;  // retries earned per new request
+  static constexpr double kBaseBudget =
+      3;  // retries that may be saved in addition to those earned in a second
+  static constexpr double kHedgeDelayFactor = 2.5;  // multiple of the expected service time
 
   const Settings& settings_;
   double budget_ = kBaseBudget;
--- a/src/balancer/service_time.cpp
+++ b/src/balancer/service_time.cpp
@@ -5,19 +5,18 @@
 namespace hollyrun::balancer {
 namespace {
 
-// An answer counts as this many expected times at most, so that the slow few weigh less.
+// Upper bound of a sample as a multiple of the expected value, so that a few slow answers weigh less.
 constexpr double kSampleClip = 2;
 constexpr double kMaxRelativeSample = 20;
-constexpr double kMachineTypePrior = 4;    // answers for which a machine type is assumed to be a usual one
-constexpr double kUnusedDecayGain = 0.05;  // per sweep without requests: fades in two seconds at least
-constexpr double kRelativeGain = 0.1;      // per answer: over an endpoint's last ten
-// One of many gateways meets an endpoint every few seconds; by ten answers it would learn too late. While
-// samples are sparse an endpoint's first answers weigh this much among those of the prior.
+constexpr double kMachineTypePrior = 4;    // assumed samples of an average machine type
+constexpr double kUnusedDecayGain = 0.05;  // per sweep without requests: decays over two seconds or more
+constexpr double kRelativeGain = 0.1;      // per sample: averages over an endpoint's last ten
+// Weight of an endpoint's first samples relative to those of the prior while samples are sparse. One of many
+// gateways sends to an endpoint only every few seconds, so an average over ten answers would adapt too late.
 constexpr double kSparseInitialGain = 2;
-constexpr double kRejectedFactor = 2;  // a rejection counts as this multiple of the relative service time
-// Per sweep; the least rises one per cent a second.
-constexpr double kMeanGain = 0.05;
-constexpr double kMinExpectedRise = 0.001;
+constexpr double kRejectedFactor = 2;       // a rejection counts as a sample of this multiple
+constexpr double kMeanGain = 0.05;          // per sweep
+constexpr double kMinExpectedRise = 0.001;  // per sweep: the minimum rises by one percent per second
 
 }  // namespace
 
@@ -49,7 +48,8 @@
               (std::min(sample, kSampleClip * expected) - expected);
 }
 
-// An endpoint that stays full, or drains before the list says so, holds little and would look idle.
+// A rejection raises the relative service time: an endpoint that stays full, or drains before the list says
+// so, has few attempts in flight and would otherwise look idle.
 void ServiceTimeModel::recordRejected(EndpointRecord& record, double confidence) {
   const double slower = kRejectedFactor * record.serviceTime.relative;
   recordSample(record, std::max(slower, record.machineType->relativeServiceTime), confidence);
@@ -62,9 +62,9 @@
     recordSample(record, seconds / (expected * cost), confidence);
 }
 
-// Losses count for the machine type as well, or an overloaded type, which answers little, would go on being
-// assumed to be a usual one. They are clipped, or the tenth of its endpoints that is stuck would keep
-// requests from the others at every gateway.
+// Rejections and timeouts count for the machine type as well; otherwise an overloaded type, which answers few
+// requests, would still be assumed to be an average one. The samples are clipped; otherwise one stuck
+// endpoint in ten would keep requests away from the rest of its type at every gateway.
 void ServiceTimeModel::recordSample(EndpointRecord& record, double sample, double confidence) {
   sample = std::min(sample, kMaxRelativeSample);
   EndpointServiceTime& endpoint = record.serviceTime;
--- a/src/balancer/settings.cpp
+++ b/src/balancer/settings.cpp
@@ -9,7 +9,7 @@
 namespace hollyrun::balancer {
 namespace {
 
-// The texts name the keys of the configuration, which is what an operator can change.
+// The messages name the keys of the configuration, since those are what an operator can change.
 void require(bool valid, const std::string& message) {
   if (!valid)
     throw std::invalid_argument("balancer settings: " + message);
@@ -31,10 +31,13 @@
 
 void validate(const Settings& settings) {
   require(settings.replicaCount >= 1, "groupSize must be at least 1");
-  require(settings.replicaIndex < settings.replicaCount, "number must be below groupSize");
+  require(settings.replicaIndex < settings.replicaCount, "number " + std::to_string(settings.replicaIndex) +
+                                                             " must be below groupSize " +
+                                                             std::to_string(settings.replicaCount));
   require(!settings.classes.empty(), "at least one class is needed");
   require(settings.maxAttempts >= 1, "maxAttempts must be at least 1");
-  require(settings.candidates == 0 || settings.candidates >= 4, "candidates must be 0 or at least 4");
+  require(settings.candidates == 0 || settings.candidates >= 4,
+          "candidates must be 0 or at least 4, not " + std::to_string(settings.candidates));
   require(settings.streamsPerConnection >= 1, "streamsPerConnection must be at least 1");
   require(settings.slowStartInitialFraction > 0 && settings.slowStartInitialFraction <= 1,
           "coldShare must lie in (0, 1]");
@@ -47,13 +50,14 @@
     require(duration >= Duration::zero(), "durations must not be negative");
   std::set<std::string> names;
   for (const ClassSettings& requestClass : settings.classes) {
-    require(!requestClass.name.empty(), "a class has no name");
-    require(names.insert(requestClass.name).second, "two classes are called " + requestClass.name);
+    require(!requestClass.name.empty(), "the name of a class must not be empty");
+    require(names.insert(requestClass.name).second,
+            "class " + requestClass.name + ": the name must be unique");
     validateClass(requestClass);
   }
   for (const TenantSettings& tenant : settings.tenants)
     require(std::isfinite(tenant.quotaPerSecond) && tenant.quotaPerSecond >= 0,
-            "tenant " + tenant.name + ": bad quota");
+            "tenant " + tenant.name + ": quotaRps must be a finite number, 0 or more");
 }
 
 bool operator==(const ClassSettings& left, const ClassSettings& right) {
--- a/src/balancer/settings.hpp
+++ b/src/balancer/settings.hpp
@@ -5,10 +5,10 @@
 
 namespace hollyrun::balancer {
 
-/// Throws std::invalid_argument that names the setting.
+/// Throws std::invalid_argument with a message that names the first invalid setting.
 void validate(const Settings& settings);
 
-/// All fields are equal.
+/// Whether all fields are equal.
 bool operator==(const ClassSettings& a, const ClassSettings& b);
 
 }  // namespace hollyrun::balancer
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -5,20 +5,22 @@
 namespace hollyrun::balancer {
 namespace {
 
-constexpr double kColdLoad = 0.45;  // load of a cold endpoint, as a part of the multiple that overloads it
+constexpr double kColdLoad =
+    0.45;  // load allowed on a cold endpoint, as a fraction of the load that overloads it
 constexpr double kPeakRateDecay = 0.997;   // per sweep: peakRate rates fade over half a minute
-constexpr double kMinWindowSeconds = 0.1;  // of the overload window
+constexpr double kMinWindowSeconds = 0.1;  // lower bound of the overload window
 
 }  // namespace
 
-// All gateways together can overload a cold endpoint, so each stays within its own part: the cold fraction of
-// what warm endpoints of that type carry for it, in every window, rejected attempts counted. That may be less
-// than one request; a floor of one, times hundreds of gateways, would overload the endpoint.
+// All gateways together can overload a cold endpoint. In every overload window each gateway therefore sends
+// at most its own share, rejected attempts included: the ramp fraction of what it sends to a warm endpoint of
+// the same machine type. The share may be less than one request; a minimum of one, times hundreds of
+// gateways, would overload the endpoint.
 double SlowStart::refill(EndpointRecord& record, double fallbackRate, Time now) const {
   SlowStartBudget& budget = record.slowStart;
   const double window = std::max(toSeconds(settings_.overloadWindow), kMinWindowSeconds);
-  const double known = record.machineType->throughput.peakRate;
-  const double peakRate = known > 0 ? known : fallbackRate;
+  const double measuredRate = record.machineType->throughput.peakRate;
+  const double peakRate = measuredRate > 0 ? measuredRate : fallbackRate;
   const double rate = peakRate * rampFraction(record, now) * kColdLoad * settings_.overloadMultiple;
   budget.tokens =
       std::min(budget.tokens + rate * toSeconds(now - budget.refilledAt), std::max(1.0, rate * window / 4));
@@ -42,8 +44,9 @@
   return endpoints.servingCount() - missing;
 }
 
-// When nearly all endpoints restart in a deployment, the last warm ones are overloaded, and their falling
-// rates would starve the cold ones that could help; hence the slow decay of the peakRate rate.
+// The peak rate decays slowly because, when nearly all endpoints restart in a deployment, the last warm ones
+// are overloaded; with their falling rates as the limit, the cold endpoints that could help would receive too
+// few requests.
 void SlowStart::sweepThroughput(EndpointRegistry& endpoints, double gain, Time now) const {
   for (auto& [name, machineType] : endpoints.machineTypes())
     machineType.throughput.answers = machineType.throughput.endpointCount = 0;
--- a/src/balancer/slow_start.hpp
+++ b/src/balancer/slow_start.hpp
@@ -1,4 +1,4 @@
-/// Slow start: an endpoint that started lately is sent a growing part of what a warm one carries.
+/// Slow start: a recently started endpoint receives a growing fraction of the load of a warm one.
 #pragma once
 
 #include <algorithm>
@@ -11,18 +11,19 @@
 
 namespace hollyrun::balancer {
 
-/// The capacity that endpoints in their slow start lack, in endpoints. It is summed as they are added and
-/// become warm, so that reading it costs the same whatever their number.
+/// The capacity that endpoints in slow start lack, in units of a warm endpoint. The sum is updated as
+/// endpoints are added and become warm, so the cost of reading it does not depend on their number.
 class RampDeficit {
  public:
-  /// `starts` in seconds.
+  /// Replaces the start times of the cold endpoints, in seconds.
   void assign(std::vector<double> starts) {
     starts_ = std::move(starts);
     std::sort(starts_.begin(), starts_.end(), std::greater<>());
     sum_ = std::accumulate(starts_.begin(), starts_.end(), 0.0);
   }
 
-  /// Sum of the fractions of the slow start that lie ahead; `now` and `slowStartDuration` in seconds.
+  /// Sum over the endpoints of the fraction of the slow start that remains; `now` and `slowStartDuration` in
+  /// seconds.
   double at(double now, double slowStartDuration) {
     for (; !starts_.empty() && now - starts_.back() >= slowStartDuration; starts_.pop_back())
       sum_ -= starts_.back();
@@ -31,7 +32,7 @@
   }
 
  private:
-  std::vector<double> starts_;  // the latest first
+  std::vector<double> starts_;  // in descending order
   double sum_ = 0;
 };
 
@@ -43,7 +44,7 @@
     return record.endpoint.upSince > Time{} && now - record.endpoint.upSince < settings_.slowStartDuration;
   }
 
-  /// Part of a warm endpoint's capacity that it has now, 0 to 1.
+  /// The endpoint's current capacity as a fraction of its capacity when warm, 0 to 1.
   double rampFraction(const EndpointRecord& record, Time now) const {
     if (!isCold(record, now))
       return 1;
@@ -52,9 +53,9 @@
            (1 - settings_.slowStartInitialFraction) * toSeconds(age) / toSeconds(settings_.slowStartDuration);
   }
 
-  /// Refills the endpoint's tokens; whether they allow one more attempt. `fallbackRate` stands for the
-  /// throughput of a warm endpoint (answers a second) where none of its machine type was seen, as after this
-  /// gateway's start.
+  /// Refills the endpoint's tokens and returns whether they allow one more attempt. `fallbackRate` (answers
+  /// per second) replaces the throughput of a warm endpoint while none of the machine type has been measured,
+  /// as after this gateway's start.
   bool allows(EndpointRecord& record, double fallbackRate, Time now) const {
     if (!isCold(record, now))
       return true;
@@ -65,18 +66,18 @@
       record.slowStart.tokens -= 1;
   }
 
-  /// A first request from every gateway at the same moment would be a burst; a random phase in [0, 1) spreads
-  /// them.
+  /// Sets the initial number of tokens to `phase`, random in [0, 1), so that the gateways do not all send
+  /// their first request at the same moment.
   void resetForNewProcess(EndpointRecord& record, double phase, Time now) const {
     record.slowStart.tokens = phase;
     record.slowStart.refilledAt = now;
   }
 
-  /// After the list of endpoints has changed.
+  /// Updates the set of cold endpoints after the endpoint list has changed.
   void trackColdEndpoints(const EndpointRegistry& endpoints, Time now);
-  /// Serving endpoints, a cold one counted by its ramp fraction.
+  /// Number of serving endpoints, where a cold one counts as its ramp fraction.
   double warmCount(const EndpointRegistry& endpoints, Time now);
-  /// Updates what warm endpoints of each machine type carry, and starts a new count of answers.
+  /// Updates the throughput of warm endpoints per machine type and resets the counts of answers.
   void sweepThroughput(EndpointRegistry& endpoints, double gain, Time now) const;
 
  private:
--- a/src/balancer/stale_connections.hpp
+++ b/src/balancer/stale_connections.hpp
@@ -1,4 +1,4 @@
-/// Estimates after which idle time a connection can no longer be trusted. A middlebox may drop idle
+/// Estimates the idle time after which a connection is likely to be stale. A middlebox may drop idle
 /// connections without a reset, and a request sent on such a connection is lost silently.
 #pragma once
 
@@ -10,10 +10,10 @@
 
 namespace hollyrun::balancer {
 
-/// The fraction of attempts lost, by how long the connection had been idle, in steps that double.
+/// Tracks the fraction of attempts lost by idle time of the connection, in buckets of doubling idle time.
 class StaleConnectionEstimator {
  public:
-  /// The bucket of an idle time; 0 = as good as fresh.
+  /// The bucket of an idle time; bucket 0 counts as fresh.
   static std::size_t bucketOf(Duration idle) {
     std::size_t bucket = 0;
     for (Duration limit = kFirstBucketLimit; bucket + 1 < kBucketCount && idle >= limit; limit *= 2)
@@ -21,14 +21,14 @@
     return bucket;
   }
 
-  /// Whether connections of this bucket are lost often, and more often than fresh ones: they are closed
-  /// unused.
+  /// Whether attempts on connections of this bucket are lost often, and more often than on fresh ones. Such
+  /// connections are closed instead of used.
   bool isStale(std::size_t bucket) const {
     return bucket > 0 && lossRate_[bucket] > kMinStaleLossRate + lossRate_[0];
   }
 
-  /// A longer idle time is no safer than one at which an attempt was lost, a shorter one no worse than one at
-  /// which it was not.
+  /// Records an outcome. A loss on an idle connection also counts for all longer idle times, which are no
+  /// safer; a response also counts for all shorter ones, which are no worse.
   void record(std::size_t bucket, Outcome outcome) {
     const bool lost = outcome == Outcome::timeout || outcome == Outcome::reset;
     if (!lost && outcome != Outcome::served && outcome != Outcome::error && outcome != Outcome::rejected)
@@ -39,7 +39,7 @@
       lossRate_[i] += kGain * ((lost ? 1 : 0) - lossRate_[i]);
   }
 
-  /// Called once a sweep.
+  /// Called once per sweep.
   void decay() {
     for (double& rate : lossRate_)
       rate *= 1 - kDecay;
@@ -48,8 +48,9 @@
  private:
   static constexpr Duration kFirstBucketLimit = std::chrono::milliseconds(250);
   static constexpr std::size_t kBucketCount = 8;
-  static constexpr double kGain = 0.2;     // per attempt: over the last five of its bucket
-  static constexpr double kDecay = 0.005;  // per sweep: tried again after some twenty seconds
+  static constexpr double kGain = 0.2;  // per attempt: averages over the last five of a bucket
+  static constexpr double kDecay =
+      0.005;  // per sweep: stale buckets are tried again after about twenty seconds
   static constexpr double kMinStaleLossRate = 0.3;
   std::array<double, kBucketCount> lossRate_{};
 };
--- a/src/balancer/tenant_quota.hpp
+++ b/src/balancer/tenant_quota.hpp
@@ -1,4 +1,4 @@
-/// Each tenant's share of its quota at this gateway, as token buckets that need no periodic refill.
+/// Enforces this gateway's share of each tenant's quota with token buckets that need no periodic refill.
 #pragma once
 
 #include <algorithm>
@@ -10,15 +10,15 @@
 
 namespace hollyrun::balancer {
 
-/// A bucket is represented by the time at which it was last empty, so that the passage of time fills all of
-/// them at no cost. A bucket holds one second's worth at most.
+/// A bucket is represented by the time at which it was last empty, so that time alone refills it, at no cost.
+/// A bucket holds the tokens of one second at most.
 class TenantQuota {
  public:
-  /// New buckets start empty.
+  /// Sets the number of tenants. New buckets start empty.
   void resize(std::size_t tenants, Time now) { emptySince_.resize(tenants, now); }
 
-  /// Takes one token; false if the bucket holds less than one. `perSecond` is this gateway's share of the
-  /// quota.
+  /// Takes one token; returns false if the bucket holds less than one. `perSecond` is this gateway's share of
+  /// the quota.
   bool tryAcquire(std::uint32_t tenant, double perSecond, Time now) {
     Time& emptySince = emptySince_[tenant];
     emptySince = std::max(emptySince, now - std::chrono::seconds(1));
--- a/src/balancer/timer_queue.hpp
+++ b/src/balancer/timer_queue.hpp
@@ -1,4 +1,4 @@
-/// Timers of the requests under way, in order of time.
+/// Timers of the open requests, in order of time.
 #pragma once
 
 #include <cstdint>
@@ -12,15 +12,15 @@
 namespace hollyrun::balancer {
 
 enum class TimerKind {
-  deadline,  ///< last moment for an answer
+  deadline,  ///< last moment to answer the client
   hedge,     ///< a hedged request is due
-  keyQueue,  ///< the queue of the request's key has to be looked at
+  keyQueue,  ///< the queue of the request's key is to be visited
 };
 
 struct Timer {
   Time at{};
-  std::uint32_t slot = 0;  ///< of the request in the RequestTable
-  RequestId request = 0;   ///< a timer of a request that has left its slot is ignored
+  std::uint32_t slot = 0;  ///< the request's slot in the RequestTable
+  RequestId request = 0;   ///< the timer is ignored if this request no longer exists
   TimerKind kind = TimerKind::deadline;
   bool operator>(const Timer& other) const { return at != other.at ? at > other.at : slot > other.slot; }
 };
@@ -29,7 +29,7 @@
  public:
   void schedule(const Timer& timer) { timers_.push(timer); }
 
-  /// Removes and returns the first timer that is due; none if no timer is.
+  /// Removes and returns the first timer if it is due.
   std::optional<Timer> popDue(Time now) {
     if (timers_.empty() || timers_.top().at > now)
       return std::nullopt;
@@ -38,7 +38,7 @@
     return timer;
   }
 
-  /// The time of the first timer whose request `isOpen`; the timers before it are removed.
+  /// Returns the time of the first timer for whose request `isOpen` holds, and removes the timers before it.
   template <class IsOpen>
   std::optional<Time> nextTime(IsOpen isOpen) {
     while (!timers_.empty() && !isOpen(timers_.top().request))
