--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -169,8 +169,8 @@
   shedder_.markLogged();
   const double maximum = concurrencyLimit_.maximum(slowStart_.warmCount(endpoints_, now_), now_);
   actions_.log(now_, "shedding threshold " + std::to_string(static_cast<int>(shedder_.threshold())) +
-                         " maximum in flight " + std::to_string(static_cast<int>(maximum)) +
-                         " error overload " + std::to_string(shedder_.errorOverload()));
+                         ", maximum in flight " + std::to_string(static_cast<int>(maximum)) +
+                         ", error overload " + std::to_string(shedder_.errorOverload()));
 }
 
 void Balancer::Impl::updateThreshold() {
@@ -178,7 +178,7 @@
   shedder_.updateThreshold(concurrencyLimit_.smoothedInFlight(), maximum, arrivals_.sampleConfidence());
 }
 
-// --- The public class ---
+// --- Public interface ---
 
 Balancer::Balancer(Settings settings, Time now) {
   validate(settings);
--- a/src/balancer/concurrency_limit.cpp
+++ b/src/balancer/concurrency_limit.cpp
@@ -20,8 +20,8 @@
 // receive kFrequentRate requests per second, enough for a stall to be detected within half a second.
 constexpr double kMaxAgeFactor = 3;
 constexpr double kFrequentRate = 8;  // requests per second and endpoint
-constexpr double kMaxSlowdown =
-    3;  // bound on the growth of service times; the counted age grows by its third power
+// Bound on the growth of service times; the counted age grows by its third power.
+constexpr double kMaxSlowdown = 3;
 constexpr double kArrivalGain = 0.05;      // per arrival: averages over the last twenty
 constexpr double kSweepGain = 0.5;         // per sweep
 constexpr double kObjectiveGain = 0.02;    // per arrival
--- a/src/balancer/dispatch_guard.cpp
+++ b/src/balancer/dispatch_guard.cpp
@@ -11,7 +11,7 @@
     "client_gone", "out_of_time", "window_over", "not_serving", "restarted",
     "too_many",    "may_repeat",  "other_group", "parallel"};
 
-// Time after a drain was listed in which requests may still be sent. The protocol allows one second; the
+// Time after a drain was listed in which requests may still be sent. The platform allows one second; the
 // other half is a margin for a process that is descheduled between reading the clock and writing.
 constexpr Duration kDrainGrace = std::chrono::milliseconds(500);
 // The deadline is sent in whole milliseconds, so a shorter time cannot be expressed.
--- a/src/balancer/endpoint_record.hpp
+++ b/src/balancer/endpoint_record.hpp
@@ -25,7 +25,7 @@
   double outcomes = 0;  // decayed count, for the pool's error rate
   double errors = 0;    // decayed count of failures and rejections
   Time ejectedUntil{};
-  Time lastHeardAt{};
+  Time lastResponseAt{};
   Time pausedUntil{};  // no attempt is sent before this time
 
   bool isUnhealthy() const { return state != HealthState::healthy || silent; }
--- a/src/balancer/endpoint_registry.cpp
+++ b/src/balancer/endpoint_registry.cpp
@@ -15,8 +15,8 @@
 constexpr double kMinSubsetSize = 6;
 constexpr double kSubsetFactor = 4;
 constexpr std::uint32_t kGatewaysInRound = 16;  // gateways that divide the pool among themselves
-constexpr std::uint32_t kMinRounds =
-    4;  // with a candidate limit: minimum number of full rounds, hence gateways per endpoint
+// With a candidate limit: minimum number of full rounds, and hence of gateways per endpoint.
+constexpr std::uint32_t kMinRounds = 4;
 // Number of endpoints from which requests consider only kLargeFleetCandidates of them. Below three quarters
 // of this number, requests consider all endpoints again.
 constexpr std::size_t kLargeFleet = 600;
--- a/src/balancer/endpoint_selector.cpp
+++ b/src/balancer/endpoint_selector.cpp
@@ -9,8 +9,9 @@
 namespace hollyrun::balancer {
 namespace {
 
-constexpr double kLocalZoneFactor = 2;  // weight of the local zone: about that of being 1.4 times as fast
-constexpr std::size_t kMinKeyEndpoints = 3;  // endpoints considered for a key
+// Weight of the local zone: about that of being 1.4 times as fast.
+constexpr double kLocalZoneFactor = 2;
+constexpr std::size_t kMinKeyEndpoints = 3;  // minimum number of endpoints considered for a key
 // Endpoints considered for a frequent key, as a multiple of those that its fraction of the traffic would
 // fully use.
 constexpr double kKeySpread = 2;
--- a/src/balancer/key_frequency.hpp
+++ b/src/balancer/key_frequency.hpp
@@ -23,8 +23,8 @@
   }
 
  private:
-  static constexpr std::size_t kWindow =
-      256;  // requests: enough to detect a key with one percent of the traffic
+  // Requests: enough to detect a key with one percent of the traffic.
+  static constexpr std::size_t kWindow = 256;
   std::deque<std::uint64_t> recent_;
 };
 
--- a/src/balancer/load_shedder.cpp
+++ b/src/balancer/load_shedder.cpp
@@ -12,10 +12,10 @@
 // centred on the same maximum.
 constexpr double kSparseRangeExtension = 0.5;
 constexpr double kSparseStartShift = 0.25;
-constexpr double kErrorThreshold =
-    0.1;  // fraction of failed attempts that starts shedding; a few percent are normal
-constexpr double kErrorMaximum = 0.7;  // fraction of failed attempts that leads to full shedding
-constexpr double kErrorPrior = 10;     // attempts assumed successful, so that a few failures shed nothing
+// Fractions of failed attempts at which shedding starts and is total. A few percent are normal.
+constexpr double kErrorThreshold = 0.1;
+constexpr double kErrorMaximum = 0.7;
+constexpr double kErrorPrior = 10;  // attempts assumed successful, so that a few failures shed nothing
 
 }  // namespace
 
--- a/src/balancer/outlier_detector.cpp
+++ b/src/balancer/outlier_detector.cpp
@@ -59,7 +59,7 @@
 void OutlierDetector::recordHostResponse(EndpointHealth& health, Outcome outcome, Time now,
                                          RandomSource& random) {
   if (outcome == Outcome::served || outcome == Outcome::rejected || outcome == Outcome::error)
-    health.lastHeardAt = now;
+    health.lastResponseAt = now;
   if (outcome == Outcome::served)
     health.consecutiveRejections = 0;
   if (outcome == Outcome::rejected && ++health.consecutiveRejections >= kMaxConsecutiveRejections)
@@ -108,7 +108,7 @@
     const double factor = kSilenceFactor * expectedServiceTime * std::max(1.0, record.serviceTime.relative);
     const Duration limit = std::max(kMinSilence, scaled(std::chrono::seconds(1), factor));
     const Attempt* oldest = requests.findInFlight(record.attempts.front(), host);
-    record.health.silent = oldest && now - std::max(record.health.lastHeardAt, oldest->sentAt) > limit;
+    record.health.silent = oldest && now - std::max(record.health.lastResponseAt, oldest->sentAt) > limit;
   }
 }
 
--- a/src/balancer/outlier_detector.hpp
+++ b/src/balancer/outlier_detector.hpp
@@ -47,10 +47,12 @@
   }
 
  private:
-  static constexpr int kMaxConsecutiveRejections = 3;  // more are not a short peak: the endpoint is paused
-  static constexpr double kPeerTolerance =
-      1.5;  // multiple of the peers' failure rate that is tolerated as noise
-  static constexpr double kMinSelectionFraction = 0.03;  // keeps some traffic, to detect recovery
+  // So many rejections are not a short peak: the endpoint is paused.
+  static constexpr int kMaxConsecutiveRejections = 3;
+  // Multiple of the peers' failure rate that is tolerated as noise.
+  static constexpr double kPeerTolerance = 1.5;
+  // Keeps some traffic at the endpoint, to detect its recovery.
+  static constexpr double kMinSelectionFraction = 0.03;
 
   static void eject(EndpointRecord& record, const char* reason, Time now, RandomSource& random,
                     ActionList& actions);
--- a/src/balancer/reported_load.hpp
+++ b/src/balancer/reported_load.hpp
@@ -29,11 +29,14 @@
   }
 
  private:
-  static constexpr double kOverloaded = 1.5;  // multiple of the median load
-  static constexpr double kReduction =
-      0.5;                                  // exponent of the excess that each report reduces the fraction by
-  static constexpr double kRecovery = 1.1;  // factor by which each report raises the fraction again
-  static constexpr double kMinFraction = 0.05;  // keeps some traffic, to detect an improvement
+  // Load from which an endpoint is overloaded, as a multiple of the median load.
+  static constexpr double kOverloaded = 1.5;
+  // Exponent of the excess load in the factor by which a report reduces the fraction.
+  static constexpr double kReduction = 0.5;
+  // Factor by which a report without excess load raises the fraction.
+  static constexpr double kRecovery = 1.1;
+  // Keeps some traffic at the endpoint, to detect an improvement.
+  static constexpr double kMinFraction = 0.05;
 
   double medianLoad_ = 1;
 };
--- a/src/balancer/request_table.hpp
+++ b/src/balancer/request_table.hpp
@@ -52,7 +52,7 @@
   bool isOrderedPerKey() const { return hasKey && requestClass->settings.orderedPerKey; }
 };
 
-/// Refers to a request of an attempt; invalid once the request's slot is reused.
+/// Refers to an attempt's request; invalid once the request's slot is reused.
 struct RequestReference {
   std::uint32_t slot = 0;
   RequestId request = 0;
--- a/src/balancer/retry_policy.hpp
+++ b/src/balancer/retry_policy.hpp
@@ -91,8 +91,8 @@
                        const EndpointRegistry& endpoints, Time now) const;
 
   static constexpr double kBudgetPerRequest = 0.3;  // retries earned per new request
-  static constexpr double kBaseBudget =
-      3;  // retries that may be saved in addition to those earned in a second
+  // Retries that may be saved in addition to those earned in a second.
+  static constexpr double kBaseBudget = 3;
   static constexpr double kHedgeDelayFactor = 2.5;  // multiple of the expected service time
 
   const Settings& settings_;
--- a/src/balancer/service_time.hpp
+++ b/src/balancer/service_time.hpp
@@ -67,7 +67,7 @@
   return scaled(std::chrono::seconds(1), request.requestClass->expectedServiceTime * request.cost);
 }
 
-inline constexpr double kServiceTimeGain =
-    0.02;  // per sample: averages over the last fifty, at first over all
+// Per sample: averages over the last fifty, at first over all.
+inline constexpr double kServiceTimeGain = 0.02;
 
 }  // namespace hollyrun::balancer
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -5,9 +5,9 @@
 namespace hollyrun::balancer {
 namespace {
 
-constexpr double kColdLoad =
-    0.45;  // load allowed on a cold endpoint, as a fraction of the load that overloads it
-constexpr double kPeakRateDecay = 0.997;   // per sweep: peakRate rates fade over half a minute
+// Load allowed on a cold endpoint, as a fraction of the load that overloads it.
+constexpr double kColdLoad = 0.45;
+constexpr double kPeakRateDecay = 0.997;   // per sweep: peak rates decay over half a minute
 constexpr double kMinWindowSeconds = 0.1;  // lower bound of the overload window
 
 }  // namespace
--- a/tests/balancer/client_wait_test.cpp
+++ b/tests/balancer/client_wait_test.cpp
@@ -1,4 +1,4 @@
-// How long clients have waited, and the frequency of keys.
+// Tests of ClientWaitEstimator and KeyFrequency.
 #include "balancer/client_wait.hpp"
 
 #include <gtest/gtest.h>
@@ -11,20 +11,20 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(ClientWaitEstimatorTest, AFirstTryHasNotWaited) {
+TEST(ClientWaitEstimatorTest, FirstTryHasNotWaited) {
   ClientWaitEstimator estimator;
   for (int i = 0; i < 20; ++i)
     EXPECT_EQ(estimator.record(seconds(1), seconds(3)), Duration{});
 }
 
-TEST(ClientWaitEstimatorTest, AShorterRemainingTimeShowsWhatWasSpent) {
+TEST(ClientWaitEstimatorTest, ShorterRemainingTimeGivesTimeAlreadyWaited) {
   ClientWaitEstimator estimator;
   for (int i = 0; i < 20; ++i)
     estimator.record(seconds(1), seconds(3));
   EXPECT_EQ(estimator.record(milliseconds(600), seconds(3)), milliseconds(2400));
 }
 
-TEST(ClientWaitEstimatorTest, TheUsualTimeFollowsTheMajority) {
+TEST(ClientWaitEstimatorTest, UsualRemainingTimeFollowsMajorityOfRequests) {
   ClientWaitEstimator estimator;
   estimator.record(seconds(2), seconds(3));
   for (int i = 0; i < 200; ++i)
@@ -32,7 +32,7 @@
   EXPECT_NEAR(toSeconds(estimator.usualRemaining()), 1, 0.06);
 }
 
-TEST(KeyFrequencyTest, FewRequestsProveNoFrequentKey) {
+TEST(KeyFrequencyTest, FewRequestsDoNotMakeKeyFrequent) {
   KeyFrequency frequency;
   frequency.record(7);
   EXPECT_DOUBLE_EQ(frequency.fractionOf(7), 1.0 / 64);
--- a/tests/balancer/concurrency_limit_test.cpp
+++ b/tests/balancer/concurrency_limit_test.cpp
@@ -1,4 +1,4 @@
-// The limit on attempts in flight.
+// Tests of ConcurrencyLimit, the limit on attempts in flight.
 #include "balancer/concurrency_limit.hpp"
 
 #include <gtest/gtest.h>
@@ -40,9 +40,9 @@
   RequestId lastId_ = 0;
 };
 
-TEST_F(ConcurrencyLimitTest, AssumesSixAnEndpointBeforeAnythingIsMeasuredThenTwo) {
+TEST_F(ConcurrencyLimitTest, AssumesSixAttemptsPerEndpointAtStartThenTwo) {
   const ConcurrencyLimit limit(settings_, arrivals_, serviceTimes_, seconds(100));
-  EXPECT_DOUBLE_EQ(limit.maximum(4, seconds(100)), 4 * 6.0 / 2) << "shared by two gateways";
+  EXPECT_DOUBLE_EQ(limit.maximum(4, seconds(100)), 4 * 6.0 / 2) << "the maximum is shared by two gateways";
   EXPECT_DOUBLE_EQ(limit.maximum(4, seconds(101)), 4 * 2.0 / 2);
 }
 
@@ -53,10 +53,11 @@
       limit.recordServed(1, 1);
     limit.sweepRate();
   }
-  EXPECT_NEAR(limit.maximum(4, seconds(100)), 100 * 0.45, 0.1) << "100 a second, at 0.45 of one second";
+  EXPECT_NEAR(limit.maximum(4, seconds(100)), 100 * 0.45, 0.1)
+      << "100 answers per second, each allowed 0.45 of the one-second objective";
 }
 
-TEST_F(ConcurrencyLimitTest, RejectionsLowerItByHalfAtMost) {
+TEST_F(ConcurrencyLimitTest, RejectionsReduceMaximumByAtMostHalf) {
   ConcurrencyLimit limit(settings_, arrivals_, serviceTimes_, seconds(0));
   const double before = limit.maximum(4, seconds(100));
   for (int i = 0; i < 1000; ++i) {
@@ -72,12 +73,13 @@
   sendTo(0, seconds(100));
   sendTo(1, seconds(100));
   sendTo(2, seconds(100));
-  EXPECT_EQ(limit.inFlightNow(endpoints_, requests_, seconds(100)), 3) << "one is too old";
+  EXPECT_EQ(limit.inFlightNow(endpoints_, requests_, seconds(100)), 3)
+      << "one of the four attempts is too old to count";
   endpoints_.record(2).health.silent = true;
   EXPECT_EQ(limit.inFlightNow(endpoints_, requests_, seconds(100)), 2);
 }
 
-TEST_F(ConcurrencyLimitTest, AttemptsInFlightWhileNothingWasShedStayAllowed) {
+TEST_F(ConcurrencyLimitTest, AttemptsInFlightWhileNothingIsShedStayAllowed) {
   ConcurrencyLimit limit(settings_, arrivals_, serviceTimes_, seconds(0));
   for (int i = 0; i < 200; ++i)
     limit.smoothAtSweep(40);
--- a/tests/balancer/discovery_poller_test.cpp
+++ b/tests/balancer/discovery_poller_test.cpp
@@ -1,4 +1,4 @@
-// When discovery is polled.
+// Tests of DiscoveryPoller.
 #include "balancer/discovery_poller.hpp"
 
 #include <gtest/gtest.h>
@@ -21,10 +21,10 @@
   EXPECT_TRUE(poller_.startPollIfDue(seconds(1)));
   EXPECT_FALSE(poller_.startPollIfDue(seconds(100)));
   poller_.recordList();
-  EXPECT_FALSE(poller_.startPollIfDue(seconds(200))) << "lists are pushed from then on";
+  EXPECT_FALSE(poller_.startPollIfDue(seconds(200))) << "discovery pushes lists after the first poll";
 }
 
-TEST_F(DiscoveryPollerTest, NeverPollsWhereListsNeedNoPoll) {
+TEST_F(DiscoveryPollerTest, NeverPollsIfPollingIsDisabled) {
   settings_.pollDiscovery = false;
   EXPECT_FALSE(poller_.startPollIfDue(seconds(1)));
 }
@@ -40,7 +40,7 @@
   }
 }
 
-TEST_F(DiscoveryPollerTest, TheLongestSilenceBoundsTheBackoff) {
+TEST_F(DiscoveryPollerTest, MaxDiscoverySilenceBoundsBackoff) {
   settings_.maxDiscoverySilence = seconds(1);
   Time now = seconds(1);
   for (int failure = 0; failure < 6; ++failure) {
@@ -50,7 +50,7 @@
   }
 }
 
-TEST_F(DiscoveryPollerTest, PollsAgainWhereAnAnswerIsLost) {
+TEST_F(DiscoveryPollerTest, PollsAgainAfterLostAnswer) {
   settings_.maxDiscoverySilence = seconds(10);
   ASSERT_TRUE(poller_.startPollIfDue(seconds(1)));
   EXPECT_FALSE(poller_.startPollIfDue(seconds(6)));
--- a/tests/balancer/endpoint_registry_test.cpp
+++ b/tests/balancer/endpoint_registry_test.cpp
@@ -1,4 +1,4 @@
-// Known endpoints, subset and ring.
+// Tests of EndpointRegistry: known endpoints, subset and ring.
 #include "balancer/endpoint_registry.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-Endpoint numbered(int number) {
+Endpoint makeEndpoint(int number) {
   Endpoint endpoint;
   endpoint.address = "10.0.0." + std::to_string(number) + ":80";
   endpoint.machineType = "m";
@@ -21,17 +21,17 @@
 
 class EndpointRegistryTest : public ::testing::Test {
  protected:
-  void list(int count) {
+  void listEndpoints(int count) {
     for (int i = 0; i < count; ++i)
-      endpoints_.update(numbered(i));
+      endpoints_.update(makeEndpoint(i));
     endpoints_.reindex();
   }
   Settings settings_;
   EndpointRegistry endpoints_{settings_};
 };
 
-TEST_F(EndpointRegistryTest, ARestartIsANewProcessAndAChangeOfStateIsNot) {
-  Endpoint endpoint = numbered(1);
+TEST_F(EndpointRegistryTest, RestartIsNewProcessAndStateChangeIsNot) {
+  Endpoint endpoint = makeEndpoint(1);
   EXPECT_TRUE(endpoints_.update(endpoint).newProcess);
   endpoint.state = EndpointState::draining;
   EXPECT_FALSE(endpoints_.update(endpoint).newProcess);
@@ -42,9 +42,9 @@
 }
 
 TEST_F(EndpointRegistryTest, OnlyServingEndpointsAreIndexed) {
-  list(10);
+  listEndpoints(10);
   EXPECT_EQ(endpoints_.serving().size(), 10u);
-  Endpoint draining = numbered(3);
+  Endpoint draining = makeEndpoint(3);
   draining.state = EndpointState::draining;
   const HostId host = endpoints_.update(draining).host;
   endpoints_.reindex();
@@ -54,48 +54,48 @@
   EXPECT_EQ(endpoints_.find("unknown"), kNone);
 }
 
-TEST_F(EndpointRegistryTest, AnUpdateInStepsGivesTheOrderOfAWholeList) {
-  list(20);
-  list(40);
-  EndpointRegistry whole(settings_);
+TEST_F(EndpointRegistryTest, IncrementalUpdatesGiveSameOrderAsCompleteList) {
+  listEndpoints(20);
+  listEndpoints(40);
+  EndpointRegistry complete(settings_);
   for (int i = 0; i < 40; ++i)
-    whole.update(numbered(i));
-  whole.reindex();
-  EXPECT_EQ(endpoints_.subsetOrder(), whole.subsetOrder());
-  EXPECT_EQ(endpoints_.serving(), whole.serving());
+    complete.update(makeEndpoint(i));
+  complete.reindex();
+  EXPECT_EQ(endpoints_.subsetOrder(), complete.subsetOrder());
+  EXPECT_EQ(endpoints_.serving(), complete.serving());
 }
 
-TEST_F(EndpointRegistryTest, GatewaysWithCandidatesCoverAllEndpointsBetweenThem) {
+TEST_F(EndpointRegistryTest, FullRoundOfGatewaysWithCandidateLimitCoversAllEndpoints) {
   settings_.candidates = 4;
   settings_.replicaCount = 32;
   std::set<HostId> covered;
   for (settings_.replicaIndex = 0; settings_.replicaIndex < 8; ++settings_.replicaIndex) {
     EndpointRegistry gateway(settings_);
     for (int i = 0; i < 200; ++i)
-      gateway.update(numbered(i));
+      gateway.update(makeEndpoint(i));
     gateway.reindex();
     for (std::size_t i = 0; i < gateway.subsetSize(); ++i)
       covered.insert(gateway.subsetOrder()[i].host);
   }
-  EXPECT_EQ(covered.size(), 200u) << "a full round of eight gateways";
+  EXPECT_EQ(covered.size(), 200u) << "a full round of eight gateways must cover all endpoints";
 }
 
-TEST_F(EndpointRegistryTest, ALargeFleetHasACandidateLimitUntilItIsMuchSmaller) {
-  list(599);
+TEST_F(EndpointRegistryTest, CandidateLimitAppliesFrom600EndpointsAndEndsBelow450) {
+  listEndpoints(599);
   EXPECT_EQ(endpoints_.candidateLimit(), 0u);
-  list(600);
+  listEndpoints(600);
   EXPECT_EQ(endpoints_.candidateLimit(), 64u);
   EXPECT_EQ(endpoints_.ring().size(), 8 * 600u);
   endpoints_.markAllRemoved();
-  list(450);
+  listEndpoints(450);
   EXPECT_EQ(endpoints_.candidateLimit(), 64u);
   endpoints_.markAllRemoved();
-  list(449);
+  listEndpoints(449);
   EXPECT_EQ(endpoints_.candidateLimit(), 0u);
 }
 
-TEST_F(EndpointRegistryTest, AnEndpointIsBusyWhileAnAttemptIsInFlight) {
-  list(3);
+TEST_F(EndpointRegistryTest, EndpointIsBusyWhileAttemptIsInFlight) {
+  listEndpoints(3);
   RequestTable requests;
   PendingRequest& request = requests.insert(1);
   request.attempts[0] = {.host = 2, .sentAt = seconds(1), .inFlight = true};
--- a/tests/balancer/endpoint_selector_test.cpp
+++ b/tests/balancer/endpoint_selector_test.cpp
@@ -1,4 +1,4 @@
-// Which endpoint is selected.
+// Tests of EndpointSelector.
 #include "balancer/endpoint_selector.hpp"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
     request_.requestClass = std::make_shared<RequestClass>();
     request_.requestClass->settings.idempotency = Idempotency::idempotent;
   }
-  void list(int count) {
+  void listEndpoints(int count) {
     for (int i = 0; i < count; ++i) {
       Endpoint endpoint;
       endpoint.address = "host" + std::to_string(i);
@@ -56,55 +56,55 @@
                               .retries = retries_}};
 };
 
-TEST_F(EndpointSelectorTest, NoneWithoutEndpoints) {
+TEST_F(EndpointSelectorTest, SelectsNoneWithoutEndpoints) {
   EXPECT_EQ(select(), kNone);
 }
 
 TEST_F(EndpointSelectorTest, UsesAllIdleEndpoints) {
-  list(4);
+  listEndpoints(4);
   EXPECT_EQ(selectMany(200).size(), 4u);
 }
 
-TEST_F(EndpointSelectorTest, AnUnavailableEndpointIsUsedOnlyWhereNoOtherIs) {
-  list(2);
+TEST_F(EndpointSelectorTest, SelectsUnavailableEndpointOnlyIfNoneIsAvailable) {
+  listEndpoints(2);
   endpoints_.record(0).health.state = HealthState::ejected;
   EXPECT_EQ(selectMany(50), (std::map<HostId, int>{{1, 50}}));
   endpoints_.record(1).health.silent = true;
   EXPECT_EQ(selectMany(50).size(), 2u);
 }
 
-TEST_F(EndpointSelectorTest, AnIdleEndpointIsPreferredToABusyOne) {
-  list(2);
+TEST_F(EndpointSelectorTest, PrefersIdleEndpointToBusyOne) {
+  listEndpoints(2);
   endpoints_.record(0).inFlight = 3;
   EXPECT_EQ(selectMany(50), (std::map<HostId, int>{{1, 50}}));
 }
 
-TEST_F(EndpointSelectorTest, AFastEndpointIsSelectedMoreOften) {
-  list(2);
+TEST_F(EndpointSelectorTest, SelectsFastEndpointMoreOften) {
+  listEndpoints(2);
   endpoints_.record(0).serviceTime.relative = 2;
   std::map<HostId, int> counts = selectMany(1000);
   EXPECT_GT(counts[1], 3 * counts[0]);
-  EXPECT_GT(counts[0], 100) << "a fifth by the square of the service time";
+  EXPECT_GT(counts[0], 100) << "one fifth expected: weights are the inverse square of the service time";
 }
 
-TEST_F(EndpointSelectorTest, ARetryGoesToAnotherEndpoint) {
-  list(3);
+TEST_F(EndpointSelectorTest, SelectsAnotherEndpointForRetry) {
+  listEndpoints(3);
   request_.attempts[0] = {.host = 1};
   request_.attemptCount = 1;
   EXPECT_EQ(selectMany(100).count(1), 0u);
 }
 
-TEST_F(EndpointSelectorTest, AKeyStaysAtItsEndpointWithAffinity) {
+TEST_F(EndpointSelectorTest, KeyAffinitySelectsSameEndpointForKey) {
   settings_.keyAffinity = true;
-  list(20);
+  listEndpoints(20);
   request_.hasKey = true;
-  std::set<HostId> firstOfKeys;
+  std::set<HostId> selectedHosts;
   for (request_.key = 0; request_.key < 40; ++request_.key) {
     const std::map<HostId, int> counts = selectMany(20);
     ASSERT_EQ(counts.size(), 1u);
-    firstOfKeys.insert(counts.begin()->first);
+    selectedHosts.insert(counts.begin()->first);
   }
-  EXPECT_GT(firstOfKeys.size(), 10u) << "keys are spread";
+  EXPECT_GT(selectedHosts.size(), 10u) << "keys must be spread over the endpoints";
 }
 
 }  // namespace
--- a/tests/balancer/load_shedder_test.cpp
+++ b/tests/balancer/load_shedder_test.cpp
@@ -1,4 +1,4 @@
-// Scores and the shedding threshold.
+// Tests of PriorityRanking and LoadShedder.
 #include "balancer/load_shedder.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(PriorityRankingTest, AHigherPriorityRanksAboveAllOfALowerOne) {
+TEST(PriorityRankingTest, HigherPriorityRanksAboveAllOfLowerOne) {
   PriorityRanking ranking;
   for (int i = 0; i < 50; ++i) {
     ranking.rank(1, 0.5);
@@ -38,10 +38,10 @@
   EXPECT_DOUBLE_EQ(ranking.rank(10, 0), 0);
 }
 
-TEST(LoadShedderTest, TheThresholdIsTheCubeOfTheInFlightOverload) {
+TEST(LoadShedderTest, ThresholdIsCubeOfInFlightOverload) {
   LoadShedder shedder;
   shedder.updateThreshold(50, 100, 1);
-  EXPECT_EQ(shedder.threshold(), 0) << "half of the maximum";
+  EXPECT_EQ(shedder.threshold(), 0) << "nothing is shed up to half of the maximum";
   shedder.updateThreshold(75, 100, 1);
   EXPECT_DOUBLE_EQ(shedder.threshold(), 100 * std::pow(0.5, 3));
   EXPECT_FALSE(shedder.hasSpareCapacity());
@@ -49,7 +49,7 @@
   EXPECT_DOUBLE_EQ(shedder.threshold(), 100);
 }
 
-TEST(LoadShedderTest, SparseSamplesSoftenTheThreshold) {
+TEST(LoadShedderTest, SparseSamplesStartSheddingEarlierAndMoreGradually) {
   LoadShedder sparse;
   sparse.updateThreshold(100, 100, 0.05);
   LoadShedder steady;
@@ -60,7 +60,7 @@
   EXPECT_GT(sparse.threshold(), steady.threshold());
 }
 
-TEST(LoadShedderTest, ATextIsDueOncePerFifthOfTheRange) {
+TEST(LoadShedderTest, LogLineIsDueOncePerFifthOfRange) {
   LoadShedder shedder;
   EXPECT_FALSE(shedder.hasChangedBand());
   shedder.updateThreshold(100, 100, 1);
--- a/tests/balancer/outlier_detector_test.cpp
+++ b/tests/balancer/outlier_detector_test.cpp
@@ -1,4 +1,4 @@
-// Ejection, probation, rejections and failures by class.
+// Tests of OutlierDetector: ejection, probation, rejections, failures per class and silence.
 #include "balancer/outlier_detector.hpp"
 
 #include <gtest/gtest.h>
@@ -38,7 +38,7 @@
   OutlierDetector detector_;
 };
 
-TEST_F(OutlierDetectorTest, AnEndpointThatFailsIsEjectedAndReturnsByProbation) {
+TEST_F(OutlierDetectorTest, FailingEndpointIsEjectedAndRecoversThroughProbation) {
   record(0, Outcome::error, 8);
   sweep();
   EXPECT_EQ(state(0), HealthState::ejected);
@@ -50,7 +50,7 @@
   EXPECT_EQ(state(0), HealthState::healthy);
 }
 
-TEST_F(OutlierDetectorTest, AFailureInProbationEjectsAgainForLonger) {
+TEST_F(OutlierDetectorTest, FailureInProbationEjectsAgainForLonger) {
   record(0, Outcome::error, 8);
   sweep();
   now_ += milliseconds(1250);
@@ -60,7 +60,7 @@
   EXPECT_GE(endpoints_.record(0).health.ejectedUntil - now_, milliseconds(1500));
 }
 
-TEST_F(OutlierDetectorTest, ATroubleOfAllEndpointsEjectsNone) {
+TEST_F(OutlierDetectorTest, FailureOfAllEndpointsEjectsNone) {
   for (HostId host = 0; host < 8; ++host)
     record(host, Outcome::error, 8);
   sweep();
@@ -68,7 +68,7 @@
     EXPECT_EQ(state(host), HealthState::healthy) << host;
 }
 
-TEST_F(OutlierDetectorTest, HalfOfThePoolIsEjectedAtMost) {
+TEST_F(OutlierDetectorTest, EjectsAtMostHalfOfPool) {
   for (HostId host = 0; host < 5; ++host)
     record(host, Outcome::error, 8);
   sweep();
@@ -78,7 +78,7 @@
   EXPECT_EQ(ejected, 4);
 }
 
-TEST_F(OutlierDetectorTest, ThreeRejectionsInARowRestTheEndpoint) {
+TEST_F(OutlierDetectorTest, ThreeConsecutiveRejectionsPauseEndpoint) {
   record(0, Outcome::rejected, 2);
   EXPECT_TRUE(OutlierDetector::rejectionIndicatesPoolOverload(endpoints_.record(0)));
   EXPECT_EQ(endpoints_.record(0).health.pausedUntil, Time{});
@@ -89,7 +89,7 @@
   EXPECT_TRUE(OutlierDetector::rejectionIndicatesPoolOverload(endpoints_.record(0)));
 }
 
-TEST_F(OutlierDetectorTest, AClassThatFailsAtOneEndpointLeavesItNotTheOthers) {
+TEST_F(OutlierDetectorTest, ClassFailuresReduceSelectionOfThatEndpointAndClassOnly) {
   EXPECT_EQ(detector_.selectionFraction(0, requestClass_), 1);
   record(0, Outcome::error, 5);
   EXPECT_LT(detector_.selectionFraction(0, requestClass_), 0.2);
@@ -98,7 +98,7 @@
   EXPECT_EQ(detector_.selectionFraction(0, RequestClass{}), 1);
 }
 
-TEST_F(OutlierDetectorTest, AnEndpointThatHoldsAnAttemptWithoutASignOfLifeIsSilent) {
+TEST_F(OutlierDetectorTest, EndpointWithAttemptAndNoResponseBecomesSilent) {
   RequestTable requests;
   PendingRequest& request = requests.insert(1);
   request.attempts[0] = {.host = 0, .sentAt = now_, .inFlight = true};
--- a/tests/balancer/request_table_test.cpp
+++ b/tests/balancer/request_table_test.cpp
@@ -1,4 +1,4 @@
-// Requests under way and their classes.
+// Tests of RequestTable and RequestClassTable.
 #include "balancer/request_table.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(RequestTableTest, ASlotIsUsedAgainAndItsReferencesBecomeVoid) {
+TEST(RequestTableTest, ReusedSlotInvalidatesEarlierReferences) {
   RequestTable requests;
   PendingRequest& first = requests.insert(1);
   first.attempts[0] = {.host = 4, .inFlight = true};
@@ -37,14 +37,14 @@
   RequestClassTable classes_;
 };
 
-TEST_F(RequestClassTableTest, AnUnknownClassIsNeverRepeatedAndHasTheLowestPriority) {
+TEST_F(RequestClassTableTest, UnknownClassIsNeverRepeatedAndHasLowestPriority) {
   for (const std::uint32_t index : {2u, 100u, kNone}) {
     EXPECT_EQ(classes_.at(index)->settings.idempotency, Idempotency::none);
     EXPECT_EQ(classes_.at(index)->settings.priorityWeight, 0);
   }
 }
 
-TEST_F(RequestClassTableTest, AChangedClassGetsARecordOfItsOwnWithWhatWasLearned) {
+TEST_F(RequestClassTableTest, ChangedClassGetsNewRecordWithCopiedStatistics) {
   const std::shared_ptr<RequestClass> before = classes_.at(1);
   const std::shared_ptr<RequestClass> unchanged = classes_.at(0);
   before->expectedServiceTime = 0.1;
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Retry budget, idempotency, placement and last useful times.
+// Tests of RetryPolicy: retry budget, idempotency, placement and last useful time.
 #include "balancer/retry_policy.hpp"
 
 #include <gtest/gtest.h>
@@ -21,8 +21,8 @@
     endpoints_.update(first_);
     endpoints_.update(second_);
   }
-  ClassSettings& settingsOfClass() { return request_.requestClass->settings; }
-  void attempted(bool mayHaveExecuted) {
+  ClassSettings& classSettings() { return request_.requestClass->settings; }
+  void addAttempt(bool mayHaveExecuted) {
     request_.attempts[0] = {.host = 0, .sentAt = seconds(10), .mayHaveExecuted = mayHaveExecuted};
     request_.attemptCount = 1;
   }
@@ -38,7 +38,7 @@
   RetryPolicy policy_{settings_};
 };
 
-TEST_F(RetryPolicyTest, TheBudgetGrowsByThreeTenthsARequestUpToALimit) {
+TEST_F(RetryPolicyTest, BudgetGrowsByThreeTenthsPerRequestUpToLimit) {
   for (int i = 0; i < 3; ++i) {
     EXPECT_TRUE(policy_.hasBudget());
     policy_.spendBudget();
@@ -54,56 +54,56 @@
   EXPECT_FALSE(policy_.hasBudget());
 }
 
-TEST_F(RetryPolicyTest, OnlyAnIdempotentRequestIsRepeatedAnywhere) {
-  attempted(true);
-  settingsOfClass().idempotency = Idempotency::none;
+TEST_F(RetryPolicyTest, ExecutedRequestIsRepeatedAnywhereOnlyIfIdempotent) {
+  addAttempt(true);
+  classSettings().idempotency = Idempotency::none;
   EXPECT_FALSE(isAllowed());
   EXPECT_FALSE(RetryPolicy::isSafeToRetry(request_));
-  settingsOfClass().idempotency = Idempotency::idempotent;
+  classSettings().idempotency = Idempotency::idempotent;
   EXPECT_TRUE(isAllowed());
   EXPECT_TRUE(RetryPolicy::isSafeToRetry(request_));
 }
 
-TEST_F(RetryPolicyTest, ARequestThatWasNotExecutedIsRepeatedAnywhere) {
-  attempted(false);
-  settingsOfClass().idempotency = Idempotency::none;
+TEST_F(RetryPolicyTest, RequestThatWasNotExecutedIsRepeatedAnywhere) {
+  addAttempt(false);
+  classSettings().idempotency = Idempotency::none;
   EXPECT_TRUE(isAllowed());
   EXPECT_TRUE(RetryPolicy::isSafeToRetry(request_));
 }
 
-TEST_F(RetryPolicyTest, AKeyedRequestStaysInItsScopeAndWindow) {
-  attempted(true);
-  settingsOfClass().idempotency = Idempotency::keyed;
-  settingsOfClass().deduplicationWindow = seconds(5);
+TEST_F(RetryPolicyTest, KeyedRequestIsRepeatedOnlyInItsScopeAndWindow) {
+  addAttempt(true);
+  classSettings().idempotency = Idempotency::keyed;
+  classSettings().deduplicationWindow = seconds(5);
   EXPECT_TRUE(isAllowed(seconds(15)));
   EXPECT_FALSE(isAllowed(seconds(15) + Duration(1)));
-  settingsOfClass().deduplicationScope = DeduplicationScope::cell;
+  classSettings().deduplicationScope = DeduplicationScope::cell;
   EXPECT_TRUE(isAllowed());
   second_.cell = 2;
   EXPECT_FALSE(isAllowed());
-  settingsOfClass().deduplicationScope = DeduplicationScope::zone;
+  classSettings().deduplicationScope = DeduplicationScope::zone;
   EXPECT_TRUE(isAllowed());
   second_.zone = "b";
   EXPECT_FALSE(isAllowed());
-  settingsOfClass().deduplicationScope = DeduplicationScope::all;
+  classSettings().deduplicationScope = DeduplicationScope::all;
   EXPECT_TRUE(isAllowed());
 }
 
-TEST_F(RetryPolicyTest, ZonesAndMachineTypesBindEachAttempt) {
-  settingsOfClass().zones = {"b"};
+TEST_F(RetryPolicyTest, ZonesAndMachineTypesRestrictEachAttempt) {
+  classSettings().zones = {"b"};
   EXPECT_FALSE(isAllowed());
-  settingsOfClass().zones = {"a", "b"};
+  classSettings().zones = {"a", "b"};
   EXPECT_TRUE(isAllowed());
-  settingsOfClass().machineTypes.emplace();
+  classSettings().machineTypes.emplace();
   EXPECT_FALSE(isAllowed()) << "an empty list allows none";
 }
 
-TEST_F(RetryPolicyTest, AnAnswerIsUsefulUntilTheObjectiveOrWithALateValueUntilTheDeadline) {
+TEST_F(RetryPolicyTest, AnswerIsUsefulUntilObjectiveOrWithLateValueUntilDeadline) {
   settings_.step = milliseconds(10);
   request_.objectiveAt = seconds(20);
   request_.deadline = seconds(30);
   EXPECT_EQ(policy_.lastUsefulTime(request_), seconds(20) - milliseconds(20));
-  settingsOfClass().lateValueFraction = 0.5;
+  classSettings().lateValueFraction = 0.5;
   EXPECT_EQ(policy_.lastUsefulTime(request_), seconds(30) - milliseconds(20));
 }
 
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Slow start, and the deficit of cold endpoints against the plain sum that it stands for.
+// Tests of SlowStart, and of RampDeficit against the sum that it computes incrementally.
 #include "balancer/slow_start.hpp"
 
 #include <gtest/gtest.h>
@@ -19,10 +19,10 @@
     settings_.overloadMultiple = 2;
     settings_.overloadWindow = seconds(4);
     record_.endpoint.upSince = seconds(100);
-    record_.machineType = &type_;
+    record_.machineType = &machineType_;
   }
   Settings settings_;
-  MachineTypeRecord type_;
+  MachineTypeRecord machineType_;
   EndpointRecord record_;
   SlowStart slowStart_{settings_};
 };
@@ -34,12 +34,12 @@
   EXPECT_FALSE(slowStart_.isCold(record_, seconds(120)));
 }
 
-TEST_F(SlowStartTest, AStartInTheFutureHasTheInitialFraction) {
+TEST_F(SlowStartTest, StartInTheFutureHasInitialFraction) {
   EXPECT_DOUBLE_EQ(slowStart_.rampFraction(record_, seconds(90)), 0.25);
 }
 
-TEST_F(SlowStartTest, AColdEndpointIsSentNoMoreThanItsTokensAllow) {
-  type_.throughput.peakRate = 100;
+TEST_F(SlowStartTest, ColdEndpointReceivesNoMoreThanItsTokensAllow) {
+  machineType_.throughput.peakRate = 100;
   slowStart_.resetForNewProcess(record_, 0, seconds(100));
   EXPECT_FALSE(slowStart_.allows(record_, 0, seconds(100)));
   EXPECT_TRUE(slowStart_.allows(record_, 0, seconds(101)));
@@ -47,16 +47,16 @@
   for (; slowStart_.allows(record_, 0, seconds(101)); ++sent)
     slowStart_.spend(record_, seconds(101));
   EXPECT_GT(sent, 1);
-  EXPECT_LT(sent, 100) << "less than a warm endpoint in the same second";
+  EXPECT_LT(sent, 100) << "a cold endpoint must receive less than a warm one in the same second";
 }
 
-TEST_F(SlowStartTest, AWarmEndpointNeedsNoTokens) {
+TEST_F(SlowStartTest, WarmEndpointNeedsNoTokens) {
   EXPECT_TRUE(slowStart_.allows(record_, 0, seconds(120)));
   slowStart_.spend(record_, seconds(120));
   EXPECT_EQ(record_.slowStart.tokens, 0);
 }
 
-TEST(RampDeficitTest, LacksWhatItsHostsLack) {
+TEST(RampDeficitTest, EqualsSumOfRemainingSlowStartFractions) {
   std::mt19937_64 engine(6);
   constexpr double slowStartDuration = 23;
   double now = 5000;
@@ -69,9 +69,9 @@
     double expected = 0;
     for (double start : starts)
       expected += std::max(0.0, 1 - (now - start) / slowStartDuration);
-    ASSERT_NEAR(deficit.at(now, slowStartDuration), expected, 1e-9) << "after " << i;
+    ASSERT_NEAR(deficit.at(now, slowStartDuration), expected, 1e-9) << "after step " << i;
   }
-  EXPECT_EQ(deficit.at(now, slowStartDuration), 0) << "all are warm";
+  EXPECT_EQ(deficit.at(now, slowStartDuration), 0) << "all endpoints are warm";
 }
 
 }  // namespace
--- a/tests/balancer/stale_connections_test.cpp
+++ b/tests/balancer/stale_connections_test.cpp
@@ -1,4 +1,4 @@
-// After which idle time connections are closed unused.
+// Tests of StaleConnectionEstimator.
 #include "balancer/stale_connections.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(StaleConnectionEstimatorTest, StepsDoubleFromAQuarterOfASecond) {
+TEST(StaleConnectionEstimatorTest, BucketLimitsDoubleFromQuarterSecond) {
   EXPECT_EQ(StaleConnectionEstimator::bucketOf(milliseconds(249)), 0u);
   EXPECT_EQ(StaleConnectionEstimator::bucketOf(milliseconds(250)), 1u);
   EXPECT_EQ(StaleConnectionEstimator::bucketOf(milliseconds(499)), 1u);
@@ -34,10 +34,10 @@
   EXPECT_TRUE(estimator.isStale(4));
   for (int i = 0; i < 40; ++i)
     estimator.record(0, Outcome::reset);
-  EXPECT_FALSE(estimator.isStale(4)) << "fresh ones are lost as often";
+  EXPECT_FALSE(estimator.isStale(4)) << "attempts on fresh connections are lost as often";
 }
 
-TEST(StaleConnectionEstimatorTest, AnAnswerClearsItsStepAndDecayAllOfThem) {
+TEST(StaleConnectionEstimatorTest, AnswerClearsItsBucketAndDecayClearsAll) {
   StaleConnectionEstimator estimator;
   for (int i = 0; i < 5; ++i)
     estimator.record(4, Outcome::timeout);
@@ -50,7 +50,7 @@
   EXPECT_FALSE(estimator.isStale(6));
 }
 
-TEST(StaleConnectionEstimatorTest, OutcomesWithoutAWriteCountForNothing) {
+TEST(StaleConnectionEstimatorTest, OutcomesWithoutWriteAreIgnored) {
   StaleConnectionEstimator estimator;
   for (const Outcome outcome :
        {Outcome::connectFailed, Outcome::cancelled, Outcome::abandoned, Outcome::localFailure})
--- a/tests/balancer/tenant_quota_test.cpp
+++ b/tests/balancer/tenant_quota_test.cpp
@@ -1,4 +1,4 @@
-// The quota buckets against plain buckets that are filled at every request.
+// Tests of TenantQuota against plain token buckets that are refilled at every request.
 #include "balancer/tenant_quota.hpp"
 
 #include <gtest/gtest.h>
@@ -11,12 +11,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Every bucket filled at every request, as the definition of a quota has it.
+// Refills every bucket at every request, as the definition of a token bucket says.
 class EagerBuckets {
  public:
   EagerBuckets(std::vector<double> perSecond, Time now)
       : perSecond_(std::move(perSecond)), tokens_(perSecond_.size()), at_(now) {}
-  bool take(std::size_t tenant, Time now) {
+  bool tryAcquire(std::size_t tenant, Time now) {
     for (std::size_t i = 0; i < tokens_.size(); ++i)
       tokens_[i] = std::min(tokens_[i] + toSeconds(now - at_) * perSecond_[i], perSecond_[i]);
     at_ = now;
@@ -31,7 +31,7 @@
   Time at_;
 };
 
-TEST(TenantQuotaTest, GivesWhatBucketsFilledAtEveryRequestGive) {
+TEST(TenantQuotaTest, MatchesBucketsRefilledAtEveryRequest) {
   std::mt19937_64 engine(5);
   std::vector<double> quotas;
   for (int i = 0; i < 40; ++i)
@@ -44,7 +44,7 @@
   for (int i = 0; i < 100000; ++i) {
     now += Duration(engine() % 3000000);
     const std::size_t tenant = engine() % quotas.size();
-    const bool expected = eager.take(tenant, now);
+    const bool expected = eager.tryAcquire(tenant, now);
     ASSERT_EQ(lazy.tryAcquire(static_cast<std::uint32_t>(tenant), quotas[tenant], now), expected)
         << "request " << i;
     ++(expected ? within : beyond);
@@ -53,7 +53,7 @@
   EXPECT_GT(beyond, 10000u);
 }
 
-TEST(TenantQuotaTest, SavesUpOneSecondsWorthAndStartsEmpty) {
+TEST(TenantQuotaTest, HoldsTokensOfOneSecondAndStartsEmpty) {
   TenantQuota buckets;
   Time now = seconds(1000);
   buckets.resize(1, now);
@@ -65,7 +65,7 @@
   now += milliseconds(100);
   EXPECT_TRUE(buckets.tryAcquire(0, 10, now));
   buckets.resize(2, now);
-  EXPECT_FALSE(buckets.tryAcquire(1, 10, now)) << "a new tenant";
+  EXPECT_FALSE(buckets.tryAcquire(1, 10, now)) << "the bucket of a new tenant must start empty";
 }
 
 }  // namespace
--- a/tests/balancer/timer_queue_test.cpp
+++ b/tests/balancer/timer_queue_test.cpp
@@ -1,4 +1,4 @@
-// Order of timers.
+// Tests of TimerQueue.
 #include "balancer/timer_queue.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(TimerQueueTest, TakesTimersInOrderOfTimeAndOnlyThoseDue) {
+TEST(TimerQueueTest, PopsOnlyDueTimersInOrderOfTime) {
   TimerQueue timers;
   timers.schedule({seconds(3), 0, 30, TimerKind::deadline});
   timers.schedule({seconds(1), 1, 10, TimerKind::hedge});
@@ -21,7 +21,7 @@
   EXPECT_EQ(timers.popDue(seconds(3))->kind, TimerKind::deadline);
 }
 
-TEST(TimerQueueTest, EqualTimesGoBySlot) {
+TEST(TimerQueueTest, EqualTimesAreOrderedBySlot) {
   TimerQueue timers;
   for (std::uint32_t slot : {2u, 0u, 1u})
     timers.schedule({seconds(1), slot, 100 + slot, TimerKind::deadline});
@@ -29,7 +29,7 @@
     EXPECT_EQ(timers.popDue(seconds(1))->slot, slot);
 }
 
-TEST(TimerQueueTest, NextTimeSkipsRequestsThatAreOver) {
+TEST(TimerQueueTest, NextTimeSkipsEndedRequests) {
   TimerQueue timers;
   timers.schedule({seconds(1), 0, 10, TimerKind::deadline});
   timers.schedule({seconds(2), 1, 20, TimerKind::deadline});
