--- a/src/balancer/dispatch_guard.cpp
+++ b/src/balancer/dispatch_guard.cpp
@@ -40,12 +40,12 @@
   return true;
 }
 
-void AttemptHistory::wrote(std::uint32_t attempt, const EndpointStatus& server, Time now) {
+void AttemptHistory::recordWrite(std::uint32_t attempt, const EndpointStatus& server, Time now) {
   attempts_.push_back(
       {.number = attempt, .server = server.id, .zone = server.zone, .cell = server.cell, .firstByteAt = now});
 }
 
-void AttemptHistory::ended(std::uint32_t attempt, Outcome outcome) {
+void AttemptHistory::recordEnd(std::uint32_t attempt, Outcome outcome) {
   const auto it = std::ranges::find(attempts_, attempt, &Attempt::number);
   if (it == attempts_.end())
     return;
@@ -57,7 +57,7 @@
   const std::optional<DenialReason> denied = findDenial(facts);
   if (denied)
     ++denied_[static_cast<std::size_t>(*denied)];
-  return {denied, std::chrono::duration_cast<std::chrono::milliseconds>(facts.left)};
+  return {denied, std::chrono::duration_cast<std::chrono::milliseconds>(facts.timeLeft)};
 }
 
 std::optional<DenialReason> DispatchGuard::findDenial(const DispatchFacts& facts) {
@@ -65,7 +65,7 @@
     return DenialReason::attemptsExhausted;
   if (!facts.clientPresent)
     return DenialReason::clientDisconnected;
-  if (facts.left < kMinDeadline)
+  if (facts.timeLeft < kMinDeadline)
     return DenialReason::deadlineExceeded;
   if (facts.server.state != EndpointState::serving && facts.now - facts.server.stateSince > kDrainGrace)
     return DenialReason::notServing;
--- a/src/balancer/dispatch_guard.hpp
+++ b/src/balancer/dispatch_guard.hpp
@@ -52,8 +52,8 @@
 /// The attempts of a request whose first byte was written to a socket.
 class AttemptHistory {
  public:
-  void wrote(std::uint32_t attempt, const EndpointStatus& server, Time now);
-  void ended(std::uint32_t attempt, Outcome outcome);
+  void recordWrite(std::uint32_t attempt, const EndpointStatus& server, Time now);
+  void recordEnd(std::uint32_t attempt, Outcome outcome);
   std::uint32_t written() const { return static_cast<std::uint32_t>(attempts_.size()); }
 
  private:
@@ -84,7 +84,7 @@
   Time now{};
   bool clientPresent = false;
   std::uint32_t attempt = 0;  ///< number of the attempt within its request, from 0
-  Duration left{};            ///< time left for the attempt, at most the time left for the client's request
+  Duration timeLeft{};        ///< time left for the attempt, at most the time left for the client's request
   const AttemptTerms& terms;
   const EndpointStatus& server;
   const AttemptHistory& history;
--- a/src/gateway/attempt_admission.cpp
+++ b/src/gateway/attempt_admission.cpp
@@ -20,14 +20,14 @@
   const balancer::Admission admission = guard_.admit({.now = state_.clock.now(),
                                                       .clientPresent = isClientPresent(*context),
                                                       .attempt = attempt,
-                                                      .left = timeLeft,
+                                                      .timeLeft = timeLeft,
                                                       .terms = context->attemptTerms.at(attempt),
                                                       .server = endpoints_.status(start.host),
                                                       .history = context->history});
   if (admission.denied)
     return deny(*context, start, *admission.denied);
   if (start.step == AttemptStep::write) {
-    context->history.wrote(attempt, endpoints_.status(start.host), state_.clock.now());
+    context->history.recordWrite(attempt, endpoints_.status(start.host), state_.clock.now());
     state_.requestLog.traceAttemptStarted(*context, attempt, start.host, admission.deadline);
   }
   return {std::nullopt, admission.deadline};
--- a/src/gateway/request_completion.cpp
+++ b/src/gateway/request_completion.cpp
@@ -54,7 +54,7 @@
   if (!context)
     return;
   --context->attemptsInFlight;
-  context->history.ended(completion.key.attempt, completion.outcome);
+  context->history.recordEnd(completion.key.attempt, completion.outcome);
   state_.counters.recordAttempt(completion.outcome);
   state_.requestLog.traceAttempt("attempt_ended", *context, completion.key.attempt, completion.host,
                                  nameOf(completion.outcome));
--- a/tests/dispatch_guard_test.cpp
+++ b/tests/dispatch_guard_test.cpp
@@ -23,15 +23,15 @@
     return guard.admit({.now = now,
                         .clientPresent = present,
                         .attempt = attempt,
-                        .left = left,
+                        .timeLeft = left,
                         .terms = terms,
                         .server = server,
                         .history = history});
   }
   // An earlier attempt, written a second ago to a server of this zone and cell.
   void earlier(Outcome outcome, const std::string& zone = "a", std::int64_t cell = 1) {
-    history.wrote(0, {.id = 9, .zone = zone, .cell = cell}, now - 1s);
-    history.ended(0, outcome);
+    history.recordWrite(0, {.id = 9, .zone = zone, .cell = cell}, now - 1s);
+    history.recordEnd(0, outcome);
   }
   void expectDenied(std::uint32_t attempt, DenialReason reason) {
     const auto before = guard.denied(reason);
@@ -79,7 +79,7 @@
 }
 
 TEST_F(DispatchGuardTest, DeniesASecondAttemptWhileOneIsInFlight) {
-  history.wrote(0, server, now);
+  history.recordWrite(0, server, now);
   expectDenied(1, DenialReason::hedgingForbidden);
   terms.allowHedging = true;
   EXPECT_FALSE(admit(1).denied);
