--- a/src/balancer/load_shedder.cpp
+++ b/src/balancer/load_shedder.cpp
@@ -6,14 +6,16 @@
 namespace {
 
 constexpr double kInFlightThreshold = 0.5;  // fraction of the maximum in flight below which nothing is shed
-// What one of many gateways has in flight varies by its square root, and the cubic would turn the variation
-// into rejections. With sparse samples full shedding comes this much later, and its beginning this much
-// earlier, so that the variation lies about the same maximum.
-constexpr double kSparseRange = 0.5;
-constexpr double kSparseEarlier = 0.25;
-constexpr double kErrorThreshold = 0.1;  // fraction of failed attempts: a few per cent is everyday noise
+// The number of attempts that one of many gateways has in flight varies by about its square root, and the
+// cubic threshold would turn that variation into rejections. With sparse samples, the range from no to full
+// shedding is therefore wider and starts earlier, by these fractions of the maximum, so that the variation is
+// centred on the same maximum.
+constexpr double kSparseRangeExtension = 0.5;
+constexpr double kSparseStartShift = 0.25;
+// Fractions of failed attempts at which shedding starts and is total. A few percent are normal.
+constexpr double kErrorThreshold = 0.1;
 constexpr double kErrorMaximum = 0.7;
-constexpr double kErrorPrior = 10;  // attempts assumed good, so that a handful of samples proves nothing
+constexpr double kErrorPrior = 10;  // attempts assumed successful, so that a few failures shed nothing
 
 }  // namespace
 
@@ -42,8 +44,8 @@
 
 void LoadShedder::updateThreshold(double inFlight, double maximum, double sampleConfidence) {
   const double sparseness = 1 - sampleConfidence;
-  const double inFlightOverload = (inFlight / maximum - kInFlightThreshold + kSparseEarlier * sparseness) /
-                                  (1 - kInFlightThreshold + kSparseRange * sparseness);
+  const double inFlightOverload = (inFlight / maximum - kInFlightThreshold + kSparseStartShift * sparseness) /
+                                  (1 - kInFlightThreshold + kSparseRangeExtension * sparseness);
   const double overload = std::clamp(std::max(inFlightOverload, errorOverload_), 0.0, 1.0);
   threshold_ = 100 * overload * overload * overload;
 }
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -5,21 +5,23 @@
 namespace hollyrun::balancer {
 namespace {
 
-constexpr double kColdLoad = 0.45;  // load of a cold endpoint, as a part of the multiple that overloads it
-constexpr double kProvenDecay = 0.997;     // per sweep: proven rates fade over half a minute
-constexpr double kMinWindowSeconds = 0.1;  // of the overload window
+// Load allowed on a cold endpoint, as a fraction of the load that overloads it.
+constexpr double kColdLoad = 0.45;
+constexpr double kPeakRateDecay = 0.997;   // per sweep: peak rates decay over half a minute
+constexpr double kMinWindowSeconds = 0.1;  // lower bound of the overload window
 
 }  // namespace
 
-// All gateways together can overload a cold endpoint, so each stays within its own part: the cold fraction of
-// what warm endpoints of that type carry for it, in every window, rejected attempts counted. That may be less
-// than one request; a floor of one, times hundreds of gateways, would overload the endpoint.
+// All gateways together can overload a cold endpoint. In every overload window each gateway therefore sends
+// at most its own share, rejected attempts included: the ramp fraction of what it sends to a warm endpoint of
+// the same machine type. The share may be less than one request; a minimum of one, times hundreds of
+// gateways, would overload the endpoint.
 double SlowStart::refill(EndpointRecord& record, double fallbackRate, Time now) const {
   SlowStartBudget& budget = record.slowStart;
   const double window = std::max(toSeconds(settings_.overloadWindow), kMinWindowSeconds);
-  const double known = record.machineType->throughput.proven;
-  const double proven = known > 0 ? known : fallbackRate;
-  const double rate = proven * rampFraction(record, now) * kColdLoad * settings_.overloadMultiple;
+  const double measuredRate = record.machineType->throughput.peakRate;
+  const double peakRate = measuredRate > 0 ? measuredRate : fallbackRate;
+  const double rate = peakRate * rampFraction(record, now) * kColdLoad * settings_.overloadMultiple;
   budget.tokens =
       std::min(budget.tokens + rate * toSeconds(now - budget.refilledAt), std::max(1.0, rate * window / 4));
   budget.refilledAt = now;
@@ -42,28 +44,29 @@
   return endpoints.servingCount() - missing;
 }
 
-// When nearly all endpoints restart in a deployment, the last warm ones are overloaded, and their falling
-// rates would starve the cold ones that could help; hence the slow decay of the proven rate.
+// The peak rate decays slowly because, when nearly all endpoints restart in a deployment, the last warm ones
+// are overloaded; with their falling rates as the limit, the cold endpoints that could help would receive too
+// few requests.
 void SlowStart::sweepThroughput(EndpointRegistry& endpoints, double gain, Time now) const {
   for (auto& [name, machineType] : endpoints.machineTypes())
-    machineType.throughput.served = machineType.throughput.count = 0;
+    machineType.throughput.answers = machineType.throughput.endpointCount = 0;
   const std::vector<VirtualNode>& order = endpoints.subsetOrder();
   for (std::size_t i = 0; i < order.size(); ++i) {
     EndpointRecord& record = endpoints.record(order[i].host);
     const bool inUse = i < endpoints.activeSize();
     if (inUse && !isCold(record, now) && !record.health.isUnhealthy()) {
-      record.machineType->throughput.served += record.servedSinceSweep;
-      record.machineType->throughput.count += 1;
+      record.machineType->throughput.answers += record.servedSinceSweep;
+      record.machineType->throughput.endpointCount += 1;
     }
     record.servedSinceSweep = 0;
   }
   for (auto& [name, machineType] : endpoints.machineTypes()) {
     MachineTypeThroughput& throughput = machineType.throughput;
-    if (throughput.count > 0) {
-      const double perEndpoint = throughput.served / throughput.count / toSeconds(kSweepInterval);
+    if (throughput.endpointCount > 0) {
+      const double perEndpoint = throughput.answers / throughput.endpointCount / toSeconds(kSweepInterval);
       throughput.rate += gain * (perEndpoint - throughput.rate);
     }
-    throughput.proven = std::max(throughput.rate, throughput.proven * kProvenDecay);
+    throughput.peakRate = std::max(throughput.rate, throughput.peakRate * kPeakRateDecay);
   }
 }
 
--- a/tests/balancer/stale_connections_test.cpp
+++ b/tests/balancer/stale_connections_test.cpp
@@ -1,4 +1,4 @@
-// After which idle time connections are closed unused.
+// Tests of StaleConnectionEstimator.
 #include "balancer/stale_connections.hpp"
 
 #include <gtest/gtest.h>
@@ -9,12 +9,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(StaleConnectionEstimatorTest, StepsDoubleFromAQuarterOfASecond) {
-  EXPECT_EQ(StaleConnectionEstimator::stepOf(milliseconds(249)), 0u);
-  EXPECT_EQ(StaleConnectionEstimator::stepOf(milliseconds(250)), 1u);
-  EXPECT_EQ(StaleConnectionEstimator::stepOf(milliseconds(499)), 1u);
-  EXPECT_EQ(StaleConnectionEstimator::stepOf(milliseconds(500)), 2u);
-  EXPECT_EQ(StaleConnectionEstimator::stepOf(std::chrono::hours(1)), 7u);
+TEST(StaleConnectionEstimatorTest, BucketLimitsDoubleFromQuarterSecond) {
+  EXPECT_EQ(StaleConnectionEstimator::bucketOf(milliseconds(249)), 0u);
+  EXPECT_EQ(StaleConnectionEstimator::bucketOf(milliseconds(250)), 1u);
+  EXPECT_EQ(StaleConnectionEstimator::bucketOf(milliseconds(499)), 1u);
+  EXPECT_EQ(StaleConnectionEstimator::bucketOf(milliseconds(500)), 2u);
+  EXPECT_EQ(StaleConnectionEstimator::bucketOf(std::chrono::hours(1)), 7u);
 }
 
 TEST(StaleConnectionEstimatorTest, LossesMakeLongerIdleTimesStaleAndShorterOnesNot) {
@@ -34,10 +34,10 @@
   EXPECT_TRUE(estimator.isStale(4));
   for (int i = 0; i < 40; ++i)
     estimator.record(0, Outcome::reset);
-  EXPECT_FALSE(estimator.isStale(4)) << "fresh ones are lost as often";
+  EXPECT_FALSE(estimator.isStale(4)) << "attempts on fresh connections are lost as often";
 }
 
-TEST(StaleConnectionEstimatorTest, AnAnswerClearsItsStepAndDecayAllOfThem) {
+TEST(StaleConnectionEstimatorTest, AnswerClearsItsBucketAndDecayClearsAll) {
   StaleConnectionEstimator estimator;
   for (int i = 0; i < 5; ++i)
     estimator.record(4, Outcome::timeout);
@@ -50,7 +50,7 @@
   EXPECT_FALSE(estimator.isStale(6));
 }
 
-TEST(StaleConnectionEstimatorTest, OutcomesWithoutAWriteCountForNothing) {
+TEST(StaleConnectionEstimatorTest, OutcomesWithoutWriteAreIgnored) {
   StaleConnectionEstimator estimator;
   for (const Outcome outcome :
        {Outcome::connectFailed, Outcome::cancelled, Outcome::abandoned, Outcome::localFailure})
