--- a/src/gateway/action_executor.cpp
+++ b/src/gateway/action_executor.cpp
@@ -17,7 +17,8 @@
 using balancer::Time;
 using boost::system::error_code;
 
-// Limit of an attempt while its upload is still arriving. The pool's own connect timeout is shorter.
+// Time limit of an attempt whose upload has not been received completely. The connection pool's connect
+// timeout is shorter.
 constexpr Duration kUploadConnectTimeout = std::chrono::seconds(10);
 
 }  // namespace
@@ -37,8 +38,8 @@
   executePending();
 }
 
-// An action that ends an attempt at once must not feed the balancer while earlier actions of the same batch
-// are still to be carried out, so results are queued and reported one by one between the batches.
+// An action may complete an attempt immediately. Its result must not reach the balancer before the remaining
+// actions of the same batch are executed, so results are queued and reported one by one between batches.
 void ActionExecutor::executePending() {
   if (isExecuting_)
     return;
@@ -48,12 +49,12 @@
     const std::vector<Action> actions = std::exchange(state_.balancer.actions(), {});
     for (const Action& action : actions)
       execute(action);
-    // Clients that left come before the results of the attempts that were not started because of it.
+    // Disconnected clients are reported before the results of the attempts that were denied because of them.
     if (admission_.hasDisconnectedClients())
       continue;
     if (!state_.balancer.actions().empty())
       continue;
-    // Contexts are removed only after all actions that name them are carried out.
+    // A context is removed only after all actions that refer to it are executed.
     state_.requests.removeFinished();
     if (!completeNextAttempt())
       break;
@@ -113,7 +114,7 @@
                           action.latestStart);
 }
 
-// A body of which bytes were sent is not complete any more, and two attempts can't share one.
+// A streamed body cannot be sent again once its consumption has started, and two attempts cannot share it.
 void ActionExecutor::startUpload(RequestContext& context, const Action& action, HttpRequest message) {
   if (context.upload->consumptionStarted() || context.attemptsInFlight > 1) {
     completions_.push_back({{action.request, action.attempt}, action.host, Outcome::abandoned, {}, {}});
@@ -124,7 +125,8 @@
                           context.uploadLength, limit, action.latestStart);
 }
 
-// The settings in effect now decide this attempt; the class's promise is that of the request's arrival.
+// The attempt limits are those of the settings in effect now; the class's terms are those in effect when the
+// request arrived.
 balancer::AttemptTerms ActionExecutor::currentTerms(const RequestContext& context, HostId host) const {
   balancer::AttemptTerms terms = context.terms;
   terms.maxAttempts = state_.settings.maxAttempts;
@@ -133,7 +135,7 @@
   return terms;
 }
 
-// Only the earliest wake counts: the balancer requests the next one at each event.
+// Keeps only the earliest wake time: the balancer requests the next one at each event.
 void ActionExecutor::scheduleWake(Time at) {
   if (wakeAt_ > Time{} && wakeAt_ <= at)
     return;
--- a/src/gateway/action_executor.hpp
+++ b/src/gateway/action_executor.hpp
@@ -1,4 +1,4 @@
-/// Carries out the balancer's actions and reports the results of attempts back to it.
+/// Executes the balancer's actions and reports the results of attempts to it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,7 +18,7 @@
 
 class ActionExecutor {
  public:
-  /// The I/O that actions lead to.
+  /// The components that perform the I/O of actions.
   struct Targets {
     UpstreamPool& upstream;
     DownstreamServer& downstream;
@@ -29,10 +29,10 @@
   ActionExecutor(boost::asio::io_context& io, GatewayState& state, const EndpointTable& endpoints,
                  AttemptAdmission& admission, RequestCompletion& completion, Targets targets);
 
-  /// Carries out all pending actions in their order, with those that their own results lead to. To be called
-  /// after each event that the balancer was given. Does nothing if it is running already.
+  /// Executes all pending actions in order, and those that their results cause. Must be called after each
+  /// event passed to the balancer. A reentrant call does nothing.
   void executePending();
-  /// The result reaches the balancer once the actions that are under way are carried out.
+  /// Queues the result. The balancer receives it after the current batch of actions is executed.
   void onAttemptComplete(AttemptCompletion completion);
 
  private:
@@ -49,7 +49,7 @@
   AttemptAdmission& admission_;
   RequestCompletion& completion_;
   Targets targets_;
-  std::deque<AttemptCompletion> completions_;  // in the order in which the attempts ended
+  std::deque<AttemptCompletion> completions_;  // in order of completion
   boost::asio::steady_timer wakeTimer_;
   balancer::Time wakeAt_{};  // zero: not scheduled
   bool isExecuting_ = false;
--- a/src/gateway/attempt_admission.cpp
+++ b/src/gateway/attempt_admission.cpp
@@ -15,7 +15,7 @@
   if (!context)
     return {Outcome::abandoned, {}};
   const std::uint32_t attempt = start.key.attempt;
-  // The client's time does not run before the last byte of its upload.
+  // The client's time limit starts when the last byte of its upload has arrived.
   const Duration timeLeft = context->isReceived ? start.timeLeft : context->timeLimit;
   const balancer::Admission admission = guard_.admit({.now = state_.clock.now(),
                                                       .clientPresent = isClientPresent(*context),
@@ -39,12 +39,12 @@
                                  balancer::nameOf(reason));
   if (balancer::isViolation(reason))
     state_.requestLog.reportViolation(balancer::nameOf(reason), context.clientId());
-  const bool isClientGone = reason == DenialReason::clientDisconnected;
-  return {isClientGone ? Outcome::abandoned : Outcome::localFailure, {}};
+  const bool isClientDisconnected = reason == DenialReason::clientDisconnected;
+  return {isClientDisconnected ? Outcome::abandoned : Outcome::localFailure, {}};
 }
 
 // A client may disconnect in the same iteration of the event loop in which an attempt of its request starts.
-// Its socket shows that before the event loop reports it.
+// Its socket is checked because the event loop has not reported the disconnect yet.
 bool AttemptAdmission::isClientPresent(const RequestContext& context) {
   if (context.isFinished)
     return false;
--- a/src/gateway/attempt_admission.hpp
+++ b/src/gateway/attempt_admission.hpp
@@ -1,4 +1,4 @@
-/// Admission of attempts: each step that would let bytes out is checked against the facts of its own moment.
+/// Admission of attempts: checks each connect and each first write against the state at that moment.
 #pragma once
 
 #include <utility>
@@ -16,10 +16,10 @@
  public:
   AttemptAdmission(GatewayState& state, const EndpointTable& endpoints, const DownstreamServer& downstream);
 
-  /// No attempt connects or writes its first byte without this.
+  /// Must be called before an attempt connects and before it writes its first byte.
   AdmissionResult admit(const AttemptStart& start);
 
-  /// Clients that were found to have disconnected as an attempt was about to start.
+  /// Returns and clears the clients that were found disconnected when an attempt was about to start.
   std::vector<DownstreamRequestId> takeDisconnectedClients() {
     return std::exchange(disconnectedClients_, {});
   }
--- a/src/gateway/balancer_clock.hpp
+++ b/src/gateway/balancer_clock.hpp
@@ -1,4 +1,4 @@
-/// The monotonic clock on which the balancer counts.
+/// The monotonic clock that the balancer's times refer to.
 #pragma once
 
 #include <chrono>
@@ -14,13 +14,13 @@
 
   balancer::Time now() const { return kTimeAtStart + (Steady::now() - startedAt_); }
   Steady::time_point toSteady(balancer::Time time) const { return startedAt_ + (time - kTimeAtStart); }
-  /// The monotonic and the wall clock, read together.
+  /// Reads the monotonic and the wall clock together.
   ServerStartTimes::Clocks readClocks() const {
     return {now(), std::chrono::system_clock::now().time_since_epoch()};
   }
 
  private:
-  // Not zero, so that upstream hosts that started up to a day before this process have a time on this clock.
+  // Above zero, so that the start of an upstream host up to a day before this process is representable.
   static constexpr balancer::Time kTimeAtStart = std::chrono::hours(24);
 
   const Steady::time_point startedAt_ = Steady::now();
--- a/src/gateway/body_stream.hpp
+++ b/src/gateway/body_stream.hpp
@@ -1,4 +1,4 @@
-/// A message body that passes through the gateway in pieces: one side produces it, the other consumes it.
+/// A message body that is streamed through the gateway from a producer to a consumer.
 #pragma once
 
 #include <cstddef>
@@ -12,13 +12,13 @@
 
 namespace hollyrun::gateway {
 
-/// Bytes of a body that are buffered whole, so that the request may be sent again.
+/// Largest body in bytes that is buffered completely, so that the request can be retried.
 inline constexpr std::uint64_t kBufferedBodyLimit = 64 << 10;
-/// Largest body of a request in bytes.
+/// Largest request body in bytes.
 inline constexpr std::uint64_t kMaxRequestBody = 32 << 20;
 
-/// A bounded buffer with flow control. The producer stops at isFull() and continues at onWritable; either
-/// side may end the stream. Both run in the event loop's thread, and each sets the callback of its own side.
+/// A bounded buffer with flow control. The producer pauses when isFull() and resumes on onWritable; either
+/// side may end the stream. Both run in the event loop's thread, and each sets its own callback.
 class BodyStream {
  public:
   explicit BodyStream(std::shared_ptr<MemoryBudget> budget)
@@ -26,7 +26,7 @@
 
   // --- The producer ---
 
-  /// The buffer has capacity again, or the consumer abandoned the rest.
+  /// Called when the buffer has capacity again or the consumer abandoned the stream.
   std::function<void()> onWritable;
 
   void append(const std::string& piece) {
@@ -42,7 +42,7 @@
     notify(onReadable);
   }
 
-  /// The rest will not come.
+  /// Ends the stream early, unless finish() was called before.
   void fail() {
     failed_ = !finished_;
     notify(onReadable);
@@ -53,12 +53,12 @@
 
   // --- The consumer ---
 
-  /// More data has come, or the end of the stream.
+  /// Called when data was appended or the stream ended.
   std::function<void()> onReadable;
 
-  /// Moves out all that is buffered. What the last call returned counts as processed from here on.
+  /// Returns and removes all buffered data. The memory of the previously returned piece is released.
   std::string consume() {
-    touched_ = true;
+    consumptionStarted_ = true;
     consumedBytes_ = data_.size();
     std::string piece = std::exchange(data_, {});
     reservation_.resize(consumedBytes_);
@@ -69,10 +69,10 @@
 
   bool isFinished() const { return finished_ && data_.empty(); }
   bool hasFailed() const { return failed_; }
-  /// Whether consumption has begun: another attempt can't read the body from its start any more.
-  bool consumptionStarted() const { return touched_; }
+  /// Whether consume() was called. From then on no other attempt can read the body from its start.
+  bool consumptionStarted() const { return consumptionStarted_; }
 
-  /// The consumer does not want the rest.
+  /// Discards the buffered data and all that is appended later.
   void abandon() {
     if (std::exchange(abandoned_, true))
       return;
@@ -83,7 +83,7 @@
   }
 
  private:
-  // Calls a copy, because the callback may replace the original while it runs.
+  // Calls a copy because the callback may replace the original while it runs.
   static void notify(const std::function<void()>& callback) {
     if (const auto copy = callback)
       copy();
@@ -92,11 +92,11 @@
   std::shared_ptr<MemoryBudget> budget_;
   MemoryReservation reservation_;
   std::string data_;
-  std::size_t consumedBytes_ = 0;  // of the last piece, which its consumer still holds
+  std::size_t consumedBytes_ = 0;  // size of the last returned piece, which its consumer is still processing
   bool finished_ = false;
   bool failed_ = false;
   bool abandoned_ = false;
-  bool touched_ = false;
+  bool consumptionStarted_ = false;
 };
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/chunked_encoding.hpp
+++ b/src/gateway/chunked_encoding.hpp
@@ -1,4 +1,4 @@
-/// The chunked transfer coding (RFC 9112, 7.1).
+/// The chunked transfer coding (RFC 9112, section 7.1).
 #pragma once
 
 #include <cstddef>
@@ -6,7 +6,7 @@
 
 namespace hollyrun::gateway {
 
-/// One chunk; an empty one ends the body.
+/// Returns `data` as one chunk. A chunk of no data ends the body.
 inline std::string encodeChunk(const std::string& data) {
   static constexpr const char* kDigits = "0123456789abcdef";
   std::string size;
--- a/src/gateway/close_reason.hpp
+++ b/src/gateway/close_reason.hpp
@@ -1,4 +1,4 @@
-/// Why a client's connection ended: one enumeration for the metrics and the log.
+/// The reason for which a downstream connection was closed, for the metrics and the log.
 #pragma once
 
 #include <array>
@@ -9,21 +9,22 @@
 namespace hollyrun::gateway {
 
 enum class CloseReason : std::uint8_t {
-  clientDisconnected,  ///< The client ended or reset its side.
-  idleTimeout,         ///< Nothing came for too long between requests.
-  incompleteRequest,   ///< A request was not complete in time.
+  clientDisconnected,  ///< The client closed or reset the connection.
+  idleTimeout,         ///< No request arrived within the idle timeout.
+  incompleteRequest,   ///< A request was not received completely in time.
   stalledReader,       ///< The client did not read its response.
-  finalResponse,       ///< The response was the connection's last.
-  truncatedResponse,   ///< A server's response broke off under way.
-  evicted,             ///< Another connection needed its place.
-  draining,            ///< The process ends, and the connection was idle.
-  shutdown,            ///< What was left as the process ended.
+  finalResponse,       ///< The connection's last response was written.
+  truncatedResponse,   ///< The upstream host's response ended before it was complete.
+  evicted,             ///< Closed to free capacity for another connection.
+  draining,            ///< The process is draining, and the connection was idle.
+  shutdown,            ///< Still open when the process ended.
 };
 
 inline constexpr std::size_t kCloseReasons = 9;
 using CloseCounts = std::array<std::uint64_t, kCloseReasons>;
 
-/// The label in the metrics and the log. These names are a stable interface and older than the enumerators.
+/// Returns the label in the metrics and the log. Labels are a stable interface and differ from the names of
+/// the enumerators.
 inline std::string_view nameOf(CloseReason reason) {
   static constexpr std::array<std::string_view, kCloseReasons> kNames = {
       "client_left",   "idle",      "incomplete", "stalled_reader", "last_answer",
--- a/src/gateway/connection_evictor.cpp
+++ b/src/gateway/connection_evictor.cpp
@@ -10,12 +10,13 @@
 
 using Clock = std::chrono::steady_clock;
 
-// A connection with a part of a request may be evicted once it has been silent for so long.
-constexpr auto kSilence = std::chrono::milliseconds(500);
-// Evicted connections that may linger beyond the limit, out of the descriptors that nobody else uses.
+// A connection with an incomplete request may be evicted once nothing was received on it for this long.
+constexpr auto kMinSilence = std::chrono::milliseconds(500);
+// Evicted connections that may linger beyond the connection limit. They use descriptors that are reserved for
+// no other purpose.
 constexpr std::size_t kMaxEvictedLingering = 8;
-// Connections whose socket is asked for unread bytes in one search; those that have some are read in the next
-// turn of the event loop.
+// Connections whose socket is checked for unread bytes in one search. Those with unread bytes are read in the
+// next iteration of the event loop.
 constexpr std::size_t kMaxCandidates = 16;
 
 }  // namespace
@@ -56,10 +57,10 @@
 }
 
 std::shared_ptr<DownstreamConnection> ConnectionEvictor::oldestIncomplete() const {
-  const auto silentSince = Clock::now() - kSilence;
+  const auto latestReceipt = Clock::now() - kMinSilence;
   std::size_t examined = 0;
   for (DownstreamConnection* connection : incomplete_) {
-    if (connection->lastReceivedAt() >= silentSince)
+    if (connection->lastReceivedAt() >= latestReceipt)
       break;
     if (connection->isIncomplete())
       return connection->shared_from_this();
--- a/src/gateway/connection_evictor.hpp
+++ b/src/gateway/connection_evictor.hpp
@@ -1,4 +1,4 @@
-/// Chooses the client connection that is closed when another one needs its place.
+/// Chooses the downstream connection that is closed to free capacity for another one.
 #pragma once
 
 #include <cstddef>
@@ -13,28 +13,28 @@
 /// Which connections may be evicted.
 enum class EvictionScope {
   all,
-  sparingNew,  ///< Not those whose first request may be on its way.
+  sparingNew,  ///< All but new connections, whose first request may be in flight.
 };
 
-/// Keeps the connections that may be closed for capacity in lists by state, the oldest first. The accept
-/// queue of a connection flood is long: a search among all connections for each one in it would hold up the
-/// event loop for a second.
+/// Keeps the connections that may be evicted in one list for each state, the oldest first. During a
+/// connection flood the accept queue is long, and a search through all connections for each accepted one
+/// would block the event loop for a second.
 class ConnectionEvictor {
  public:
   using List = std::list<DownstreamConnection*>;
 
-  /// Closes the connection that has been idle for longest; else, of those with a part of a request, the one
-  /// silent for longest; else one that lingers. A client that sends slowly, but sends, stays, and so does
-  /// every complete request. False if no connection may be closed.
+  /// Evicts one connection: the one idle for longest; else, of those with an incomplete request, the one that
+  /// has received nothing for longest; else a lingering one. Connections of clients that send slowly and
+  /// connections with a complete request are not evicted. Returns false if no connection may be evicted.
   ///
-  /// The next request may be on its way to the connection that is evicted, so it lingers, too, and only the
-  /// first of several evicted ones is closed at once.
+  /// A request may be in flight to the evicted connection, so it lingers before it is closed. Only when too
+  /// many evicted connections linger is the oldest of them closed immediately.
   bool evictForCapacity(EvictionScope scope = EvictionScope::all);
 
-  /// The connection is closed.
+  /// Must be called when the connection is closed.
   void remove(const std::shared_ptr<DownstreamConnection>& connection);
 
-  /// Evicted connections that still linger; they don't count against the limit.
+  /// The number of evicted connections that still linger. They do not count towards the connection limit.
   std::size_t evictedCount() const { return evicted_.size(); }
 
   List& idle() { return idle_; }
@@ -48,7 +48,7 @@
   bool isEvicted(const std::shared_ptr<DownstreamConnection>& connection) const;
 
   List idle_, incomplete_, lingering_;
-  std::deque<std::shared_ptr<DownstreamConnection>> evicted_;  // in the order of their eviction
+  std::deque<std::shared_ptr<DownstreamConnection>> evicted_;  // in order of eviction
 };
 
 }  // namespace hollyrun::gateway
