--- a/src/gateway/balancer_config.cpp
+++ b/src/gateway/balancer_config.cpp
@@ -21,7 +21,8 @@
     return balancer::Idempotency::keyed;
   if (text == "fragile")
     return balancer::Idempotency::none;
-  throw ConfigError(ConfigErrorCode::unknownValue, "effect", "effect: unknown '" + text + "'");
+  throw ConfigError(ConfigErrorCode::unknownValue, "effect",
+                    "effect: unknown value '" + text + "', expected retryable, dedup or fragile");
 }
 
 balancer::DeduplicationScope parseDeduplicationScope(const std::string& text) {
@@ -31,7 +32,8 @@
     return balancer::DeduplicationScope::cell;
   if (text == "all")
     return balancer::DeduplicationScope::all;
-  throw ConfigError(ConfigErrorCode::unknownValue, "group", "group: unknown '" + text + "'");
+  throw ConfigError(ConfigErrorCode::unknownValue, "group",
+                    "group: unknown value '" + text + "', expected zone, cell or all");
 }
 
 // An empty list allows none of them; so does null here, while an absent list allows all.
@@ -45,7 +47,9 @@
 
 balancer::ClassSettings readClass(const json& entry) {
   if (!entry.is_object())
-    throw ConfigError(ConfigErrorCode::wrongType, "grades", "grades: an entry is no object");
+    throw ConfigError(
+        ConfigErrorCode::wrongType, "grades",
+        std::string("grades: expected a list of objects, got an entry of type ") + entry.type_name());
   balancer::ClassSettings settings;
   std::string idempotency = "fragile";
   std::string deduplicationScope = "all";
@@ -64,14 +68,16 @@
   settings.zones = readAllowList(entry, "staysIn");
   settings.machineTypes = readAllowList(entry, "boundTo");
   if (entry.contains("giveUpNs") && settings.clientTimeout <= Duration{})
-    throw ConfigError(ConfigErrorCode::outOfRange, "giveUpNs", "giveUpNs: must be above 0");
+    throw ConfigError(ConfigErrorCode::outOfRange, "giveUpNs", "giveUpNs: must be greater than 0");
   settings.clientTimeout = std::max(settings.clientTimeout, settings.latencyObjective);
   return settings;
 }
 
 balancer::TenantSettings readTenant(const json& entry) {
   if (!entry.is_object())
-    throw ConfigError(ConfigErrorCode::wrongType, "tenants", "tenants: an entry is no object");
+    throw ConfigError(
+        ConfigErrorCode::wrongType, "tenants",
+        std::string("tenants: expected a list of objects, got an entry of type ") + entry.type_name());
   balancer::TenantSettings settings;
   readField(entry, "name", settings.name);
   readField(entry, "quotaRps", settings.quotaPerSecond);
@@ -123,7 +129,7 @@
   readRules(objectField(object, "rules"), settings);
   const json* classes = listField(object, "grades");
   if (!classes)
-    throw ConfigError(ConfigErrorCode::missingKey, "grades", "grades: missing");
+    throw ConfigError(ConfigErrorCode::missingKey, "grades", "grades: required key is missing");
   for (const json& entry : *classes)
     settings.classes.push_back(readClass(entry));
   if (const json* tenants = listField(object, "tenants"))
--- a/src/gateway/config.cpp
+++ b/src/gateway/config.cpp
@@ -12,6 +12,7 @@
 #include "gateway/config_fields.hpp"
 #include "gateway/config_reader.hpp"
 #include "gateway/config_reload.hpp"
+#include "gateway/endpoint_text.hpp"
 #include "membership/message.hpp"
 
 namespace hollyrun::gateway {
@@ -70,7 +71,7 @@
   const auto [end, error] = std::from_chars(text.data(), last, seed, 16);
   if (error != std::errc{} || end != last)
     throw ConfigError(ConfigErrorCode::malformedValue, "seed",
-                      "seed: '" + text + "' is no hexadecimal number");
+                      "seed: expected a hexadecimal number of up to 64 bits, got '" + text + "'");
   return seed;
 }
 
@@ -79,15 +80,16 @@
   readField(limits, "sockets", config.sockets);
   if (config.sockets < kMinSockets)
     throw ConfigError(ConfigErrorCode::outOfRange, "sockets",
-                      "sockets: at least " + std::to_string(kMinSockets) + " are needed");
+                      "sockets: must be at least " + std::to_string(kMinSockets) + ", got " +
+                          std::to_string(config.sockets));
   double cores = 1;
   double megabytes = 64;
   readField(limits, "cores", cores);
   readField(limits, "memory_mb", megabytes);
   if (cores <= 0)
-    throw ConfigError(ConfigErrorCode::outOfRange, "cores", "cores: must be above 0");
+    throw ConfigError(ConfigErrorCode::outOfRange, "cores", "cores: must be greater than 0");
   if (megabytes <= 0)
-    throw ConfigError(ConfigErrorCode::outOfRange, "memory_mb", "memory_mb: must be above 0");
+    throw ConfigError(ConfigErrorCode::outOfRange, "memory_mb", "memory_mb: must be greater than 0");
   config.memoryBytes = static_cast<std::size_t>(megabytes * kBytesPerMegabyte);
 }
 
@@ -102,7 +104,8 @@
     return LogLevel::error;
   if (text == "off")
     return LogLevel::off;
-  throw ConfigError(ConfigErrorCode::unknownValue, "level", "log: unknown level '" + text + "'");
+  throw ConfigError(ConfigErrorCode::unknownValue, "level",
+                    "log.level: unknown value '" + text + "', expected debug, info, warning, error or off");
 }
 
 LogSettings readLog(const json& log) {
@@ -115,7 +118,8 @@
   readField(log, "mostPerSecond", settings.maxLinesPerSecond);
   settings.level = parseLogLevel(level);
   if (format != "text" && format != "json")
-    throw ConfigError(ConfigErrorCode::unknownValue, "format", "log: unknown format '" + format + "'");
+    throw ConfigError(ConfigErrorCode::unknownValue, "format",
+                      "log.format: unknown value '" + format + "', expected text or json");
   settings.format = format == "json" ? LogFormat::json : LogFormat::text;
   return settings;
 }
@@ -123,7 +127,8 @@
 // A member's record holds an IPv4 address. Any other would end a serving gateway at its reload.
 udp::endpoint requireIpv4(const tcp::endpoint& endpoint) {
   if (!endpoint.address().is_v4())
-    throw ConfigError(ConfigErrorCode::malformedValue, "membership", "membership: only IPv4 addresses");
+    throw ConfigError(ConfigErrorCode::malformedValue, "membership",
+                      "membership: expected an IPv4 address, got '" + textOf(endpoint) + "'");
   return udp::endpoint(endpoint.address(), endpoint.port());
 }
 
@@ -178,9 +183,9 @@
   if (text.size() >= minLength && text.size() <= membership::kMaxTextBytes && !hasControlCharacters)
     return;
   throw ConfigError(ConfigErrorCode::outOfRange, name,
-                    std::string(name) + ": for membership it has to be a text of " +
+                    std::string(name) + ": with membership it must be a string of " +
                         std::to_string(minLength) + " to " + std::to_string(membership::kMaxTextBytes) +
-                        " bytes with no control characters");
+                        " bytes without control characters");
 }
 
 void checkMembershipTexts(const Config& config) {
@@ -214,7 +219,8 @@
   Duration timeout = kDefaultConnectTimeout;
   readField(ceilings, "connectTimeoutNs", timeout);
   if (timeout <= Duration{})
-    throw ConfigError(ConfigErrorCode::outOfRange, "connectTimeoutNs", "connectTimeoutNs: must be above 0");
+    throw ConfigError(ConfigErrorCode::outOfRange, "connectTimeoutNs",
+                      "connectTimeoutNs: must be greater than 0");
   return timeout;
 }
 
@@ -262,7 +268,8 @@
 
 Config parseConfig(const json& root, const Environment& environment, const Config* running) {
   if (!root.is_object())
-    throw ConfigError(ConfigErrorCode::wrongType, "", "the configuration is no object");
+    throw ConfigError(ConfigErrorCode::wrongType, "",
+                      std::string("configuration: expected a JSON object, got ") + root.type_name());
   if (running)
     requireRunningKeys(*running->source, root);
   Config config;
--- a/src/gateway/config_fields.hpp
+++ b/src/gateway/config_fields.hpp
@@ -63,7 +63,8 @@
   if (!field)
     return kEmpty;
   if (!field->is_object())
-    throw ConfigError(ConfigErrorCode::wrongType, name, std::string(name) + " is no object");
+    throw ConfigError(ConfigErrorCode::wrongType, name,
+                      std::string(name) + ": expected an object, got " + field->type_name());
   return *field;
 }
 
@@ -71,7 +72,8 @@
 inline const nlohmann::json* listField(const nlohmann::json& object, const char* name) {
   const nlohmann::json* field = findField(object, name);
   if (field && !field->is_array())
-    throw ConfigError(ConfigErrorCode::wrongType, name, std::string(name) + " is no list");
+    throw ConfigError(ConfigErrorCode::wrongType, name,
+                      std::string(name) + ": expected a list, got " + field->type_name());
   return field;
 }
 
--- a/src/gateway/config_reader.cpp
+++ b/src/gateway/config_reader.cpp
@@ -95,7 +95,7 @@
   parsed_.locations[name] = locationOf(*node);
   const toml::array* entries = node->as_array();
   if (!entries || !entries->is_homogeneous(toml::node_type::table)) {
-    addError(*node, name, ConfigErrorCode::wrongType, "has to be a list of tables, [[" + name + "]]");
+    addError(*node, name, ConfigErrorCode::wrongType, "expected a list of tables, [[" + name + "]]");
     return;
   }
   target = json::array();
@@ -111,9 +111,9 @@
   json value = json::object();
   readTable(entry, keys, prefix, value);
   if (!value.contains("name"))
-    addError(entry, prefix + "name", ConfigErrorCode::missingKey, "is missing");
+    addError(entry, prefix + "name", ConfigErrorCode::missingKey, "required key is missing");
   else if (!names.insert(value["name"]).second)
-    addError(entry, prefix + "name", ConfigErrorCode::conflict, "is there twice");
+    addError(entry, prefix + "name", ConfigErrorCode::conflict, "duplicate name");
   target.push_back(value);
 }
 
@@ -130,10 +130,10 @@
     if (isSection && node.is_table())
       warnOfUnknownKeys(*node.as_table(), knownKeys, prefix, name + ".");
     else if (isSection)
-      addError(node, prefix + name, ConfigErrorCode::wrongType, "has to be a table");
+      addError(node, prefix + name, ConfigErrorCode::wrongType, "expected a table");
     else
       parsed_.warnings.push_back(
-          {locationOf(node), prefix + name, "unknown key, passed over", ConfigErrorCode::unknownKey});
+          {locationOf(node), prefix + name, "unknown key, ignored", ConfigErrorCode::unknownKey});
   }
 }
 
@@ -158,13 +158,13 @@
 std::optional<json> TomlReader::readBoolean(const toml::node& node, const std::string& name) {
   if (const auto value = node.value_exact<bool>())
     return json(*value);
-  return addError(node, name, ConfigErrorCode::wrongType, "has to be true or false");
+  return addError(node, name, ConfigErrorCode::wrongType, "expected true or false");
 }
 
 std::optional<json> TomlReader::readNumber(const SettingKey& key, const toml::node& node,
                                            const std::string& name) {
   if (!node.is_number())
-    return addError(node, name, ConfigErrorCode::wrongType, "has to be a number");
+    return addError(node, name, ConfigErrorCode::wrongType, "expected a number");
   const double value = *node.value<double>();
   const double scaled = value * key.jsonScale;
   const bool isInteger = key.type == ValueType::integer;
@@ -172,8 +172,8 @@
   if (!inRange || (isInteger && scaled != std::floor(scaled))) {
     const char* type = isInteger && key.jsonScale == 1 ? "whole number" : "number";
     return addError(node, name, ConfigErrorCode::outOfRange,
-                    std::string("has to be a ") + type + " from " + numberText(key.minimum) + " to " +
-                        numberText(key.maximum));
+                    std::string("expected a ") + type + " from " + numberText(key.minimum) + " to " +
+                        numberText(key.maximum) + ", got " + numberText(value));
   }
   if (isInteger)
     return json(static_cast<std::int64_t>(std::llround(scaled)));
@@ -183,7 +183,7 @@
 std::optional<json> TomlReader::readStringList(const toml::node& node, const std::string& name) {
   const toml::array* list = node.as_array();
   if (!list || !(list->empty() || list->is_homogeneous(toml::node_type::string)))
-    return addError(node, name, ConfigErrorCode::wrongType, "has to be a list of texts");
+    return addError(node, name, ConfigErrorCode::wrongType, "expected a list of strings");
   json texts = json::array();
   for (const toml::node& text : *list)
     texts.push_back(*text.value<std::string>());
@@ -194,7 +194,7 @@
                                            const std::string& name) {
   const auto text = node.value_exact<std::string>();
   if (!text)
-    return addError(node, name, ConfigErrorCode::wrongType, "has to be a text");
+    return addError(node, name, ConfigErrorCode::wrongType, "expected a string");
   if (key.type == ValueType::endpoint)
     return readEndpoint(*text, node, name);
   if (key.type == ValueType::enumeration)
@@ -220,7 +220,8 @@
       return json(std::string(value.json));
     allowed += (allowed.empty() ? "" : ", ") + std::string(value.toml);
   }
-  return addError(node, name, ConfigErrorCode::unknownValue, "'" + text + "' is none of " + allowed);
+  return addError(node, name, ConfigErrorCode::unknownValue,
+                  "unknown value '" + text + "', expected one of: " + allowed);
 }
 
 /// Checks what more than one key decides.
@@ -231,10 +232,10 @@
   void run() {
     const json settings = parsed_.json.value("settings", json::object());
     if (settings.value("myNumber", 0u) >= settings.value("groupSize", 1u))
-      addError("fleet.number", ConfigErrorCode::conflict, "has to be below fleet.gateways");
+      addError("fleet.number", ConfigErrorCode::conflict, "must be less than fleet.gateways");
     const json classes = settings.value("grades", json::array());
     if (classes.empty() && !isGiven("class"))
-      addError("class", ConfigErrorCode::missingKey, "at least one [[class]] is needed");
+      addError("class", ConfigErrorCode::missingKey, "at least one [[class]] is required");
     for (std::size_t i = 0; i < classes.size(); ++i)
       checkClass(classes[i], "class[" + std::to_string(i) + "].");
   }
@@ -243,9 +244,9 @@
   void checkClass(const json& settings, const std::string& prefix) {
     const std::int64_t objectiveNs = settings.value("aimNs", std::int64_t{0});
     if (objectiveNs == 0 && !isGiven(prefix + "aim_ms"))
-      addError(prefix + "aim_ms", ConfigErrorCode::missingKey, "is missing");
+      addError(prefix + "aim_ms", ConfigErrorCode::missingKey, "required key is missing");
     if (settings.contains("giveUpNs") && settings.value("giveUpNs", std::int64_t{0}) < objectiveNs)
-      addError(prefix + "give_up_ms", ConfigErrorCode::conflict, "must not be below aim_ms");
+      addError(prefix + "give_up_ms", ConfigErrorCode::conflict, "must not be less than aim_ms");
   }
 
   bool isGiven(const std::string& key) const { return parsed_.locations.contains(key); }
@@ -297,7 +298,7 @@
   parsed.json = json::parse(text, nullptr, false);
   if (parsed.json.is_discarded() || !parsed.json.is_object()) {
     parsed.json = json::object();
-    parsed.errors.push_back({path, "file", "holds no JSON object", ConfigErrorCode::syntax});
+    parsed.errors.push_back({path, "file", "expected a JSON object", ConfigErrorCode::syntax});
   }
   return parsed;
 }
--- a/src/gateway/config_reload.cpp
+++ b/src/gateway/config_reload.cpp
@@ -37,7 +37,8 @@
 
 void requireClassKeys(const json& running, const json& replacement) {
   if (!replacement.is_array() || replacement.empty())
-    throw ConfigError(ConfigErrorCode::missingKey, "grades", "grades: no class");
+    throw ConfigError(ConfigErrorCode::missingKey, "grades",
+                      "grades: expected a list with at least one class");
   const json required = commonKeys(running);
   for (const json& entry : replacement)
     requireRunningKeys(required, entry);
@@ -47,13 +48,16 @@
 
 void requireRunningKeys(const json& running, const json& replacement) {
   if (!replacement.is_object())
-    throw ConfigError(ConfigErrorCode::wrongType, "", "an entry is no object");
+    throw ConfigError(
+        ConfigErrorCode::wrongType, "",
+        std::string("expected an object as in the running configuration, got ") + replacement.type_name());
   for (const auto& [key, value] : running.items()) {
     if (isOptional(key) || value.is_null())
       continue;
     const json* field = findField(replacement, key.c_str());
     if (!field)
-      throw ConfigError(ConfigErrorCode::missingKey, key, key + ": missing");
+      throw ConfigError(ConfigErrorCode::missingKey, key,
+                        key + ": required key of the running configuration is missing");
     if (value.is_object())
       requireRunningKeys(value, *field);
     if (key == "grades")
--- a/src/gateway/endpoint_list.cpp
+++ b/src/gateway/endpoint_list.cpp
@@ -13,14 +13,14 @@
 boost::asio::ip::tcp::endpoint parseEndpoint(std::string_view text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos)
-    throw std::invalid_argument("'" + std::string(text) + "' is no address:port");
+    throw std::invalid_argument("expected address:port, got '" + std::string(text) + "'");
   boost::system::error_code ec;
   const auto address = boost::asio::ip::make_address(std::string(text.substr(0, colon)), ec);
   unsigned short port = 0;
   const char* last = text.data() + text.size();
   const auto [end, error] = std::from_chars(text.data() + colon + 1, last, port);
   if (ec || error != std::errc{} || end != last)
-    throw std::invalid_argument("'" + std::string(text) + "' is no address:port");
+    throw std::invalid_argument("expected address:port, got '" + std::string(text) + "'");
   return {address, port};
 }
 
@@ -78,7 +78,7 @@
     list.snapshot = json.value("all", false);
     // Anything else would be read as an empty list, and an empty snapshot removes all endpoints.
     if (!json.at("targets").is_array())
-      throw std::invalid_argument("targets is no list");
+      throw std::invalid_argument("targets: expected a list");
     std::unordered_set<std::string> uids;
     for (const auto& target : json.at("targets")) {
       list.endpoints.push_back(parseListedEndpoint(target));
