--- a/src/gateway/balancer_config.cpp
+++ b/src/gateway/balancer_config.cpp
@@ -36,7 +36,7 @@
                     "group: unknown value '" + text + "', expected zone, cell or all");
 }
 
-// An empty list allows none of them; so does null here, while an absent list allows all.
+// An absent list allows everything; an empty list and null allow nothing.
 std::optional<std::vector<std::string>> readAllowList(const json& object, const char* name) {
   if (!object.contains(name))
     return std::nullopt;
@@ -120,11 +120,12 @@
 balancer::Settings readBalancerSettings(const json& object) {
   balancer::Settings settings;
   readFleet(object, settings);
-  // On sockets the list comes by a watch only, also where the simulator pushes it to the instances.
+  // Over sockets the endpoint list is only available by polling discovery, even if the file was written for
+  // the simulator, which may push the list to the gateways.
   settings.pollDiscovery = true;
   readAttempts(objectField(object, "ceilings"), settings);
-  // A connection carries one request at a time on sockets, whatever the simulator's setting says: with more
-  // the module would treat a busy connection as a free one.
+  // Over sockets a connection carries one request at a time, whatever the simulator's setting says. With a
+  // higher value the balancer would treat a busy connection as available.
   settings.streamsPerConnection = 1;
   readRules(objectField(object, "rules"), settings);
   const json* classes = listField(object, "grades");
--- a/src/gateway/balancer_config.hpp
+++ b/src/gateway/balancer_config.hpp
@@ -1,4 +1,4 @@
-/// Reads the settings of the decision module from the platform's JSON.
+/// Reads the balancer's settings from the platform's JSON.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -7,8 +7,8 @@
 
 namespace hollyrun::gateway {
 
-/// `settings` is the configuration's object of that name. Throws ConfigError on what cannot be read; whether
-/// the values go together is left to the module.
+/// `settings` is the object `settings` of the configuration. Throws ConfigError if a key is missing or a
+/// value has the wrong type or range. Whether the values are consistent is checked by the Balancer.
 balancer::Settings readBalancerSettings(const nlohmann::json& settings);
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/config.cpp
+++ b/src/gateway/config.cpp
@@ -26,13 +26,13 @@
 constexpr auto kDefaultConnectTimeout = std::chrono::milliseconds(250);
 constexpr auto kMinMembershipPeriod = std::chrono::milliseconds(10);
 
-/// An object of the configuration whose fields variables override.
+/// An object of the configuration whose fields can be overridden by environment variables.
 class OverridableObject {
  public:
   OverridableObject(const json& object, const Environment& environment)
       : object_(object), environment_(environment) {}
 
-  /// Empty if neither the variable nor the field is given.
+  /// Returns an empty string if neither the variable nor the field is set.
   std::string text(const char* name, const char* variable) const {
     if (const char* value = environment_(variable))
       return value;
@@ -75,7 +75,7 @@
   return seed;
 }
 
-// The platform enforces the limits on cores and memory; here they are only checked for plausibility.
+// The platform enforces the limits on cores and memory, so they are only checked for plausibility.
 void readLimits(const json& limits, Config& config) {
   readField(limits, "sockets", config.sockets);
   if (config.sockets < kMinSockets)
@@ -124,7 +124,8 @@
   return settings;
 }
 
-// A member's record holds an IPv4 address. Any other would end a serving gateway at its reload.
+// Member records only support IPv4 addresses. Another address would terminate a serving gateway when it
+// reloads its configuration.
 udp::endpoint requireIpv4(const tcp::endpoint& endpoint) {
   if (!endpoint.address().is_v4())
     throw ConfigError(ConfigErrorCode::malformedValue, "membership",
@@ -176,7 +177,7 @@
   return config;
 }
 
-// Texts that travel between gateways are short and printable: a datagram carries many of them.
+// Strings that gateways exchange are short and printable, because one datagram carries many of them.
 void requireMembershipText(const char* name, const std::string& text, std::size_t minLength) {
   const bool hasControlCharacters =
       std::any_of(text.begin(), text.end(), [](unsigned char c) { return c < 0x20 || c == 0x7f; });
@@ -235,7 +236,7 @@
   }
 }
 
-// The decision module checks its own settings when it is made.
+// Constructs a Balancer, which validates its settings.
 void checkBalancerSettings(const balancer::Settings& settings) {
   try {
     balancer::Balancer probe(settings, Duration{});
@@ -293,7 +294,7 @@
   if (!path)
     throw ConfigError(ConfigErrorCode::missingKey, "GW_CONFIG", "GW_CONFIG is not set");
   const ParsedConfigFile file = readConfigFile(path);
-  // The variable names where discovery was at the start; a reloaded file may name its new address.
+  // The variable is the address of discovery at the start; a reloaded file may have its new address.
   const bool fileNamesDiscovery = running && file.json.contains("discovery");
   const Environment overrides = [&](const char* name) -> const char* {
     if (fileNamesDiscovery && std::string_view(name) == "GW_DISCOVERY")
--- a/src/gateway/config_error.hpp
+++ b/src/gateway/config_error.hpp
@@ -1,4 +1,4 @@
-/// What can be wrong with a configuration, as an error code and as an exception.
+/// Error codes of configuration errors and the exception that carries them.
 #pragma once
 
 #include <stdexcept>
@@ -9,26 +9,26 @@
 
 enum class ConfigErrorCode {
   unreadableFile,  ///< the file cannot be opened or read to its end
-  syntax,          ///< the file is no TOML document or no JSON object
+  syntax,          ///< the file is not a valid TOML document or JSON object
   missingKey,
-  wrongType,       ///< of another type than the key holds
-  outOfRange,      ///< a number or a length beyond its limits
-  malformedValue,  ///< a text that does not parse, as an endpoint or a hexadecimal number
-  unknownValue,    ///< none of an enumeration's values
-  conflict,        ///< contradicts another key, or stands twice
+  wrongType,       ///< a value of another type than the key requires
+  outOfRange,      ///< a number or a length outside its limits
+  malformedValue,  ///< a string that cannot be parsed, such as an endpoint or a hexadecimal number
+  unknownValue,    ///< not a value of the enumeration
+  conflict,        ///< contradicts another key, or is a duplicate
   unknownKey,      ///< reported as a warning only
-  rejected,        ///< the decision module does not accept the settings as a whole
+  rejected,        ///< the balancer rejects the settings as a whole
 };
 
-/// A configuration that cannot be used. what() is one line for operators that names what is wrong.
+/// Thrown for an invalid configuration. what() is a one-line message for operators.
 class ConfigError : public std::runtime_error {
  public:
-  /// `message` is the whole of what(). `location` is "file:line" or the file, empty where no file is known.
+  /// `message` becomes what(). `location` is "file:line" or the file, empty if there is no file.
   ConfigError(ConfigErrorCode code, std::string key, const std::string& message, std::string location = {})
       : std::runtime_error(message), code_(code), key_(std::move(key)), location_(std::move(location)) {}
 
   ConfigErrorCode code() const { return code_; }
-  /// As the source names it: a key of the file, or a GW_* variable; empty for the file as a whole.
+  /// The key in the file or the GW_* variable; empty if the error concerns the file as a whole.
   const std::string& key() const { return key_; }
   const std::string& location() const { return location_; }
 
--- a/src/gateway/config_fields.hpp
+++ b/src/gateway/config_fields.hpp
@@ -1,5 +1,5 @@
-/// Fields of the platform's JSON as typed values, for the readers of the configuration. All throw ConfigError
-/// with the field's name; an absent field and null count as not given.
+/// Typed access to fields of the platform's JSON. The functions throw ConfigError with the field's name if a
+/// value is invalid. A field that is absent or null counts as not set.
 #pragma once
 
 #include <cstddef>
@@ -16,12 +16,13 @@
 
 namespace hollyrun::gateway {
 
-// No setting reaches these, and sums of such times or weights are far from an overflow.
+// Limits far above all practical settings, and so low that sums of durations or weights cannot overflow.
 inline constexpr std::int64_t kMaxDurationNs = std::int64_t{366} * 24 * 3600 * 1000000000;
 inline constexpr std::int64_t kMaxDescriptors = std::int64_t{1} << 30;
 inline constexpr double kMaxNumber = 1e9;
 
-/// Durations are whole nanoseconds from 0 to a year, counts whole numbers from 0, numbers from 0 to 1e9.
+/// Converts `value`: durations are whole nanoseconds from 0 to a year, counts whole numbers from 0, other
+/// numbers from 0 to 1e9. Throws if the type or the range is wrong.
 template <class T>
 T fieldValue(const nlohmann::json& value) {
   if constexpr (std::is_same_v<T, balancer::Duration>)
@@ -36,13 +37,13 @@
     return value.get<T>();
 }
 
-/// Null where the field is not given.
+/// Returns the field, or null if it is not set.
 inline const nlohmann::json* findField(const nlohmann::json& object, const char* name) {
   const auto field = object.find(name);
   return field == object.end() || field->is_null() ? nullptr : &*field;
 }
 
-/// Leaves `target` as it is where the field is not given.
+/// Reads the field into `target`; leaves `target` unchanged if the field is not set.
 template <class T>
 void readField(const nlohmann::json& object, const char* name, T& target) {
   const nlohmann::json* field = findField(object, name);
@@ -56,7 +57,7 @@
   }
 }
 
-/// An empty object where the field is not given.
+/// Returns the field, which must be an object, or an empty object if it is not set.
 inline const nlohmann::json& objectField(const nlohmann::json& object, const char* name) {
   static const nlohmann::json kEmpty = nlohmann::json::object();
   const nlohmann::json* field = findField(object, name);
@@ -68,7 +69,7 @@
   return *field;
 }
 
-/// Null where the field is not given.
+/// Returns the field, which must be a list, or null if it is not set.
 inline const nlohmann::json* listField(const nlohmann::json& object, const char* name) {
   const nlohmann::json* field = findField(object, name);
   if (field && !field->is_array())
--- a/src/gateway/config_printer.cpp
+++ b/src/gateway/config_printer.cpp
@@ -16,9 +16,9 @@
 namespace {
 
 using nlohmann::json;
-using ValueMap = std::map<std::string_view, std::string>;  // values by the key's TOML name
+using ValueMap = std::map<std::string_view, std::string>;  // TOML key -> value in TOML syntax
 
-// TOML has no null: a key with one of these is printed as a comment.
+// TOML has no null, so a key with one of these values is printed as a comment.
 constexpr const char* kOff = "off";
 constexpr const char* kAny = "any";
 
@@ -103,7 +103,7 @@
   values["discovery"] = endpointText(config.discovery);
   values["management"] = endpointOrOff(config.management);
   values["seed"] = quoted(hexadecimalText(config.module.seed));
-  // The platform enforces the limit on cores; the gateway keeps no value of its own.
+  // The platform enforces the limit on cores, so Config does not store it.
   values["limits.cores"] = config.source->value("/limits/cores"_json_pointer, json(1.0)).dump();
   values["limits.memory_mb"] = numberText(static_cast<double>(config.memoryBytes) / kBytesPerMegabyte);
   values["limits.sockets"] = std::to_string(config.sockets);
@@ -192,13 +192,14 @@
   return {{"name", quoted(settings.name)}, {"quota_per_s", numberText(settings.quotaPerSecond)}};
 }
 
-/// Collects the settings in effect and finds out where each came from.
+/// Collects the settings in effect and determines the origin of each.
 class SettingCollector {
  public:
   SettingCollector(const ParsedConfigFile& file, const Environment& environment)
       : file_(file), environment_(environment) {}
 
-  /// `prefix` stands before each key's name; `jsonPart` is the part of the platform's JSON with these keys.
+  /// Adds the settings of `keys`. `prefix` is prepended to each key; `jsonPart` is the part of the platform's
+  /// JSON that contains these keys.
   void add(std::span<const SettingKey> keys, const ValueMap& values, const std::string& prefix,
            const json& jsonPart) {
     for (const SettingKey& key : keys) {
@@ -232,7 +233,7 @@
   return std::string(list) + "[" + std::to_string(index) + "].";
 }
 
-// "[fleet]", or "[[class]]" for the section "class[0]".
+// Returns "[fleet]" for the section "fleet" and "[[class]]" for "class[0]".
 std::string sectionHeader(const std::string& section) {
   const std::size_t bracket = section.find('[');
   if (bracket == std::string::npos)
@@ -244,17 +245,17 @@
 
 std::vector<EffectiveSetting> effectiveSettings(const Config& config, const ParsedConfigFile& file,
                                                 const Environment& environment) {
-  static const json kNoJson = json::array();
+  static const json kEmptyJson = json::array();
   SettingCollector collector(file, environment);
   collector.add(globalKeys(), globalValues(config), "", file.json);
-  const json& settings = file.json.contains("settings") ? file.json.at("settings") : kNoJson;
-  const json& classes = settings.contains("grades") ? settings.at("grades") : kNoJson;
+  const json& settings = file.json.contains("settings") ? file.json.at("settings") : kEmptyJson;
+  const json& classes = settings.contains("grades") ? settings.at("grades") : kEmptyJson;
   for (std::size_t i = 0; i < config.module.classes.size(); ++i) {
-    const json& classJson = i < classes.size() ? classes[i] : kNoJson;
+    const json& classJson = i < classes.size() ? classes[i] : kEmptyJson;
     collector.add(classKeys(), classValues(config.module.classes[i]), entryPrefix("class", i), classJson);
   }
   for (std::size_t i = 0; i < config.module.tenants.size(); ++i)
-    collector.add(tenantKeys(), tenantValues(config.module.tenants[i]), entryPrefix("tenant", i), kNoJson);
+    collector.add(tenantKeys(), tenantValues(config.module.tenants[i]), entryPrefix("tenant", i), kEmptyJson);
   return std::move(collector).settings();
 }
 
--- a/src/gateway/config_reader.cpp
+++ b/src/gateway/config_reader.cpp
@@ -28,21 +28,21 @@
  public:
   TomlReader(std::string path, ParsedConfigFile& parsed) : path_(std::move(path)), parsed_(parsed) {}
 
-  /// Stores the values of `keys` in `target`. `prefix` stands before each key's name in diagnostics.
+  /// Stores the values of `keys` in `target`. `prefix` is prepended to each key in diagnostics.
   void readTable(const toml::table& table, std::span<const SettingKey> keys, const std::string& prefix,
                  json& target);
 
-  /// Stores a list of tables, [[name]], in `target`; leaves it as it is where the list is absent.
+  /// Stores a list of tables, [[name]], in `target`; leaves `target` unchanged if the list is absent.
   void readList(const toml::table& root, const std::string& name, std::span<const SettingKey> keys,
                 json& target);
 
  private:
   void readListEntry(const toml::table& entry, const std::string& prefix, std::span<const SettingKey> keys,
                      std::set<std::string>& names, json& target);
-  void warnOfUnknownKeys(const toml::table& table, const KeyNames& knownKeys, const std::string& prefix,
+  void reportUnknownKeys(const toml::table& table, const KeyNames& knownKeys, const std::string& prefix,
                          const std::string& section);
 
-  // None of these has a value where the node is wrong; the error is added then.
+  // These functions add an error and return no value if the node is invalid.
   std::optional<json> readValue(const SettingKey& key, const toml::node& node, const std::string& name);
   std::optional<json> readBoolean(const toml::node& node, const std::string& name);
   std::optional<json> readNumber(const SettingKey& key, const toml::node& node, const std::string& name);
@@ -84,7 +84,7 @@
     if (const auto value = readValue(key, *found.node(), name))
       target[json::json_pointer(std::string(key.json))] = *value;
   }
-  warnOfUnknownKeys(table, knownKeys, prefix, "");
+  reportUnknownKeys(table, knownKeys, prefix, "");
 }
 
 void TomlReader::readList(const toml::table& root, const std::string& name, std::span<const SettingKey> keys,
@@ -117,7 +117,7 @@
   target.push_back(value);
 }
 
-void TomlReader::warnOfUnknownKeys(const toml::table& table, const KeyNames& knownKeys,
+void TomlReader::reportUnknownKeys(const toml::table& table, const KeyNames& knownKeys,
                                    const std::string& prefix, const std::string& section) {
   for (const auto& [key, node] : table) {
     const std::string name = section + std::string(key.str());
@@ -128,7 +128,7 @@
       return known.starts_with(name + ".");
     });
     if (isSection && node.is_table())
-      warnOfUnknownKeys(*node.as_table(), knownKeys, prefix, name + ".");
+      reportUnknownKeys(*node.as_table(), knownKeys, prefix, name + ".");
     else if (isSection)
       addError(node, prefix + name, ConfigErrorCode::wrongType, "expected a table");
     else
@@ -224,7 +224,7 @@
                   "unknown value '" + text + "', expected one of: " + allowed);
 }
 
-/// Checks what more than one key decides.
+/// Checks constraints that involve more than one key.
 class CrossKeyCheck {
  public:
   CrossKeyCheck(const std::string& path, ParsedConfigFile& parsed) : path_(path), parsed_(parsed) {}
@@ -234,7 +234,7 @@
     if (settings.value("myNumber", 0u) >= settings.value("groupSize", 1u))
       addError("fleet.number", ConfigErrorCode::conflict, "must be less than fleet.gateways");
     const json classes = settings.value("grades", json::array());
-    if (classes.empty() && !isGiven("class"))
+    if (classes.empty() && !isSet("class"))
       addError("class", ConfigErrorCode::missingKey, "at least one [[class]] is required");
     for (std::size_t i = 0; i < classes.size(); ++i)
       checkClass(classes[i], "class[" + std::to_string(i) + "].");
@@ -243,13 +243,13 @@
  private:
   void checkClass(const json& settings, const std::string& prefix) {
     const std::int64_t objectiveNs = settings.value("aimNs", std::int64_t{0});
-    if (objectiveNs == 0 && !isGiven(prefix + "aim_ms"))
+    if (objectiveNs == 0 && !isSet(prefix + "aim_ms"))
       addError(prefix + "aim_ms", ConfigErrorCode::missingKey, "required key is missing");
     if (settings.contains("giveUpNs") && settings.value("giveUpNs", std::int64_t{0}) < objectiveNs)
       addError(prefix + "give_up_ms", ConfigErrorCode::conflict, "must not be less than aim_ms");
   }
 
-  bool isGiven(const std::string& key) const { return parsed_.locations.contains(key); }
+  bool isSet(const std::string& key) const { return parsed_.locations.contains(key); }
 
   void addError(const std::string& key, ConfigErrorCode code, const std::string& message) {
     const auto location = parsed_.locations.find(key);
@@ -261,8 +261,8 @@
   ParsedConfigFile& parsed_;
 };
 
-// None if the file could not be read to its end. The parsers do not read the file themselves: they take a
-// read error in its middle for the end, or throw exceptions of other types than their own.
+// Returns no value if the file cannot be read completely. The parsers do not read the file themselves,
+// because they take a read error for the end of the file or throw exceptions that are not their own.
 std::optional<std::string> readWholeFile(const std::string& path) {
   try {
     std::ifstream file(path);
--- a/src/gateway/config_reader.hpp
+++ b/src/gateway/config_reader.hpp
@@ -1,5 +1,5 @@
-/// Reads a configuration file, the operators' TOML or the platform's JSON, into the platform's JSON form, and
-/// collects all that is wrong with it instead of stopping at the first error.
+/// Reads a configuration file, TOML or the platform's JSON, into the platform's JSON form. Collects all
+/// errors instead of stopping at the first one.
 #pragma once
 
 #include <map>
@@ -13,23 +13,24 @@
 
 /// An error or a warning about one key.
 struct Diagnostic {
-  std::string location;  ///< "file:line", or the file alone
-  std::string key;       ///< as the file names it: "class[0].aim_ms"
+  std::string location;  ///< "file:line" or the file
+  std::string key;       ///< key in the file, such as "class[0].aim_ms"
   std::string message;
   ConfigErrorCode code = ConfigErrorCode::rejected;
 
-  /// "location: key: message", one line.
+  /// Returns one line, "location: key: message".
   std::string text() const { return location + ": " + key + ": " + message; }
 };
 
 struct ParsedConfigFile {
-  nlohmann::json json = nlohmann::json::object();  ///< in the platform's form; what is wrong is left out
+  nlohmann::json json = nlohmann::json::object();  ///< in the platform's form, without invalid values
   std::vector<Diagnostic> errors;
   std::vector<Diagnostic> warnings;
-  std::map<std::string, std::string> locations;  ///< "file:line" by the key's TOML name; empty for JSON
+  std::map<std::string, std::string> locations;  ///< TOML key -> "file:line"; empty for JSON
 };
 
-/// Reads TOML if the path ends with `.toml`, else JSON. Never throws on what the file holds: see `errors`.
+/// Reads TOML if the path ends with `.toml`, else JSON. Does not throw if the file is invalid; its errors are
+/// in `errors`.
 ParsedConfigFile readConfigFile(const std::string& path);
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/config_reload.cpp
+++ b/src/gateway/config_reload.cpp
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-// Keys that the platform may leave out at any time, and keys that count at the start only.
+// Keys that the platform may omit at any time, and keys that only apply at the start.
 constexpr std::string_view kOptionalKeys[] = {"aimStretch", "staysIn", "boundTo",   "passesDeadline",
                                               "warmKeys",   "known",   "seed",      "name",
                                               "management", "log",     "membership"};
@@ -22,7 +22,7 @@
   return std::find(std::begin(kOptionalKeys), std::end(kOptionalKeys), key) != std::end(kOptionalKeys);
 }
 
-// The keys that all classes have, with the first class's values.
+// Returns the keys that all classes have, with the values of the first class.
 json commonKeys(const json& classes) {
   if (classes.empty())
     return json::object();
--- a/src/gateway/config_schema.cpp
+++ b/src/gateway/config_schema.cpp
@@ -42,7 +42,7 @@
   return {.toml = toml, .json = json, .type = ValueType::number, .minimum = minimum, .maximum = maximum};
 }
 
-// Milliseconds in TOML, whole nanoseconds in JSON.
+// A duration: milliseconds in TOML, whole nanoseconds in JSON.
 constexpr SettingKey durationKey(std::string_view toml, std::string_view json, double minimumMs,
                                  double maximumMs = kYearMs) {
   return {.toml = toml,
