--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,4 +1,5 @@
-// The configuration from variables and from a file in JSON or TOML: values, errors and the printed settings.
+// Reads the configuration from environment variables and from JSON and TOML files: values, errors and the
+// settings as printed by `show`.
 #include "gateway/config.hpp"
 
 #include <cstdio>
@@ -17,14 +18,15 @@
   return parseConfig(root, [](const char*) { return nullptr; });
 }
 
-void expectBad(const json& root, const std::string& word) {
+// Expects an error with a one-line message that contains `word`.
+void expectRejected(const json& root, const std::string& word) {
   try {
     parse(root);
-    FAIL() << "accepted: " << word;
-  } catch (const ConfigError& bad) {
-    const std::string what = bad.what();
-    EXPECT_NE(what.find(word), std::string::npos) << what;
-    EXPECT_EQ(what.find('\n'), std::string::npos) << "one line: " << what;
+    FAIL() << "expected an error about " << word;
+  } catch (const ConfigError& error) {
+    const std::string message = error.what();
+    EXPECT_NE(message.find(word), std::string::npos) << message;
+    EXPECT_EQ(message.find('\n'), std::string::npos) << "expected one line: " << message;
   }
 }
 
@@ -40,7 +42,7 @@
   EXPECT_EQ(config.module.seed, 0x8c1f30d27a5be964u);
   EXPECT_TRUE(config.module.pollDiscovery && config.module.cancel && !config.module.allowHedging);
   EXPECT_EQ(config.module.streamsPerConnection, 1u)
-      << "on sockets a connection carries one request at a time";
+      << "over sockets a connection carries one request at a time";
   ASSERT_TRUE(config.cachedEndpoints);
   EXPECT_EQ(config.cachedEndpoints->version, 41);
   EXPECT_EQ(config.cachedEndpoints->endpoints.at(0).state, balancer::EndpointState::draining);
@@ -53,8 +55,8 @@
   EXPECT_EQ(textOf(config.listen), "127.0.0.2:99");
 }
 
-// The library takes true for 1, cuts 1.5 to 1 and makes -1 a huge unsigned number: -1 descriptors were
-// plenty.
+// The JSON library converts true to 1, 1.5 to 1 and -1 to a huge unsigned number, so that a limit of -1
+// sockets would allow an almost unlimited number.
 TEST(Config, NumberOfWrongTypeOrRangeIsRejected) {
   const auto with = [](const char* where, const json& value) {
     json root = configJson();
@@ -68,7 +70,7 @@
         "/settings/ceilings/connectTimeoutNs", "/settings/rules/coldNs", "/settings/grades/0/aimNs"}) {
     SCOPED_TRACE(where);
     for (const json& value : wrong)
-      expectBad(with(where, value), std::string(where).substr(std::string(where).rfind('/') + 1));
+      expectRejected(with(where, value), std::string(where).substr(std::string(where).rfind('/') + 1));
     if (std::string_view(where) != "/settings/grades/0/aimNs")
       EXPECT_NO_THROW(parse(with(where, nullptr)));
   }
@@ -76,15 +78,15 @@
                             "/settings/rules/coldShare", "/settings/rules/fallMultiple"})
     for (const json& value : {json(-1), json(true), json("7"), json(1e300)}) {
       SCOPED_TRACE(where);
-      expectBad(with(where, value), std::string(where).substr(std::string(where).rfind('/') + 1));
+      expectRejected(with(where, value), std::string(where).substr(std::string(where).rfind('/') + 1));
     }
-  expectBad(with("/limits/cores", 0), "cores");
-  expectBad(with("/limits", 3), "limits");
-  expectBad(with("/settings/tenants", "none"), "tenants");
-  expectBad(with("/settings/tenants", {3}), "tenants");
+  expectRejected(with("/limits/cores", 0), "cores");
+  expectRejected(with("/limits", 3), "limits");
+  expectRejected(with("/settings/tenants", "none"), "tenants");
+  expectRejected(with("/settings/tenants", {3}), "tenants");
   json root = with("/settings/groupSize", 100);
   root["settings"]["myNumber"] = 100;
-  expectBad(root, "groupSize");
+  expectRejected(root, "groupSize");
   root["settings"]["myNumber"] = 99;
   EXPECT_EQ(parse(root).module.replicaIndex, 99u);
 }
@@ -99,41 +101,41 @@
   const Config config = parse(root);
   EXPECT_EQ(config.sockets, 1024u);
   EXPECT_FALSE(config.cachedEndpoints);
-  EXPECT_EQ(config.module.idleTimeout, std::chrono::seconds(4)) << "a whole number, however it is written";
+  EXPECT_EQ(config.module.idleTimeout, std::chrono::seconds(4)) << "4e9 is a whole number";
 }
 
 TEST(Config, ErrorIsOneLineThatNamesTheKey) {
-  expectBad(json::array(), "configuration");
+  expectRejected(json::array(), "configuration");
   json root = configJson();
   root.erase("listen");
-  expectBad(root, "GW_LISTEN");
+  expectRejected(root, "GW_LISTEN");
   root = configJson();
   root["discovery"] = "nowhere";
-  expectBad(root, "GW_DISCOVERY");
+  expectRejected(root, "GW_DISCOVERY");
   root = configJson();
   root["settings"].erase("grades");
-  expectBad(root, "grades");
+  expectRejected(root, "grades");
   root = configJson();
   root["settings"]["grades"][0]["aimNs"] = "soon";
-  expectBad(root, "aimNs");
+  expectRejected(root, "aimNs");
   root = configJson();
   root["settings"]["grades"][0]["effect"] = "odd";
-  expectBad(root, "effect");
+  expectRejected(root, "effect");
   root = configJson();
   root["settings"]["ceilings"]["maxAttempts"] = -1;
-  expectBad(root, "maxAttempts");
+  expectRejected(root, "maxAttempts");
   root = configJson();
   root["settings"]["rules"]["coldShare"] = 0;
-  expectBad(root, "coldShare");
+  expectRejected(root, "coldShare");
   root = configJson();
   root["seed"] = "xyz";
-  expectBad(root, "seed");
+  expectRejected(root, "seed");
   root = configJson();
   root["limits"]["sockets"] = 3;
-  expectBad(root, "sockets");
+  expectRejected(root, "sockets");
   root = configJson();
   root["known"] = {{"rev", 1}, {"targets", {{{"uid", "s-1"}, {"state", "ODD"}}}}};
-  expectBad(root, "known");
+  expectRejected(root, "known");
 }
 
 TEST(Config, MissingOrBrokenFileIsAnError) {
@@ -162,7 +164,7 @@
   const std::string path;
 };
 
-constexpr const char* kToml =
+constexpr const char* kValidToml =
     "listen = \"127.0.0.1:8080\"\ndiscovery = \"127.0.0.1:8500\"\n[fleet]\ngateways = 3\n[[class]]\n"
     "name = \"lookup\"\neffect = \"safe\"\naim_ms = 400\ngive_up_ms = 1000.5\n";
 
@@ -182,7 +184,8 @@
     ADD_FAILURE() << diagnostic.text();
   std::ifstream stream(HOLLYRUN_EXAMPLE);
   const std::string text{std::istreambuf_iterator<char>(stream), {}};
-  const auto mentioned = [&](std::string_view key) {  // set, or commented out with its default
+  // Whether the key is set, or commented out with its default.
+  const auto mentioned = [&](std::string_view key) {
     const std::string name(key.substr(key.rfind('.') + 1));
     return text.find("\n" + name + " = ") != std::string::npos ||
            text.find("\n# " + name + " = ") != std::string::npos;
@@ -196,26 +199,27 @@
   EXPECT_EQ(config.memoryBytes, 64u << 20);
 }
 
-TEST(Toml, EveryErrorHasItsLineAndUnknownKeysAreWarnings) {
+TEST(Toml, EveryErrorHasItsLineAndAnUnknownKeyIsAWarning) {
   TomlFile toml(
       "listen = \"nowhere\"\n[limits]\nsockets = 3\nmemroy = 5\n[fleet]\ngateways = 2\nnumber = 2\n"
       "[[class]]\nname = \"a\"\neffect = \"maybe\"\naim_ms = true\ngive_up_ms = 1\n[[class]]\nname = \"a\"\n"
       "aim_ms = 9\ngive_up_ms = 8\n");
   const ParsedConfigFile file = readConfigFile(toml.path);
-  std::set<std::string> faults;
+  std::set<std::string> errors;
   for (const Diagnostic& diagnostic : file.errors)
-    faults.insert(diagnostic.location.substr(toml.path.size()) + " " + diagnostic.key);
+    errors.insert(diagnostic.location.substr(toml.path.size()) + " " + diagnostic.key);
   const std::set<std::string> expected{
       ":1 listen",           ":3 limits.sockets", ":7 fleet.number",        ":10 class[0].effect",
       ":11 class[0].aim_ms", ":13 class[1].name", ":16 class[1].give_up_ms"};
-  EXPECT_EQ(faults, expected);
+  EXPECT_EQ(errors, expected);
   ASSERT_EQ(file.warnings.size(), 1u);
   EXPECT_EQ(file.warnings[0].text(), toml.path + ":4: limits.memroy: unknown key, ignored");
   try {
     readConfig(toml.environment());
-    FAIL() << "accepted";
-  } catch (const ConfigError& bad) {
-    EXPECT_EQ(std::string(bad.what()).find('\n'), std::string::npos) << "one line";
+    FAIL() << "expected a ConfigError";
+  } catch (const ConfigError& error) {
+    EXPECT_EQ(std::string(error.what()).find('\n'), std::string::npos)
+        << "expected one line: " << error.what();
   }
 }
 
@@ -229,21 +233,21 @@
 TEST(Toml, PrintedJsonSettingsAreReadBackTheSame) {
   json root = configJson();
   root["settings"]["tenants"] = {{{"name", "t"}, {"quotaRps", 7.5}}};
-  ParsedConfigFile platform;
-  platform.json = root;
+  ParsedConfigFile platformFile;
+  platformFile.json = root;
   const Config before = parse(root);
   const std::vector<EffectiveSetting> shown =
-      effectiveSettings(before, platform, [](const char*) -> const char* { return nullptr; });
+      effectiveSettings(before, platformFile, [](const char*) -> const char* { return nullptr; });
   TomlFile toml(tomlText(shown));
   const ParsedConfigFile file = readConfigFile(toml.path);
   for (const Diagnostic& diagnostic : file.errors)
     ADD_FAILURE() << diagnostic.text();
   const Config after = readConfig(toml.environment());
-  EXPECT_EQ(valuesOf(before, platform), valuesOf(after, file));
+  EXPECT_EQ(valuesOf(before, platformFile), valuesOf(after, file));
 }
 
 TEST(Toml, EffectiveSettingsHaveTheirOrigin) {
-  TomlFile toml(kToml);
+  TomlFile toml(kValidToml);
   const ParsedConfigFile file = readConfigFile(toml.path);
   const Environment environment = [](const char* name) {
     return std::string_view(name) == "GW_LISTEN" ? "127.0.0.1:9" : nullptr;
@@ -260,11 +264,11 @@
   EXPECT_EQ(shown["class[0].give_up_ms"].value, "1000.5");
 }
 
-TEST(ConfigError, OfAFileHasCodeKeyAndLocationOfTheFirstError) {
+TEST(ConfigError, OfAnInvalidFileHasCodeKeyAndLocationOfTheFirstError) {
   TomlFile toml(std::string("fleet.number = 7\n") + "listen = \"nowhere\"\n");
   try {
     readConfig(toml.environment());
-    FAIL() << "accepted";
+    FAIL() << "expected a ConfigError";
   } catch (const ConfigError& error) {
     EXPECT_EQ(error.code(), ConfigErrorCode::malformedValue);
     EXPECT_EQ(error.key(), "listen");
@@ -272,11 +276,11 @@
   }
 }
 
-TEST(ConfigError, OfASettingHasCodeKeyAndTheFile) {
-  TomlFile toml(std::string("seed = \"xyz\"\n") + kToml);
+TEST(ConfigError, OfAnInvalidSettingHasCodeKeyAndFile) {
+  TomlFile toml(std::string("seed = \"xyz\"\n") + kValidToml);
   try {
     readConfig(toml.environment());
-    FAIL() << "accepted";
+    FAIL() << "expected a ConfigError";
   } catch (const ConfigError& error) {
     EXPECT_EQ(error.code(), ConfigErrorCode::malformedValue);
     EXPECT_EQ(error.key(), "seed");
@@ -286,25 +290,25 @@
 }
 
 TEST(Toml, InvalidReplacementIsRejectedAsAWhole) {
-  TomlFile toml(kToml);
+  TomlFile toml(kValidToml);
   const Config running = readConfig(toml.environment());
-  const std::string whole = kToml;
-  for (const std::string& bad :
-       {std::string(), whole.substr(0, whole.find("[[class]]")), whole.substr(0, whole.find("give_up_ms")),
-        whole + "worth = -1\n", std::string(whole).replace(whole.find("gateways = 3"), 12, "")}) {
-    toml.write(bad);
-    EXPECT_THROW(readConfig(toml.environment(), &running), ConfigError) << bad;
+  const std::string valid = kValidToml;
+  for (const std::string& invalid :
+       {std::string(), valid.substr(0, valid.find("[[class]]")), valid.substr(0, valid.find("give_up_ms")),
+        valid + "worth = -1\n", std::string(valid).replace(valid.find("gateways = 3"), 12, "")}) {
+    toml.write(invalid);
+    EXPECT_THROW(readConfig(toml.environment(), &running), ConfigError) << invalid;
   }
-  toml.write(whole + "worth = 2\n");
+  toml.write(valid + "worth = 2\n");
   EXPECT_EQ(readConfig(toml.environment(), &running).module.classes[0].priorityWeight, 2);
 }
 
-// At the start the variable overrides the file; at a reload the file names where discovery has moved.
-TEST(Toml, FileOverridesDiscoveryOfTheVariableAtAReload) {
-  TomlFile toml(kToml);
-  const Environment inner = toml.environment();
+// At the start the variable overrides the file; at a reload the file has the current address of discovery.
+TEST(Toml, DiscoveryInTheFileOverridesTheVariableAtAReload) {
+  TomlFile toml(kValidToml);
+  const Environment fileOnly = toml.environment();
   const Environment environment = [&](const char* name) {
-    return std::string_view(name) == "GW_DISCOVERY" ? "127.0.0.1:1" : inner(name);
+    return std::string_view(name) == "GW_DISCOVERY" ? "127.0.0.1:1" : fileOnly(name);
   };
   const Config running = readConfig(environment);
   EXPECT_EQ(running.discovery.port(), 1);
--- a/tests/sites_test.cpp
+++ b/tests/sites_test.cpp
@@ -1,4 +1,4 @@
-// Other customers' settings: the variants in deploy/sites and what is wrong, or odd but allowed.
+// Settings of other deployments: the examples in deploy/sites, invalid settings, and unusual but valid ones.
 #include <toml++/toml.h>
 
 #include "gateway_fixture.hpp"
@@ -13,7 +13,7 @@
 
 class SiteFiles : public Sites, public ::testing::WithParamInterface<const char*> {
  protected:
-  // The settings that the platform would send a gateway of this site.
+  // Sets the configuration that the platform would give a gateway of this site.
   void applySite(const toml::table& site) {
     json& settings = config["settings"];
     settings["grades"] = json::array();
@@ -56,25 +56,25 @@
   }
 };
 
-TEST_P(SiteFiles, AGatewayServesEveryClassOfIt) {
+TEST_P(SiteFiles, GatewayServesEveryClassOfTheSite) {
   const toml::table site = toml::parse_file(std::string(HOLLYRUN_SITES) + "/" + GetParam());
   applySite(site);
   ASSERT_GE(config["settings"]["grades"].size(), 2u);
   for (auto& entry : config["settings"]["grades"])
-    entry["aimNs"] = entry["giveUpNs"] = 20'000'000'000;  // slow machines
+    entry["aimNs"] = entry["giveUpNs"] = 20'000'000'000;  // long enough for a slow test machine
   twoHosts(always(answerText(200, "", "ok")));
   for (const auto& entry : config["settings"]["grades"])
     EXPECT_EQ(ask(requestOf(entry)).result_int(), 200u) << entry;
   EXPECT_EQ(ask("GET /lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: r\r\n\r\n").result_int(), 404u)
-      << "no class of another deployment is known";
+      << "classes of other deployments are unknown";
 }
 
-TEST_P(SiteFiles, AHostThatResetsIsTriedAgainAsTheEffectPermits) {
+TEST_P(SiteFiles, ResetAttemptIsRetriedOnlyAsTheIdempotencyOfTheClassAllows) {
   const toml::table site = toml::parse_file(std::string(HOLLYRUN_SITES) + "/" + GetParam());
   applySite(site);
   for (auto& entry : config["settings"]["grades"])
     entry["aimNs"] = entry["giveUpNs"] = 20'000'000'000;
-  twoHosts([](PeerConnection& c, std::size_t) { c.reset(); });
+  twoHosts([](PeerConnection& connection, std::size_t) { connection.reset(); });
   for (const auto& entry : config["settings"]["grades"]) {
     reached.clear();
     EXPECT_GE(ask(requestOf(entry)).result_int(), 500u);
@@ -90,42 +90,44 @@
                                                                                   : "ShortDeadlines";
                          });
 
-TEST_F(Sites, WhatThePagesDoNotAllowIsTurnedDownWholeAndTheOldStays) {
+TEST_F(Sites, InvalidSettingsAreRejectedAsAWholeAndTheRunningOnesStay) {
   twoHosts(always(answerText(200, "", "ok")));
   const Config running = parsed(config);
-  const std::vector<std::pair<const char*, std::function<void(json&)>>> wrong = {
+  const std::vector<std::pair<const char*, std::function<void(json&)>>> invalid = {
       {"an unknown effect", [](json& c) { c["settings"]["grades"][0]["effect"] = "sometimes"; }},
       {"an unknown group", [](json& c) { c["settings"]["grades"][2]["group"] = "planet"; }},
       {"a negative limit", [](json& c) { c["limits"]["sockets"] = -1; }},
       {"a negative window", [](json& c) { c["settings"]["grades"][2]["windowNs"] = -1; }},
-      {"no time to give up", [](json& c) { c["settings"]["grades"][0]["giveUpNs"] = 0; }},
-      {"a cold share over the whole", [](json& c) { c["settings"]["rules"]["coldShare"] = 1.5; }},
+      {"a client timeout of zero", [](json& c) { c["settings"]["grades"][0]["giveUpNs"] = 0; }},
+      {"a cold share above 1", [](json& c) { c["settings"]["rules"]["coldShare"] = 1.5; }},
       {"a key of the wrong type", [](json& c) { c["settings"]["grades"][1]["aimNs"] = "soon"; }},
-      {"classes that are no list", [](json& c) { c["settings"]["grades"] = 7; }},
-      {"two classes of one name", [](json& c) { c["settings"]["grades"][1]["name"] = "read"; }},
+      {"classes that are not a list", [](json& c) { c["settings"]["grades"] = 7; }},
+      {"two classes with the same name", [](json& c) { c["settings"]["grades"][1]["name"] = "read"; }},
       {"no class", [](json& c) { c["settings"]["grades"] = json::array(); }},
-      {"no attempt", [](json& c) { c["settings"]["ceilings"]["maxAttempts"] = 0; }},
-      {"no time for connecting", [](json& c) { c["settings"]["ceilings"]["connectTimeoutNs"] = 0; }},
+      {"a maximum of zero attempts", [](json& c) { c["settings"]["ceilings"]["maxAttempts"] = 0; }},
+      {"a connect timeout of zero", [](json& c) { c["settings"]["ceilings"]["connectTimeoutNs"] = 0; }},
   };
-  for (const auto& [what, spoil] : wrong) {
-    json bad = config;
-    spoil(bad);
-    EXPECT_THROW(parseConfig(bad, noVariables, &running), ConfigError) << what;
-    EXPECT_THROW(parsed(bad), ConfigError) << what << ", at the start";
+  for (const auto& [description, invalidate] : invalid) {
+    json changed = config;
+    invalidate(changed);
+    EXPECT_THROW(parseConfig(changed, noVariables, &running), ConfigError) << description << ", at a reload";
+    EXPECT_THROW(parsed(changed), ConfigError) << description << ", at the start";
   }
   EXPECT_EQ(ask(text("read")).result_int(), 200u);
 }
 
-TEST_F(Sites, WhatIsOddButAllowedIsServed) {
-  classEntry(0)["aimNs"] = classEntry(0)["giveUpNs"] = 5'000'000;  // shorter than the margin of an answer
+TEST_F(Sites, UnusualButValidSettingsAreServed) {
+  // Shorter than the gateway's margin for writing the response.
+  classEntry(0)["aimNs"] = classEntry(0)["giveUpNs"] = 5'000'000;
   classEntry(2)["windowNs"] = 1;
   twoHosts(always(answerText(200, "", "ok")));
-  EXPECT_EQ(ask(text("read")).result_int(), 503u) << "an answer in time, though none can be served";
+  EXPECT_EQ(ask(text("read")).result_int(), 503u)
+      << "expected a rejection in time, because no attempt can succeed";
   EXPECT_EQ(ask(text("put")).result_int(), 200u);
   EXPECT_EQ(ask(text("write")).result_int(), 200u);
 }
 
-TEST_F(Sites, OneClassAloneIsServedAndOneThatVanishesIsAnswered) {
+TEST_F(Sites, SingleClassIsServedAndARequestOfARemovedClassIsAnswered404) {
   twoHosts(always(answerText(200, "", "ok")));
   EXPECT_EQ(ask(text("put")).result_int(), 200u);
   config["settings"]["grades"] = json::array({classJson("read", "retryable")});
