--- a/src/gateway/config.cpp
+++ b/src/gateway/config.cpp
@@ -193,7 +193,7 @@
   if (!config.membership)
     return;
   requireMembershipText("name", config.name, 1);
-  requireMembershipText("zone", config.module.zone, 0);
+  requireMembershipText("zone", config.balancer.zone, 0);
   requireMembershipText("region", config.membership->region, 0);
   requireMembershipText("fleet", config.membership->fleet, 1);
 }
@@ -204,16 +204,16 @@
   config.listen = addresses.requiredEndpoint("listen", "GW_LISTEN");
   config.discovery = addresses.requiredEndpoint("discovery", "GW_DISCOVERY");
   config.management = addresses.endpoint("management", "GW_MANAGEMENT");
-  const char* tmp = environment("TMPDIR");
-  if (tmp && *tmp)
-    config.tmp = tmp;
+  const char* directory = environment("TMPDIR");
+  if (directory && *directory)
+    config.temporaryDirectory = directory;
 }
 
 void readSeed(const json& root, Config& config) {
   std::string seed;
   readField(root, "seed", seed);
   if (!seed.empty())
-    config.module.seed = parseSeed(seed);
+    config.balancer.seed = parseSeed(seed);
 }
 
 Duration readConnectTimeout(const json& ceilings) {
@@ -277,7 +277,7 @@
   config.source = std::make_shared<const json>(root);
   readAddresses(root, environment, config);
   const json& settings = objectField(root, "settings");
-  config.module = readBalancerSettings(settings);
+  config.balancer = readBalancerSettings(settings);
   config.log = readLog(objectField(root, "log"));
   config.membership = readMembership(objectField(root, "membership"), environment);
   checkMembershipTexts(config);
@@ -285,7 +285,7 @@
   readLimits(objectField(root, "limits"), config);
   config.connectTimeout = readConnectTimeout(objectField(settings, "ceilings"));
   config.cachedEndpoints = readCachedEndpoints(root);
-  checkBalancerSettings(config.module);
+  checkBalancerSettings(config.balancer);
   return config;
 }
 
--- a/src/gateway/config.hpp
+++ b/src/gateway/config.hpp
@@ -39,11 +39,11 @@
   tcp::endpoint listen;
   tcp::endpoint discovery;
   std::optional<tcp::endpoint> management;  ///< address for operators; absent: disabled
-  std::string tmp = "/tmp";                 ///< the only directory that the gateway writes to
+  std::string temporaryDirectory = "/tmp";  ///< the only directory that the gateway writes to
   std::size_t memoryBytes = 64 << 20;       ///< memory limit of the process; above 0
   std::size_t sockets = 1024;               ///< file descriptor limit of the process, 64 to 2^30
   balancer::Duration connectTimeout{};      ///< for connecting to an upstream host; above 0
-  balancer::Settings module;                ///< settings of the balancer
+  balancer::Settings balancer;
   LogSettings log;
   std::optional<MembershipConfig> membership;    ///< absent: membership is disabled
   std::optional<EndpointList> cachedEndpoints;   ///< last list known to the platform; may be outdated
--- a/src/gateway/config_printer.cpp
+++ b/src/gateway/config_printer.cpp
@@ -102,7 +102,7 @@
   values["listen"] = endpointText(config.listen);
   values["discovery"] = endpointText(config.discovery);
   values["management"] = endpointOrOff(config.management);
-  values["seed"] = quoted(hexadecimalText(config.module.seed));
+  values["seed"] = quoted(hexadecimalText(config.balancer.seed));
   // The platform enforces the limit on cores, so Config does not store it.
   values["limits.cores"] = config.source->value("/limits/cores"_json_pointer, json(1.0)).dump();
   values["limits.memory_mb"] = numberText(static_cast<double>(config.memoryBytes) / kBytesPerMegabyte);
@@ -141,7 +141,7 @@
 }
 
 void addAttemptValues(const Config& config, ValueMap& values) {
-  const balancer::Settings& settings = config.module;
+  const balancer::Settings& settings = config.balancer;
   values["attempts.most"] = std::to_string(settings.maxAttempts);
   values["attempts.second_copies"] = booleanText(settings.allowHedging);
   values["attempts.cancel"] = booleanText(settings.cancel);
@@ -165,9 +165,9 @@
   addProcessValues(config, values);
   addLogValues(config.log, values);
   addMembershipValues(config.membership, values);
-  addFleetValues(config.module, values);
+  addFleetValues(config.balancer, values);
   addAttemptValues(config, values);
-  addRuleValues(config.module, values);
+  addRuleValues(config.balancer, values);
   return values;
 }
 
@@ -250,12 +250,13 @@
   collector.add(globalKeys(), globalValues(config), "", file.json);
   const json& settings = file.json.contains("settings") ? file.json.at("settings") : kEmptyJson;
   const json& classes = settings.contains("grades") ? settings.at("grades") : kEmptyJson;
-  for (std::size_t i = 0; i < config.module.classes.size(); ++i) {
+  for (std::size_t i = 0; i < config.balancer.classes.size(); ++i) {
     const json& classJson = i < classes.size() ? classes[i] : kEmptyJson;
-    collector.add(classKeys(), classValues(config.module.classes[i]), entryPrefix("class", i), classJson);
+    collector.add(classKeys(), classValues(config.balancer.classes[i]), entryPrefix("class", i), classJson);
   }
-  for (std::size_t i = 0; i < config.module.tenants.size(); ++i)
-    collector.add(tenantKeys(), tenantValues(config.module.tenants[i]), entryPrefix("tenant", i), kEmptyJson);
+  for (std::size_t i = 0; i < config.balancer.tenants.size(); ++i)
+    collector.add(tenantKeys(), tenantValues(config.balancer.tenants[i]), entryPrefix("tenant", i),
+                  kEmptyJson);
   return std::move(collector).settings();
 }
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -22,7 +22,7 @@
 UpstreamPool::Limits upstreamLimits(const Config& config) {
   constexpr std::size_t unlimited = std::numeric_limits<std::size_t>::max();
   const auto connections = partitionDescriptors(config.sockets, unlimited, ServingProcesses::one);
-  return {connections.upstream, config.connectTimeout, config.module.idleTimeout};
+  return {connections.upstream, config.connectTimeout, config.balancer.idleTimeout};
 }
 
 DownstreamServer::Limits downstreamLimits(const Config& config, DownstreamServer::Limits limits) {
@@ -41,7 +41,7 @@
 Gateway::Gateway(asio::io_context& io, const Config& config, Options options, Log& log)
     : io_(io),
       log_(log),
-      state_(config.module, log, options.abortOnViolation ? ViolationPolicy::abort : ViolationPolicy::log),
+      state_(config.balancer, log, options.abortOnViolation ? ViolationPolicy::abort : ViolationPolicy::log),
       memory_(std::make_shared<MemoryBudget>(bodyBytesOf(config))),
       upstream_(io, upstreamLimits(config), *this, memory_),
       endpoints_(state_, upstream_),
@@ -53,11 +53,11 @@
       process_(io, config.listen, config.management ? Sharing::shared : Sharing::exclusive,
                resourcesOf(config, options.clients), memory_, downstream_, upstream_, log),
       downstream_(io, downstreamLimits(config, options.clients), *this, memory_) {
-  applySettings(config.module);
+  applySettings(config.balancer);
   applyCachedEndpoints(config);
   if (config.management) {
     management_.emplace(io, *config.management, managementCallbacks());
-    process_.enableHotRestart(config.tmp);
+    process_.enableHotRestart(config.temporaryDirectory);
   }
   joinFleet(config);
   process_.start();
@@ -150,9 +150,9 @@
 }
 
 void Gateway::reload(const Config& config) {
-  applySettings(config.module);
-  upstream_.setTimeouts(config.connectTimeout, config.module.idleTimeout);
-  state_.balancer.onSettings(state_.clock.now(), config.module);
+  applySettings(config.balancer);
+  upstream_.setTimeouts(config.connectTimeout, config.balancer.idleTimeout);
+  state_.balancer.onSettings(state_.clock.now(), config.balancer);
   state_.statistics.recordReload(Statistics::ReloadResult::applied);
   joinFleet(config);
   if (config.discovery != discovery_.server())
@@ -162,7 +162,7 @@
 
 // Membership as configured. If its address has changed, the old one is left and the new one joined.
 void Gateway::joinFleet(const Config& config) {
-  configuredReplicaCount_ = config.module.replicaCount;
+  configuredReplicaCount_ = config.balancer.replicaCount;
   if (process_.isShuttingDown())
     return;
   if (fleet_ && fleet_->serves(config)) {
--- a/src/gateway/membership_transport.cpp
+++ b/src/gateway/membership_transport.cpp
@@ -152,9 +152,9 @@
 
 void MembershipTransport::Impl::applyConfig(const Config& config) {
   config_ = *config.membership;
-  seed_ = config.module.seed;
+  seed_ = config.balancer.seed;
   self_.name = config.name;
-  self_.zone = config.module.zone;
+  self_.zone = config.balancer.zone;
   self_.region = config_.region;
   self_.version = HOLLYRUN_VERSION;
   self_.settingsDigest = digestOf(config);
--- a/src/lab/testbed/stub_gateway.cpp
+++ b/src/lab/testbed/stub_gateway.cpp
@@ -35,7 +35,7 @@
                          std::function<void()> changed)
     : config_(configOf(plan, number)),
       log_(config_.name, config_.log),
-      balancer_(config_.module, now()),
+      balancer_(config_.balancer, now()),
       discovery_(io, config_.discovery,
                  {[this](const EndpointList& list) { told(list); }, [this] { unavailable(); }}, {}),
       waker_(io),
@@ -71,8 +71,8 @@
     return nullptr;
   };
   Config config = gateway::readConfig(environment);
-  config.module.seed += number;  // or all would ask discovery anew at the same moment
-  config.module.replicaIndex = static_cast<std::uint32_t>(number);
+  config.balancer.seed += number;  // or all would ask discovery anew at the same moment
+  config.balancer.replicaIndex = static_cast<std::uint32_t>(number);
   config.log.level = gateway::LogLevel::off;
   return config;
 }
@@ -97,11 +97,11 @@
 
 // As in a gateway: what the whole fleet may do is divided by its members.
 void StubGateway::divide() {
-  const std::uint32_t size = std::max(config_.module.replicaCount, fleet_ ? fleet_->quotaHolders() : 1);
-  if (size == config_.module.replicaCount)
+  const std::uint32_t size = std::max(config_.balancer.replicaCount, fleet_ ? fleet_->quotaHolders() : 1);
+  if (size == config_.balancer.replicaCount)
     return;
-  config_.module.replicaCount = size;
-  balancer_.onSettings(now(), config_.module);
+  config_.balancer.replicaCount = size;
+  balancer_.onSettings(now(), config_.balancer);
   carryOut();
 }
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -35,13 +35,13 @@
   root["known"] = {{"rev", 41}, {"all", true}, {"targets", {target("s-1", loopback(81), "b", "DRAINING")}}};
   root["settings"]["ceilings"]["streamsPerConn"] = 100;
   const Config config = parse(root);
-  EXPECT_EQ(config.module.classes.size(), 3u);
-  EXPECT_EQ(config.module.classes[2].idempotency, balancer::Idempotency::keyed);
-  EXPECT_EQ(config.module.classes[2].deduplicationScope, balancer::DeduplicationScope::zone);
-  EXPECT_EQ(config.module.classes[0].latencyObjective, std::chrono::seconds(20));
-  EXPECT_EQ(config.module.seed, 0x8c1f30d27a5be964u);
-  EXPECT_TRUE(config.module.pollDiscovery && config.module.cancel && !config.module.allowHedging);
-  EXPECT_EQ(config.module.streamsPerConnection, 1u)
+  EXPECT_EQ(config.balancer.classes.size(), 3u);
+  EXPECT_EQ(config.balancer.classes[2].idempotency, balancer::Idempotency::keyed);
+  EXPECT_EQ(config.balancer.classes[2].deduplicationScope, balancer::DeduplicationScope::zone);
+  EXPECT_EQ(config.balancer.classes[0].latencyObjective, std::chrono::seconds(20));
+  EXPECT_EQ(config.balancer.seed, 0x8c1f30d27a5be964u);
+  EXPECT_TRUE(config.balancer.pollDiscovery && config.balancer.cancel && !config.balancer.allowHedging);
+  EXPECT_EQ(config.balancer.streamsPerConnection, 1u)
       << "over sockets a connection carries one request at a time";
   ASSERT_TRUE(config.cachedEndpoints);
   EXPECT_EQ(config.cachedEndpoints->version, 41);
@@ -88,7 +88,7 @@
   root["settings"]["myNumber"] = 100;
   expectRejected(root, "groupSize");
   root["settings"]["myNumber"] = 99;
-  EXPECT_EQ(parse(root).module.replicaIndex, 99u);
+  EXPECT_EQ(parse(root).balancer.replicaIndex, 99u);
 }
 
 TEST(Config, AbsentAndNullKeepTheDefaultAndUnknownKeysAreIgnored) {
@@ -101,7 +101,7 @@
   const Config config = parse(root);
   EXPECT_EQ(config.sockets, 1024u);
   EXPECT_FALSE(config.cachedEndpoints);
-  EXPECT_EQ(config.module.idleTimeout, std::chrono::seconds(4)) << "4e9 is a whole number";
+  EXPECT_EQ(config.balancer.idleTimeout, std::chrono::seconds(4)) << "4e9 is a whole number";
 }
 
 TEST(Config, ErrorIsOneLineThatNamesTheKey) {
@@ -194,8 +194,8 @@
     for (const SettingKey& key : keys)
       EXPECT_TRUE(mentioned(key.toml)) << key.toml;
   const Config config = parseConfig(file.json, [](const char*) { return nullptr; });
-  EXPECT_EQ(config.module.classes[0].latencyObjective, std::chrono::milliseconds(400));
-  EXPECT_EQ(config.module.classes[2].idempotency, balancer::Idempotency::keyed);
+  EXPECT_EQ(config.balancer.classes[0].latencyObjective, std::chrono::milliseconds(400));
+  EXPECT_EQ(config.balancer.classes[2].idempotency, balancer::Idempotency::keyed);
   EXPECT_EQ(config.memoryBytes, 64u << 20);
 }
 
@@ -300,7 +300,7 @@
     EXPECT_THROW(readConfig(toml.environment(), &running), ConfigError) << invalid;
   }
   toml.write(valid + "worth = 2\n");
-  EXPECT_EQ(readConfig(toml.environment(), &running).module.classes[0].priorityWeight, 2);
+  EXPECT_EQ(readConfig(toml.environment(), &running).balancer.classes[0].priorityWeight, 2);
 }
 
 // At the start the variable overrides the file; at a reload the file has the current address of discovery.
