--- a/src/gateway/balancer_config.cpp
+++ b/src/gateway/balancer_config.cpp
@@ -21,7 +21,8 @@
     return balancer::Idempotency::keyed;
   if (text == "fragile")
     return balancer::Idempotency::none;
-  throw ConfigError(ConfigErrorCode::unknownValue, "effect", "effect: unknown '" + text + "'");
+  throw ConfigError(ConfigErrorCode::unknownValue, "effect",
+                    "effect: unknown value '" + text + "', expected retryable, dedup or fragile");
 }
 
 balancer::DeduplicationScope parseDeduplicationScope(const std::string& text) {
@@ -31,10 +32,11 @@
     return balancer::DeduplicationScope::cell;
   if (text == "all")
     return balancer::DeduplicationScope::all;
-  throw ConfigError(ConfigErrorCode::unknownValue, "group", "group: unknown '" + text + "'");
+  throw ConfigError(ConfigErrorCode::unknownValue, "group",
+                    "group: unknown value '" + text + "', expected zone, cell or all");
 }
 
-// An empty list allows none of them; so does null here, while an absent list allows all.
+// An absent list allows everything; an empty list and null allow nothing.
 std::optional<std::vector<std::string>> readAllowList(const json& object, const char* name) {
   if (!object.contains(name))
     return std::nullopt;
@@ -45,7 +47,9 @@
 
 balancer::ClassSettings readClass(const json& entry) {
   if (!entry.is_object())
-    throw ConfigError(ConfigErrorCode::wrongType, "grades", "grades: an entry is no object");
+    throw ConfigError(
+        ConfigErrorCode::wrongType, "grades",
+        std::string("grades: expected a list of objects, got an entry of type ") + entry.type_name());
   balancer::ClassSettings settings;
   std::string idempotency = "fragile";
   std::string deduplicationScope = "all";
@@ -64,14 +68,16 @@
   settings.zones = readAllowList(entry, "staysIn");
   settings.machineTypes = readAllowList(entry, "boundTo");
   if (entry.contains("giveUpNs") && settings.clientTimeout <= Duration{})
-    throw ConfigError(ConfigErrorCode::outOfRange, "giveUpNs", "giveUpNs: must be above 0");
+    throw ConfigError(ConfigErrorCode::outOfRange, "giveUpNs", "giveUpNs: must be greater than 0");
   settings.clientTimeout = std::max(settings.clientTimeout, settings.latencyObjective);
   return settings;
 }
 
 balancer::TenantSettings readTenant(const json& entry) {
   if (!entry.is_object())
-    throw ConfigError(ConfigErrorCode::wrongType, "tenants", "tenants: an entry is no object");
+    throw ConfigError(
+        ConfigErrorCode::wrongType, "tenants",
+        std::string("tenants: expected a list of objects, got an entry of type ") + entry.type_name());
   balancer::TenantSettings settings;
   readField(entry, "name", settings.name);
   readField(entry, "quotaRps", settings.quotaPerSecond);
@@ -114,16 +120,17 @@
 balancer::Settings readBalancerSettings(const json& object) {
   balancer::Settings settings;
   readFleet(object, settings);
-  // On sockets the list comes by a watch only, also where the simulator pushes it to the instances.
+  // Over sockets the endpoint list is only available by polling discovery, even if the file was written for
+  // the simulator, which may push the list to the gateways.
   settings.pollDiscovery = true;
   readAttempts(objectField(object, "ceilings"), settings);
-  // A connection carries one request at a time on sockets, whatever the simulator's setting says: with more
-  // the module would treat a busy connection as a free one.
+  // Over sockets a connection carries one request at a time, whatever the simulator's setting says. With a
+  // higher value the balancer would treat a busy connection as available.
   settings.streamsPerConnection = 1;
   readRules(objectField(object, "rules"), settings);
   const json* classes = listField(object, "grades");
   if (!classes)
-    throw ConfigError(ConfigErrorCode::missingKey, "grades", "grades: missing");
+    throw ConfigError(ConfigErrorCode::missingKey, "grades", "grades: required key is missing");
   for (const json& entry : *classes)
     settings.classes.push_back(readClass(entry));
   if (const json* tenants = listField(object, "tenants"))
--- a/src/gateway/chunked_encoding.hpp
+++ b/src/gateway/chunked_encoding.hpp
@@ -1,4 +1,4 @@
-/// The chunked transfer coding (RFC 9112, 7.1).
+/// The chunked transfer coding (RFC 9112, section 7.1).
 #pragma once
 
 #include <cstddef>
@@ -6,12 +6,12 @@
 
 namespace hollyrun::gateway {
 
-/// One chunk; an empty one ends the body.
+/// Returns `data` as one chunk. A chunk of no data ends the body.
 inline std::string encodeChunk(const std::string& data) {
-  static constexpr const char* kDigits = "0123456789abcdef";
+  static constexpr const char* kHexDigits = "0123456789abcdef";
   std::string size;
-  for (std::size_t rest = data.size(); rest > 0 || size.empty(); rest /= 16)
-    size.insert(size.begin(), kDigits[rest % 16]);
+  for (std::size_t remaining = data.size(); remaining > 0 || size.empty(); remaining /= 16)
+    size.insert(size.begin(), kHexDigits[remaining % 16]);
   return size + "\r\n" + data + "\r\n";
 }
 
