--- a/src/gateway/request_completion.cpp
+++ b/src/gateway/request_completion.cpp
@@ -31,7 +31,7 @@
   return response;
 }
 
-balancer::AttemptResult resultOf(const AttemptCompletion& completion, bool isTerminal) {
+balancer::AttemptResult attemptResultOf(const AttemptCompletion& completion, bool isTerminal) {
   balancer::AttemptResult result;
   result.request = completion.key.request;
   result.attempt = completion.key.attempt;
@@ -65,7 +65,7 @@
     sendResponse(*context, std::move(completion.response), Statistics::Outcome::success,
                  std::move(completion.body), completion.length);
   }
-  state_.balancer.onResult(state_.clock.now(), resultOf(completion, context->isFinished));
+  state_.balancer.onResult(state_.clock.now(), attemptResultOf(completion, context->isFinished));
 }
 
 void RequestCompletion::rejectRequest(const Action& action) {
@@ -96,11 +96,11 @@
       duration = Clock::now() - receivedAt;
       state_.statistics.decrementInFlight();
     }
-    const Statistics::Outcome seenByClient = isSent ? outcome : Statistics::Outcome::failure;
-    state_.statistics.recordOutcome(classIndex, seenByClient, duration);
+    const Statistics::Outcome clientOutcome = isSent ? outcome : Statistics::Outcome::failure;
+    state_.statistics.recordOutcome(classIndex, clientOutcome, duration);
     if (state_.requestLog.isAccessLogged())
       state_.requestLog.logAccess(clientId, state_.statistics.nameOf(classIndex),
-                                  Statistics::nameOf(seenByClient), duration);
+                                  Statistics::nameOf(clientOutcome), duration);
   };
 }
 
--- a/src/gateway/request_completion.hpp
+++ b/src/gateway/request_completion.hpp
@@ -1,4 +1,4 @@
-/// The end of requests: results of attempts, responses to clients, and the record of each outcome.
+/// Completes requests: handles results of attempts, responds to clients and records each outcome.
 #pragma once
 
 #include <cstdint>
@@ -15,17 +15,17 @@
  public:
   RequestCompletion(GatewayState& state, DownstreamServer& downstream);
 
-  /// Sends the response of a served attempt and reports the result to the balancer.
+  /// Sends the response of a served attempt to the client and reports the result to the balancer.
   void completeAttempt(AttemptCompletion completion);
-  /// Answers a request that the balancer rejected or failed.
+  /// Sends the response for a request that the balancer rejected or failed.
   void rejectRequest(const balancer::Action& action);
-  /// The client has disconnected before its response.
+  /// Finishes a request whose client disconnected before its response.
   void abortRequest(RequestContext& context);
 
  private:
   void sendResponse(RequestContext& context, HttpResponse response, Statistics::Outcome outcome,
                     std::shared_ptr<BodyStream> body = nullptr, std::optional<std::uint64_t> length = {});
-  /// Records the outcome once the response has left, or failed to.
+  /// Returns a callback that records the outcome once the response was sent or sending it has failed.
   ResponseCallback outcomeRecorder(const RequestContext& context, Statistics::Outcome outcome);
 
   GatewayState& state_;
--- a/src/gateway/request_intake.cpp
+++ b/src/gateway/request_intake.cpp
@@ -55,8 +55,8 @@
   downstream_.respond(client, emptyResponse(status), nullptr);
 }
 
-// Where an invalid message ends is doubtful, so its connection is closed: what follows must not be read as a
-// request.
+// The end of an invalid message is ambiguous, so its connection is closed: the bytes after it must not be
+// parsed as a request.
 void RequestIntake::rejectInvalid(const DownstreamRequest& request, const RequestRejection& rejection) {
   HttpResponse response = emptyResponse(rejection.status);
   response.keep_alive(false);
@@ -67,8 +67,8 @@
 }
 
 void RequestIntake::acceptRequest(DownstreamRequest request, balancer::Request validated) {
-  // A connection may wait in the accept queue until its client has given up. The request and the client's
-  // disconnection are then found together.
+  // A connection may stay in the accept queue until its client has given up. The request and the
+  // disconnection are then observed together.
   if (!downstream_.isClientPresent(request.id)) {
     const std::string& className = state_.settings.classes[validated.classIndex].name;
     state_.statistics.recordOutcome(state_.statistics.findClass(className), Statistics::Outcome::failure,
@@ -91,7 +91,7 @@
   context.terms.idempotency = requestClass.idempotency;
   context.terms.deduplicationScope = requestClass.deduplicationScope;
   context.terms.deduplicationWindow = requestClass.deduplicationWindow;
-  context.timeLimit = validated.remaining - kAnswerMargin;
+  context.timeLimit = validated.remaining - kResponseMargin;
   context.reservation = std::move(request.reservation);
   context.upload = std::move(request.upload);
   context.uploadLength = request.uploadLength;
@@ -122,12 +122,12 @@
   if (!context)
     return;
   completion_.abortRequest(*context);
-  // The context may be removed with the last of its attempts.
+  // executePending() may remove the context together with its last attempt.
   const balancer::RequestId id = context->id;
   const std::uint32_t attemptsStarted = context->attemptsStarted;
   state_.balancer.onClientDisconnected(state_.clock.now(), id);
   actions_.executePending();
-  // Where attempts may not be cancelled, one that waits for its connection would still be sent.
+  // If cancellation is disabled, an attempt that is still connecting would be sent for a client that is gone.
   for (std::uint32_t attempt = 0; attempt < attemptsStarted; ++attempt)
     upstream_.abandonIfUnsent({id, attempt});
 }
--- a/src/gateway/request_intake.hpp
+++ b/src/gateway/request_intake.hpp
@@ -1,4 +1,4 @@
-/// Arriving requests: validation, admission to the balancer, uploads, and clients that disconnect.
+/// Handles incoming requests: validation, admission to the balancer, uploads, and client disconnections.
 #pragma once
 
 #include <chrono>
@@ -14,8 +14,9 @@
 
 namespace hollyrun::gateway {
 
-/// A final response is sent this long before the client's timeout: for its way there and for a busy machine.
-inline constexpr std::chrono::milliseconds kAnswerMargin{10};
+/// The final response is due this long before the client's timeout, to cover network latency and scheduling
+/// delays on a busy machine.
+inline constexpr std::chrono::milliseconds kResponseMargin{10};
 
 enum class Readiness { ready, notReady };
 
@@ -24,15 +25,17 @@
   RequestIntake(GatewayState& state, RequestCompletion& completion, ActionExecutor& actions,
                 UpstreamPool& upstream, DownstreamServer& downstream);
 
-  /// Validates by the state's settings from here on, and reports all their classes.
+  /// Validates further requests against the current settings of the state and registers their classes with
+  /// the statistics.
   void applySettings();
-  /// `readiness` answers a health check.
+  /// `readiness` is the response to a health check.
   void receiveRequest(DownstreamRequest request, Readiness readiness);
-  /// The response's time runs from the last byte of the upload.
+  /// Starts the time limit for the response, which runs from the last byte of the upload.
   void completeUpload(DownstreamRequestId client);
   void disconnectClient(DownstreamRequestId client);
-  /// The downstream server answered by itself.
+  /// Records a request that the downstream server answered by itself.
   void recordLocalRejection(const std::string& target, RejectionKind kind);
+  /// Reports a violation: the gateway closed a connection whose client was waiting for a response.
   void recordClosedUnanswered(DownstreamRequestId client, CloseReason reason);
 
  private:
--- a/src/gateway/request_log.cpp
+++ b/src/gateway/request_log.cpp
@@ -28,16 +28,16 @@
                                   {"left_ms", inMilliseconds(context.timeLimit)}});
 }
 
-void RequestLog::traceAttempt(std::string_view step, const RequestContext& context, std::uint32_t attempt,
+void RequestLog::traceAttempt(std::string_view event, const RequestContext& context, std::uint32_t attempt,
                               HostId host, std::string_view detail) {
   if (!log_.tracing())
     return;
   const Duration timeLeft = context.timeLimit - (std::chrono::steady_clock::now() - context.receivedAt);
-  log_.trace(step, {{"request", context.clientId()},
-                    {"attempt", std::to_string(attempt)},
-                    {"host", balancer_.address(host)},
-                    {"detail", std::string(detail)},
-                    {"left_ms", inMilliseconds(timeLeft)}});
+  log_.trace(event, {{"request", context.clientId()},
+                     {"attempt", std::to_string(attempt)},
+                     {"host", balancer_.address(host)},
+                     {"detail", std::string(detail)},
+                     {"left_ms", inMilliseconds(timeLeft)}});
 }
 
 void RequestLog::traceAttemptStarted(const RequestContext& context, std::uint32_t attempt, HostId host,
@@ -61,12 +61,12 @@
 
 void RequestLog::logAccess(std::string_view clientId, std::string_view className, std::string_view outcome,
                            std::optional<std::chrono::nanoseconds> duration) {
-  const double ms = duration ? std::chrono::duration<double, std::milli>(*duration).count() : -1;
-  log_.writeAccess(clientId, className, outcome, ms);
+  const double durationMs = duration ? std::chrono::duration<double, std::milli>(*duration).count() : -1;
+  log_.writeAccess(clientId, className, outcome, durationMs);
 }
 
 void RequestLog::reportViolation(std::string_view rule, const std::string& clientId) {
-  log_.write(LogLevel::error, "violation", "a rule was about to be broken",
+  log_.write(LogLevel::error, "violation", "violation of a request handling rule",
              {{"rule", std::string(rule)}, {"request", clientId}});
   if (policy_ == ViolationPolicy::abort)
     std::abort();
--- a/src/gateway/request_log.hpp
+++ b/src/gateway/request_log.hpp
@@ -1,4 +1,4 @@
-/// Log lines about single requests: the trace at level debug, access lines, and violations.
+/// Writes log lines about individual requests: debug traces, access log lines, and violations.
 #pragma once
 
 #include <chrono>
@@ -12,7 +12,8 @@
 
 namespace hollyrun::gateway {
 
-/// What a broken rule leads to. In service it is counted and logged; a test or a soak ends the process.
+/// The reaction to a violated rule of request handling. In production it is counted and logged; in tests and
+/// soaks the process aborts.
 enum class ViolationPolicy { log, abort };
 
 class RequestLog {
@@ -20,7 +21,8 @@
   RequestLog(Log& log, const balancer::Balancer& balancer, ViolationPolicy policy);
 
   void traceReceived(const RequestContext& context, std::string_view className);
-  void traceAttempt(std::string_view step, const RequestContext& context, std::uint32_t attempt,
+  /// `event` is the kind of the log line.
+  void traceAttempt(std::string_view event, const RequestContext& context, std::uint32_t attempt,
                     balancer::HostId host, std::string_view detail);
   void traceAttemptStarted(const RequestContext& context, std::uint32_t attempt, balancer::HostId host,
                            std::chrono::milliseconds advertisedDeadline);
@@ -28,11 +30,13 @@
   void traceClientDisconnected(const RequestContext& context);
 
   bool isAccessLogged() const { return log_.accessLogEnabled(); }
-  /// `duration`: from the request's last byte to the response's last; none if the request was not received.
+  /// `duration` runs from the last byte of the request to the last byte of the response. It is empty if the
+  /// request was not received completely.
   void logAccess(std::string_view clientId, std::string_view className, std::string_view outcome,
                  std::optional<std::chrono::nanoseconds> duration);
 
-  /// Logs a rule that was about to be broken: a fault of this program.
+  /// Logs that a rule of request handling was violated, or would have been but for a check. Each report is a
+  /// bug in this program.
   void reportViolation(std::string_view rule, const std::string& clientId);
 
  private:
--- a/src/gateway/request_metrics.hpp
+++ b/src/gateway/request_metrics.hpp
@@ -1,4 +1,4 @@
-/// Counters of attempts by outcome and of rejected requests by reason, for the operators' page of metrics.
+/// Counts attempts by outcome and rejected requests by reason, and exports the counters on /metrics.
 #pragma once
 
 #include <prometheus/metric_family.h>
@@ -16,20 +16,21 @@
 
 inline constexpr std::size_t kOutcomeCount = 9;
 
-/// The texts are label values of /metrics and fields of trace lines; some differ from the enumerators.
+/// Return the label values of /metrics and field values of trace lines. Some differ from the enumerator
+/// names.
 std::string_view nameOf(balancer::Outcome outcome);
 std::string_view nameOf(balancer::RejectReason reason);
 
 struct RequestCounters {
-  std::array<std::uint64_t, kOutcomeCount> attemptOutcomes{};            ///< by Outcome
-  std::array<std::uint64_t, balancer::kRejectReasonCount> rejections{};  ///< by RejectReason
-  std::uint64_t closedUnanswered = 0;  ///< connections closed while their client waited (violations)
+  std::array<std::uint64_t, kOutcomeCount> attemptOutcomes{};            ///< Indexed by Outcome.
+  std::array<std::uint64_t, balancer::kRejectReasonCount> rejections{};  ///< Indexed by RejectReason.
+  std::uint64_t closedUnanswered = 0;  ///< Connections closed while the client was waiting (violations).
 
   void recordAttempt(balancer::Outcome outcome) { ++attemptOutcomes[static_cast<std::size_t>(outcome)]; }
   void recordRejection(balancer::RejectReason reason) { ++rejections[static_cast<std::size_t>(reason)]; }
 };
 
-/// All counters as Prometheus families, with the guard's denials and the closed connections.
+/// Returns all counters as Prometheus families, together with the guard's denials and the closed connections.
 std::vector<prometheus::MetricFamily> collectRequestMetrics(const RequestCounters& counters,
                                                             const balancer::DispatchGuard& guard,
                                                             const CloseCounts& closed);
--- a/src/gateway/request_table.hpp
+++ b/src/gateway/request_table.hpp
@@ -1,4 +1,4 @@
-/// The requests under way in this process and what is known of each.
+/// The requests in flight in this process and the state of each.
 #pragma once
 
 #include <chrono>
@@ -16,45 +16,45 @@
 
 namespace hollyrun::gateway {
 
-/// One request from its validation until it is finished and none of its attempts is under way.
+/// The state of one request, from its validation until it is finished and none of its attempts is in flight.
 struct RequestContext {
   balancer::RequestId id = 0;
   DownstreamRequestId client = 0;
   HttpRequest message;
-  MemoryReservation reservation;              ///< for a buffered body
-  std::shared_ptr<BodyStream> upload;         ///< the body, if it is streamed
-  std::optional<std::uint64_t> uploadLength;  ///< in bytes, if it is known
-  balancer::Duration timeLimit{};             ///< for the response, from `receivedAt` on
-  bool isReceived = false;                    ///< its last byte has arrived
+  MemoryReservation reservation;              ///< Memory for a buffered body.
+  std::shared_ptr<BodyStream> upload;         ///< The body, if it is streamed.
+  std::optional<std::uint64_t> uploadLength;  ///< In bytes, if known.
+  balancer::Duration timeLimit{};             ///< For the response, counted from `receivedAt`.
+  bool isReceived = false;                    ///< The last byte of the request has arrived.
   std::chrono::steady_clock::time_point receivedAt{};
   std::size_t statisticsClass = 0;
-  std::uint32_t attemptsStarted = 0;  ///< attempts are numbered from 0
+  std::uint32_t attemptsStarted = 0;  ///< Attempts are numbered from 0.
   std::uint32_t attemptsInFlight = 0;
-  balancer::AttemptHistory history;                  ///< of the attempts that were written
-  balancer::AttemptTerms terms;                      ///< of its class, by the settings when it arrived
-  std::vector<balancer::AttemptTerms> attemptTerms;  ///< by attempt, by the settings when it was decided
-  bool isFinished = false;                           ///< answered, or its client has disconnected
+  balancer::AttemptHistory history;                  ///< Of the attempts that were written.
+  balancer::AttemptTerms terms;                      ///< Of its class, from the settings at its arrival.
+  std::vector<balancer::AttemptTerms> attemptTerms;  ///< By attempt, from the settings when each was decided.
+  bool isFinished = false;                           ///< Answered, or the client has disconnected.
 
-  /// X-Request-Id
+  /// The X-Request-Id header.
   std::string clientId() const { return message["X-Request-Id"].to_string(); }
 };
 
-/// Owns the contexts. References to them stay valid until removeFinished().
+/// Owns the contexts of requests. References to contexts stay valid until removeFinished().
 class RequestTable {
  public:
   /// Adds a context with a new id.
   RequestContext& add(DownstreamRequestId client);
-  /// Null if there is none.
+  /// Returns null if there is no such request.
   RequestContext* find(balancer::RequestId id);
-  /// Null if there is none or it is finished.
+  /// Returns null if the client has no request or its request is finished.
   RequestContext* findByClient(DownstreamRequestId client);
 
-  /// Its client expects no response from here on.
+  /// Marks the request as finished: its client no longer expects a response.
   void finish(RequestContext& context);
-  /// Has removeFinished() look at this context.
+  /// Makes the next removeFinished() check this context.
   void scheduleRemoval(balancer::RequestId id) { removalCandidates_.push_back(id); }
-  /// Removes the scheduled contexts that are finished and have no attempt in flight. Actions that name such a
-  /// request must have been carried out before.
+  /// Removes the scheduled contexts that are finished and have no attempt in flight. Pending actions for such
+  /// requests must have been executed before.
   void removeFinished();
 
  private:
--- a/src/gateway/request_validation.cpp
+++ b/src/gateway/request_validation.cpp
@@ -29,7 +29,7 @@
   return number;
 }
 
-/// The value of one cookie, or nothing.
+/// Returns the value of one cookie, or an empty view if the header does not contain it.
 std::string_view cookieValue(string_view header, std::string_view name) {
   std::string_view rest(header.data(), header.size());
   while (!rest.empty()) {
@@ -43,14 +43,15 @@
   return {};
 }
 
-/// A key of hexadecimal digits as their number; of any other text a hash.
+/// Returns the number that the text states in hexadecimal digits, or a hash of any other text.
 std::uint64_t affinityKeyOf(std::string_view text) {
   std::uint64_t key = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), key, 16);
   return error == std::errc{} && end == text.data() + text.size() ? key : std::hash<std::string_view>{}(text);
 }
 
-/// A target may name the server, too (RFC 9112, 3.2.2), which then replaces Host. False if it names none.
+/// Rewrites an absolute target to origin form. Its authority replaces the Host header (RFC 9112, 3.2.2).
+/// Returns false if the authority is empty or the message does not have exactly one Host header.
 bool rewriteToOriginForm(HttpRequest& message) {
   const std::string target = message.target().to_string();
   if (!boost::beast::iequals(target.substr(0, kHttpScheme.size()), string_view(kHttpScheme.data())))
@@ -64,8 +65,8 @@
   return true;
 }
 
-/// Whether the message has one clear end (RFC 9112, 6). The parser would read a body in a transfer coding
-/// that it doesn't know, or one without a length, as the next request.
+/// Checks that the end of the message is unambiguous (RFC 9112, 6). The parser would read a body in an
+/// unknown transfer coding, or a body without a length, as the next request.
 std::optional<Reason> checkFraming(const HttpRequest& message, BodyPresence body) {
   if (message.version() != 11)
     return Reason::unsupportedHttpVersion;
@@ -79,7 +80,7 @@
   return std::nullopt;
 }
 
-/// Upstream hosts derive what a class guarantees from the method, so the two have to agree.
+/// Upstream hosts derive the guarantees of a class from the method, so the method has to match the class.
 std::optional<Reason> checkMethod(const HttpRequest& message, Idempotency idempotency) {
   const bool isGet = message.method() == http::verb::get;
   if (!isGet && message.method() != http::verb::post)
@@ -94,7 +95,7 @@
     return Reason::classMismatch;
   if (message["X-Request-Id"].empty())
     return Reason::missingRequestId;
-  // Of two fields with one name the upstream host might read the other one than we did.
+  // If a field occurs twice, the upstream host might read the one that the gateway did not use.
   for (const char* name : {"X-Request-Id", "X-Class", "X-Deadline-Ms", "Idempotency-Key"})
     if (message.count(name) > 1)
       return Reason::duplicateHeader;
@@ -102,7 +103,7 @@
     return reason;
   if (message.count(http::field::host) != 1)
     return Reason::invalidHost;
-  // Without its key no upstream host would deduplicate a retry.
+  // Without the key, an upstream host can't deduplicate a retry.
   if (settings.idempotency == Idempotency::keyed && message["Idempotency-Key"].empty())
     return Reason::missingIdempotencyKey;
   return std::nullopt;
@@ -162,13 +163,13 @@
     return HealthCheck{};
   if (!rewriteToOriginForm(message))
     return rejectionFor(Reason::invalidTarget);
-  const Result result = describe(message);
+  const ParseResult result = parseRequest(message);
   if (const auto* reason = std::get_if<Reason>(&result))
     return rejectionFor(*reason);
   return std::get<ValidatedRequest>(result);
 }
 
-RequestValidator::Result RequestValidator::describe(const HttpRequest& message) const {
+RequestValidator::ParseResult RequestValidator::parseRequest(const HttpRequest& message) const {
   const auto found = classIndexByName_.find(std::string(firstPathSegment(message.target())));
   if (found == classIndexByName_.end())
     return Reason::unknownClass;
@@ -184,12 +185,13 @@
       return Reason::invalidDeadline;
     validated.request.remaining = std::chrono::milliseconds(*deadlineMs);
   }
-  describeOptionalHeaders(message, validated.request);
+  parseOptionalHeaders(message, validated.request);
   return validated;
 }
 
-// Fields whose absence or nonsense costs the client nothing but the benefit of them.
-void RequestValidator::describeOptionalHeaders(const HttpRequest& message, balancer::Request& request) const {
+// Reads the optional fields. An absent or malformed field is ignored: it only loses the client the benefit of
+// it.
+void RequestValidator::parseOptionalHeaders(const HttpRequest& message, balancer::Request& request) const {
   if (const auto costUs = parseNumber<std::uint32_t>(message["X-Cost-Hint"]))
     request.cost = std::chrono::microseconds(*costUs);
   const auto tenant = tenantIndexByName_.find(message["X-Tenant"].to_string());
--- a/src/gateway/request_validation.hpp
+++ b/src/gateway/request_validation.hpp
@@ -1,5 +1,5 @@
-/// Validation of client requests: one function turns a message into a request for the balancer, a health
-/// check or a typed rejection. It does no I/O and has no clock.
+/// Validates client requests: turns an HTTP message into a request for the balancer, a health check or a
+/// typed rejection. Validation performs no I/O and reads no clock.
 #pragma once
 
 #include <boost/beast/core/string.hpp>
@@ -16,7 +16,7 @@
 
 namespace hollyrun::gateway {
 
-/// Why a message is not accepted as a request. statusOf() maps each to the status of the answer.
+/// The reason why a message is not accepted as a request. statusOf() maps each reason to a response status.
 enum class RequestRejectionReason {
   unsupportedHttpVersion,
   unsupportedTransferCoding,
@@ -41,11 +41,11 @@
   boost::beast::http::status status;
 };
 
-/// A `GET /up`, by which load balancers in front probe this process.
+/// A `GET /up` request, with which load balancers in front of this process probe it.
 struct HealthCheck {};
 
-/// What the message states: class, tenant, client timeout, cost and affinity key. `request.remaining` is the
-/// client's whole timeout; `id` and `uploading` are left to the caller.
+/// The class, tenant, client timeout, cost and affinity key from the message. `request.remaining` is the
+/// whole client timeout; the caller sets `id` and `uploading`.
 struct ValidatedRequest {
   balancer::Request request;
 };
@@ -54,27 +54,28 @@
 
 enum class BodyPresence { absent, present };
 
-/// Holds the classes and tenants of the settings in effect. A settings change needs a new validator.
+/// Validates against the classes and tenants of one set of settings. A settings change requires a new
+/// validator.
 class RequestValidator {
  public:
   explicit RequestValidator(const balancer::Settings& settings);
 
-  /// Checks framing, target, class and headers, in this order. An absolute target is rewritten to origin form
-  /// in `message`, which is left as it was in all other respects.
+  /// Checks framing, target, class and headers, in this order. Rewrites an absolute target and the Host
+  /// header in `message` to origin form and leaves the rest of `message` unchanged.
   ValidationResult validate(HttpRequest& message, BodyPresence body) const;
 
  private:
-  using Result = std::variant<ValidatedRequest, RequestRejectionReason>;
+  using ParseResult = std::variant<ValidatedRequest, RequestRejectionReason>;
 
-  Result describe(const HttpRequest& message) const;
-  void describeOptionalHeaders(const HttpRequest& message, balancer::Request& request) const;
+  ParseResult parseRequest(const HttpRequest& message) const;
+  void parseOptionalHeaders(const HttpRequest& message, balancer::Request& request) const;
 
   std::vector<balancer::ClassSettings> classes_;
   std::unordered_map<std::string, std::uint32_t> classIndexByName_, tenantIndexByName_;
 };
 
-/// The first segment of the path, which names the request's class: "checkout" of "/checkout/7?x=1". Empty if
-/// the target is no path.
+/// Returns the first segment of the path, which names the request's class: "checkout" for "/checkout/7?x=1".
+/// Returns an empty view if the target is not a path.
 std::string_view firstPathSegment(boost::beast::string_view target);
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/server_start_times.cpp
+++ b/src/gateway/server_start_times.cpp
@@ -8,10 +8,11 @@
 
 using balancer::Time;
 
-// A start that is known but lies before the balancer's clock began.
+// The earliest start of a host with a stated start, also if that precedes the epoch of the monotonic clock:
+// zero is reserved for hosts without a stated start.
 constexpr Time kEarliestStart{1};
 
-std::chrono::nanoseconds toUnixTime(std::int64_t startUnixMs) {
+std::chrono::nanoseconds unixTimeOf(std::int64_t startUnixMs) {
   return std::chrono::milliseconds(startUnixMs);
 }
 
@@ -34,40 +35,40 @@
     const auto [it, isNew] = startByUid_.try_emplace(endpoint.uid);
     if (isNew || it->second.startUnixMs != endpoint.startUnixMs) {
       const Time start =
-          std::clamp(toUnixTime(endpoint.startUnixMs) + estimateOffset(now), kEarliestStart, now.monotonic);
+          std::clamp(unixTimeOf(endpoint.startUnixMs) + estimateOffset(now), kEarliestStart, now.monotonic);
       it->second = {endpoint.startUnixMs, start};
     }
     starts.push_back(it->second.start);
   }
   if (list.snapshot)
-    forgetUnlisted(list);
+    removeUnlisted(list);
   if (source == Source::discovery)
-    lastDiscoveryAnswer_ = now.monotonic;
+    lastDiscoveryResponse_ = now.monotonic;
   return starts;
 }
 
-// What a start that is listed now implies for the offset of the two clocks.
+// Narrows the bounds of the clock offset by the start time of one listed host.
 void ServerStartTimes::updateOffsetBounds(const ListedEndpoint& endpoint, const Clocks& now) {
   if (endpoint.startUnixMs <= 0)
     return;
-  maxOffset_ = std::min(maxOffset_, now.monotonic - toUnixTime(endpoint.startUnixMs));
+  maxOffset_ = std::min(maxOffset_, now.monotonic - unixTimeOf(endpoint.startUnixMs));
   const auto known = startByUid_.find(endpoint.uid);
   const bool isNewProcess = known == startByUid_.end() || known->second.startUnixMs != endpoint.startUnixMs;
-  if (!isNewProcess || !lastDiscoveryAnswer_)
+  if (!isNewProcess || !lastDiscoveryResponse_)
     return;
-  const Offset bound = *lastDiscoveryAnswer_ - toUnixTime(endpoint.startUnixMs);
+  const Offset bound = *lastDiscoveryResponse_ - unixTimeOf(endpoint.startUnixMs);
   minOffset_ = std::max(minOffset_.value_or(bound), bound);
 }
 
-// Of the offset at the start and the one now, which differ once the wall clock was stepped, the one that
-// makes hosts younger.
+// The offsets at process start and now differ once the wall clock was stepped. Uses the one that makes hosts
+// younger.
 ServerStartTimes::Offset ServerStartTimes::estimateOffset(const Clocks& now) const {
-  const Offset wall = std::max(offsetAtStart_, now.monotonic - now.unix);
-  const bool contradicted = minOffset_ && wall < *minOffset_;
-  return contradicted ? maxOffset_ : std::min(wall, maxOffset_);
+  const Offset wallClockOffset = std::max(offsetAtStart_, now.monotonic - now.unix);
+  const bool isContradicted = minOffset_ && wallClockOffset < *minOffset_;
+  return isContradicted ? maxOffset_ : std::min(wallClockOffset, maxOffset_);
 }
 
-void ServerStartTimes::forgetUnlisted(const EndpointList& list) {
+void ServerStartTimes::removeUnlisted(const EndpointList& list) {
   std::unordered_set<std::string_view> listed;
   for (const ListedEndpoint& endpoint : list.endpoints)
     listed.insert(endpoint.uid);
--- a/src/gateway/server_start_times.hpp
+++ b/src/gateway/server_start_times.hpp
@@ -1,14 +1,15 @@
-/// When each upstream host started, on this process's monotonic clock.
+/// Estimates when each upstream host started, on this process's monotonic clock.
 ///
-/// Discovery states a start as Unix time. This process's wall clock may be wrong by seconds or hours and may
-/// be stepped, so its offset from the monotonic clock is only an estimate. What is certain bounds it from
-/// both sides: a host has started before it is first listed, and one that appears after a list without it has
-/// started after that list. Inside these bounds the wall clock is used; once it lies outside of them, the
-/// bound that makes a host younger is used instead. Too young costs some of a host's capacity for the
-/// duration of its slow start; too old would overload it.
+/// Discovery states start times as Unix time. The wall clock of this process may be wrong by seconds or hours
+/// and may be stepped, so the offset between the wall clock and the monotonic clock is only an estimate. Two
+/// facts bound the offset: a host has started before it is first listed, and a host that is missing from one
+/// list and present in the next has started after the former. Within these bounds the offset of the wall
+/// clock is used. If that offset lies outside of them, the bound that makes hosts younger is used instead: an
+/// estimate that is too young costs some of a host's capacity for the duration of its slow start, whereas one
+/// that is too old would overload the host.
 ///
-/// What cannot be detected: for hosts of the very first list, a clock that is ahead makes each look older by
-/// the same amount, and nothing contradicts it.
+/// One error cannot be detected: if the wall clock is ahead, each host of the first list appears older by the
+/// same amount, and no later fact contradicts that.
 #pragma once
 
 #include <chrono>
@@ -25,18 +26,19 @@
 
 class ServerStartTimes {
  public:
-  /// Both clocks, read together.
+  /// Readings of both clocks at the same moment.
   struct Clocks {
-    balancer::Time monotonic{};       ///< that of the balancer
-    std::chrono::nanoseconds unix{};  ///< since 1970, as the wall clock has it
+    balancer::Time monotonic{};       ///< The clock of the balancer.
+    std::chrono::nanoseconds unix{};  ///< Unix time according to the wall clock.
   };
-  /// Where a list comes from: `cached` ones may be of any age.
+  /// The origin of a list. A `cached` list may be of any age.
   enum class Source { cached, discovery };
 
   explicit ServerStartTimes(const Clocks& atStart);
 
-  /// The starts of the hosts in this list, in its order; zero = long past. A start once returned stays the
-  /// same for as long as the host's boot_ms does. To be called for each answer of discovery, empty ones too.
+  /// Returns the start times of the hosts in this list, in the order of the list. Zero means long ago
+  /// and is returned for hosts without a stated start. The result for a host stays the same as long as its
+  /// boot_ms does. Must be called for every response of discovery, also for one without hosts.
   std::vector<balancer::Time> startTimesOf(const EndpointList& list, Source source, const Clocks& now);
 
  private:
@@ -44,16 +46,16 @@
     std::int64_t startUnixMs = 0;
     balancer::Time start{};
   };
-  using Offset = std::chrono::nanoseconds;  // of the monotonic clock from Unix time
+  using Offset = std::chrono::nanoseconds;  // monotonic time minus Unix time
 
   void updateOffsetBounds(const ListedEndpoint& endpoint, const Clocks& now);
   Offset estimateOffset(const Clocks& now) const;
-  void forgetUnlisted(const EndpointList& list);
+  void removeUnlisted(const EndpointList& list);
 
   Offset offsetAtStart_;
   Offset maxOffset_ = Offset::max();
   std::optional<Offset> minOffset_;
-  std::optional<balancer::Time> lastDiscoveryAnswer_;
+  std::optional<balancer::Time> lastDiscoveryResponse_;
   std::unordered_map<std::string, KnownStart> startByUid_;
 };
 
--- a/src/gateway/socket_io.cpp
+++ b/src/gateway/socket_io.cpp
@@ -15,15 +15,15 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-// A write is repeated after this when the kernel had no buffer for it.
-constexpr auto kBufferRetryInterval = std::chrono::milliseconds(5);
+// The delay before a write is retried for which the kernel had no buffer.
+constexpr auto kBufferRetryDelay = std::chrono::milliseconds(5);
 
-bool lacksBuffer(const error_code& error) {
+bool isBufferShortage(const error_code& error) {
   return error == errc::no_buffer_space || error == errc::not_enough_memory;
 }
 
 void retryWriteLater(tcp::socket& socket, asio::const_buffer rest, WriteHandler handler) {
-  const auto timer = std::make_shared<asio::steady_timer>(socket.get_executor(), kBufferRetryInterval);
+  const auto timer = std::make_shared<asio::steady_timer>(socket.get_executor(), kBufferRetryDelay);
   timer->async_wait([timer, &socket, rest, handler = std::move(handler)](error_code error) mutable {
     if (error || !socket.is_open())
       return handler(asio::error::operation_aborted);
@@ -53,7 +53,7 @@
 bool isLocalShortage(const error_code& error) {
   return error == errc::address_not_available || error == errc::too_many_files_open ||
          error == errc::too_many_files_open_in_system || error == errc::network_unreachable ||
-         error == errc::resource_unavailable_try_again || isInterrupted(error) || lacksBuffer(error);
+         error == errc::resource_unavailable_try_again || isInterrupted(error) || isBufferShortage(error);
 }
 
 bool hasUnreadBytes(const tcp::socket& socket) {
@@ -69,7 +69,7 @@
       continue;
     if (wouldBlock(error))
       return writeWhenReady(socket, data, std::move(handler));
-    if (lacksBuffer(error))
+    if (isBufferShortage(error))
       return retryWriteLater(socket, data, std::move(handler));
     if (error)
       break;
--- a/src/gateway/socket_io.hpp
+++ b/src/gateway/socket_io.hpp
@@ -1,8 +1,8 @@
-/// Reads and writes on non-blocking sockets that don't rely on edge-triggered events.
+/// I/O on non-blocking sockets that does not rely on edge-triggered events.
 ///
-/// Asio's composed writes regard a short write as a full buffer and wait for the event that the buffer has
-/// space again. A system call may write less for other reasons, and then no such event comes. Here a write
-/// continues until the kernel would block, and the wait that follows asks for the socket's state
+/// Asio's composed writes interpret a short write as a full send buffer and wait for the event that the
+/// buffer has space again. A system call may write less for other reasons, and then that event never arrives.
+/// Here a write continues until the kernel would block, and the wait that follows checks the socket's state
 /// (level-triggered).
 #pragma once
 
@@ -13,19 +13,22 @@
 
 namespace hollyrun::gateway {
 
-/// The call was interrupted, or would block: it is repeated, at once or after a wait.
+/// The call was interrupted by a signal and is to be repeated at once.
 bool isInterrupted(const boost::system::error_code& error);
+/// The call is to be repeated once the socket is ready.
 bool wouldBlock(const boost::system::error_code& error);
-/// This machine has no port, descriptor, buffer or route left: the error says nothing about the peer.
+/// Whether the error is caused by this machine, which lacks a port, descriptor, buffer or route or
+/// interrupted the call. Such an error says nothing about the peer.
 bool isLocalShortage(const boost::system::error_code& error);
 
-/// Whether bytes have arrived that were not read yet, including those that the event loop has not reported.
+/// Whether unread bytes are available, including those that the event loop has not reported yet.
 bool hasUnreadBytes(const boost::asio::ip::tcp::socket& socket);
 
 using WriteHandler = std::function<void(boost::system::error_code)>;
 
-/// Writes all of `data`, then calls `handler`, never from within this call. The caller keeps the bytes and
-/// the socket, which must be non-blocking, until then; closing the socket ends the write with an error.
+/// Writes all of `data`, then calls `handler`, but never from within this call. The socket must be
+/// non-blocking. It and the bytes must stay valid until then. Closing the socket ends the write with an
+/// error.
 void writeAll(boost::asio::ip::tcp::socket& socket, boost::asio::const_buffer data, WriteHandler handler);
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/statistics.cpp
+++ b/src/gateway/statistics.cpp
@@ -9,7 +9,8 @@
 namespace hollyrun::gateway {
 namespace {
 
-// Seconds. From a warm answer to the longest that a client waits, doubled each time.
+// In seconds, from the response time of a warm host to the longest client timeout, each bound twice the
+// previous.
 const prometheus::Histogram::BucketBoundaries kDurationBuckets{0.002, 0.004, 0.008, 0.016, 0.032, 0.064,
                                                                0.128, 0.256, 0.512, 1.024, 2.048};
 constexpr const char* kOutcomeNames[] = {"success", "busy", "failure"};
@@ -39,8 +40,8 @@
 }
 
 const std::string& Statistics::nameOf(std::size_t classIndex) const {
-  static const std::string none = "-";
-  return classIndex < classes_.size() ? classes_[classIndex].name : none;
+  static const std::string noClassName = "-";
+  return classIndex < classes_.size() ? classes_[classIndex].name : noClassName;
 }
 
 const char* Statistics::nameOf(Outcome outcome) {
@@ -70,21 +71,21 @@
 
 std::string Statistics::render(const Gauges& gauges) const {
   std::string text;
-  const auto line = [&](const std::string& name, std::uint64_t value) {
+  const auto addLine = [&](const std::string& name, std::uint64_t value) {
     text += "app." + name + "=" + std::to_string(value) + "\n";
   };
   for (const ClassStatistics& requestClass : classes_)
-    line("success." + requestClass.name, requestClass.success);
+    addLine("success." + requestClass.name, requestClass.success);
   for (const ClassStatistics& requestClass : classes_)
-    line("busy." + requestClass.name, requestClass.busy);
+    addLine("busy." + requestClass.name, requestClass.busy);
   for (const ClassStatistics& requestClass : classes_)
-    line("failure." + requestClass.name, requestClass.failure);
-  line("backend_calls", gauges.upstreamAttempts);
-  line("inflight", inFlight_);
-  line("hosts_listed", gauges.endpointsListed);
-  line("hosts_down", gauges.endpointsUnavailable);
-  line("reconfig_ok", reloadsApplied_);
-  line("reconfig_failed", reloadsRejected_);
+    addLine("failure." + requestClass.name, requestClass.failure);
+  addLine("backend_calls", gauges.upstreamAttempts);
+  addLine("inflight", inFlight_);
+  addLine("hosts_listed", gauges.endpointsListed);
+  addLine("hosts_down", gauges.endpointsUnavailable);
+  addLine("reconfig_ok", reloadsApplied_);
+  addLine("reconfig_failed", reloadsRejected_);
   return text;
 }
 
--- a/src/gateway/upstream_connection.cpp
+++ b/src/gateway/upstream_connection.cpp
@@ -27,7 +27,7 @@
       socket_(pool.io_),
       timer_(pool.io_),
       buffer_(kHeaderLimit + 2 * kUpstreamReadSize) {
-  ++pool_.open_;
+  ++pool_.openConnections_;
 }
 
 void UpstreamConnection::assign(AttemptAssignment attempt, Clock::time_point now) {
@@ -51,15 +51,15 @@
   disarmTimer();
   error_code ignored;
   socket_.close(ignored);
-  dropBodies();
-  --pool_.open_;
+  releaseBodies();
+  --pool_.openConnections_;
 }
 
-void UpstreamConnection::dropBodies() {
+void UpstreamConnection::releaseBodies() {
   if (const auto upload = std::exchange(upload_, nullptr)) {
     upload->onReadable = nullptr;
     if (upload->consumptionStarted())
-      upload->abandon();  // otherwise another attempt may send it
+      upload->abandon();  // An upload that is not consumed may be sent by another attempt.
   }
   if (const auto download = std::exchange(download_, nullptr)) {
     download->onWritable = nullptr;
@@ -71,8 +71,8 @@
 void UpstreamConnection::complete(Outcome outcome, ConnectionReuse reuse) {
   const auto self = shared_from_this();
   AttemptCompletion completion{attempt_, host_, outcome, Clock::now() - startedAt_, {}};
-  // The parser stays until the connection is used again or closed: a read that was cancelled may have its
-  // bytes already, and its handler still passes them to the parser.
+  // The parser is kept until the connection is reused or closed: a cancelled read may already have received
+  // bytes, and its handler still passes them to the parser.
   if (outcome == Outcome::served) {
     completion.response.base() = std::move(parser_->get().base());
     completion.response.body() = std::move(parser_->get().body());
@@ -96,18 +96,19 @@
   watchIdle();
 }
 
-// An idle connection becomes readable when the host closes it; bytes that nobody asked for end it as well.
+// An idle connection becomes readable when the host closes it or sends unsolicited bytes. In both cases it is
+// closed.
 void UpstreamConnection::watchIdle() {
-  if (watching_)
+  if (idleWaitPending_)
     return;
-  watching_ = true;
+  idleWaitPending_ = true;
   socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code) {
-    self->watching_ = false;
+    self->idleWaitPending_ = false;
     if (self->state_ != State::idle)
       return;
     if (hasUnreadBytes(self->socket_))
       self->recordUnsolicitedBytes();
-    self->pool_.dropIdle(self);
+    self->pool_.removeIdle(self);
   });
 }
 
@@ -171,9 +172,9 @@
 
 // --- The request ----------------------------------------------------------------------------------------
 
-// Asks for this step of the attempt; false if the attempt has ended instead. The deadline that the request
-// carries is made here, from the time that is left now: an earlier one would not include the time that
-// connecting took.
+// Requests admission for this step of the attempt. Returns false if it was denied, which ends the attempt.
+// Sets the deadline header here, from the time that is left now: a deadline computed earlier would ignore the
+// time spent connecting.
 bool UpstreamConnection::isAdmitted(AttemptStep step) {
   const AdmissionResult admission = pool_.observer_.admit({attempt_, host_, step, deadline_ - Clock::now()});
   if (admission.denied) {
@@ -189,8 +190,8 @@
 void UpstreamConnection::connect(const tcp::endpoint& endpoint) {
   if (!isAdmitted(AttemptStep::connect))
     return;
-  // Until the connection is up nothing has been written, so the end of the attempt's own time proves here
-  // that it never ran, as the end of the time for connecting does.
+  // Nothing is written until the connection is established. The expiry of the attempt's own time limit
+  // therefore proves that the request was never executed, just as the expiry of the connect timeout does.
   armConnectTimer();
   if (!pool_.openSocket(socket_, endpoint))
     return complete(Outcome::localFailure);
@@ -201,11 +202,12 @@
 void UpstreamConnection::handleConnected(const error_code& error) {
   if (state_ != State::connecting)
     return;
-  // A shortage of this machine must not count against the host: in a burst it would take healthy hosts out of
-  // use, all of them at once.
+  // A resource shortage of this machine must not count as a failure of the host: in a burst it would eject
+  // all healthy hosts at once.
   if (isLocalShortage(error))
     return complete(Outcome::localFailure);
-  // The connection may come up in the instant in which its time ends, and from then on it may not begin.
+  // The connection may be established just as its time limit expires, after which the request must not be
+  // written.
   if (error || Clock::now() > latestStart_)
     return complete(Outcome::connectFailed);
   error_code ignored;
@@ -226,7 +228,7 @@
     self->outgoing_ = {};
     if (self->state_ != State::writing)
       return;
-    // An error here means that the last byte was not written: the request never ran.
+    // An error here means that the last byte was not written, so the request was never executed.
     if (error)
       return self->complete(Outcome::connectFailed);
     self->handleRequestWritten();
@@ -234,17 +236,17 @@
 }
 
 void UpstreamConnection::handleRequestWritten() {
-  ++pool_.written_;
+  ++pool_.writtenAttempts_;
   state_ = State::reading;
-  if (!receiving_)
+  if (!readPending_)
     startReading();
 }
 
-// Reads meanwhile: a host that rejects the request says so before the request's end.
+// Reads during the upload, because a host may reject the request before its end.
 void UpstreamConnection::startUpload() {
   upload_->onReadable = [weak = weak_from_this()] {
     if (const auto self = weak.lock())
-      self->pumpUpload();
+      self->continueUpload();
   };
   std::ostringstream head;
   head << request_.base();
@@ -255,7 +257,7 @@
 void UpstreamConnection::writeUploadPiece(std::string text) {
   writingPiece_ = true;
   outgoing_ = std::move(text);
-  armTimer(Clock::now() + kStallTimeout, Outcome::connectFailed);  // the last byte is still to come
+  armTimer(Clock::now() + kStallTimeout, Outcome::connectFailed);  // The last byte is not written yet.
   writeAll(socket_, asio::buffer(outgoing_), [self = shared_from_this()](error_code error) {
     self->writingPiece_ = false;
     if (self->state_ != State::writing)
@@ -263,11 +265,11 @@
     if (error)
       return self->complete(Outcome::connectFailed);
     self->disarmTimer();
-    self->pumpUpload();
+    self->continueUpload();
   });
 }
 
-void UpstreamConnection::pumpUpload() {
+void UpstreamConnection::continueUpload() {
   if (state_ != State::writing || writingPiece_ || !upload_)
     return;
   if (upload_->hasFailed())
--- a/src/gateway/upstream_connection.hpp
+++ b/src/gateway/upstream_connection.hpp
@@ -1,4 +1,4 @@
-/// One connection to an upstream host, with the attempt that it carries.
+/// One connection to an upstream host and the attempt that it carries.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -21,21 +21,21 @@
 
 class UpstreamPool;
 
-/// What becomes of a connection after its attempt.
+/// Whether a connection is kept open after its attempt.
 enum class ConnectionReuse { close, keepAlive };
 
-/// An attempt as it is given to a connection.
+/// An attempt to be carried by a connection.
 struct AttemptAssignment {
   AttemptKey key;
-  HttpRequest request;                 ///< With its body, unless that is streamed.
-  std::shared_ptr<BodyStream> upload;  ///< The streamed body, if there is one.
+  HttpRequest request;                 ///< Includes the body, unless that is streamed.
+  std::shared_ptr<BodyStream> upload;  ///< The streamed body, or null.
   balancer::Duration timeLimit{};      ///< For the whole attempt.
-  balancer::Duration latestStart{};    ///< The request may not be written later than this, from now.
+  balancer::Duration latestStart{};    ///< After this time from now, the request is not written.
 };
 
-/// Carries one attempt after the other. Each attempt is reported to the pool's observer exactly once, with
-/// the outcome that the way its socket ended stands for. docs/connections.md has the table of states and
-/// events.
+/// Carries attempts one after the other. Each attempt is reported to the pool's observer exactly once, with
+/// an outcome derived from its response, its time limits or the error of its socket. docs/connections.md has
+/// the table of states and events.
 class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection> {
  public:
   using Clock = std::chrono::steady_clock;
@@ -45,20 +45,20 @@
   void assign(AttemptAssignment attempt, Clock::time_point now);
   /// Connects, then sends the assigned request.
   void connect(const boost::asio::ip::tcp::endpoint& endpoint);
-  /// Sends the assigned request; the connection is up.
+  /// Sends the assigned request on the established connection.
   void sendRequest();
-  /// The time limit of the attempt runs anew from now on.
+  /// Restarts the time limit of the attempt from now.
   void restartTimeLimit(balancer::Duration limit);
-  /// While it connects: the request may not be written later than this, from now.
+  /// For a connecting attempt: `latestStart` from now is the latest time at which its request may be written.
   void limitStart(balancer::Duration latestStart);
-  /// Ends the attempt. The connection may be kept only after a complete response: what comes late on one
-  /// whose attempt was abandoned would be taken for the response to the next request.
+  /// Completes the attempt. The connection may be kept only after a complete response: the late response to
+  /// an abandoned attempt would be taken for the response to the next request.
   void complete(balancer::Outcome outcome, ConnectionReuse reuse = ConnectionReuse::close);
-  /// Closes the socket and reports nothing.
+  /// Closes the socket without reporting the attempt.
   void close();
 
-  /// For an idle connection: whether it is still open and silent, also if the event loop has not reported yet
-  /// that it is not.
+  /// For an idle connection: whether it is still open and has no unread bytes. Checks the socket itself,
+  /// since the event loop may not have reported a change yet.
   bool isUsable();
   bool isConnecting() const { return state_ == State::connecting; }
   balancer::HostId host() const { return host_; }
@@ -68,8 +68,8 @@
  private:
   enum class State { connecting, writing, reading, relaying, idle, closed };
 
-  // Lifecycle: upstream_connection.cpp
-  void dropBodies();
+  // Lifecycle, defined in upstream_connection.cpp.
+  void releaseBodies();
   void becomeIdle();
   void watchIdle();
   void recordUnsolicitedBytes();
@@ -78,15 +78,15 @@
   void armConnectTimer();
   void handleTimeout(balancer::Outcome outcome);
 
-  // The request: upstream_connection.cpp
+  // Request, defined in upstream_connection.cpp.
   bool isAdmitted(AttemptStep step);
   void handleConnected(const boost::system::error_code& error);
   void handleRequestWritten();
   void startUpload();
   void writeUploadPiece(std::string text);
-  void pumpUpload();
+  void continueUpload();
 
-  // The response: upstream_response_relay.cpp
+  // Response, defined in upstream_response_relay.cpp.
   void startReading();
   void resetParser();
   void receive();
@@ -107,12 +107,12 @@
   State state_ = State::connecting;
 
   boost::asio::steady_timer timer_;
-  std::uint64_t timerGeneration_ = 0;  // recognises the expiry of a timer that was moved when already due
+  std::uint64_t timerGeneration_ = 0;  // Identifies expiries of a timer that was rearmed when already due.
 
   AttemptKey attempt_;
   HttpRequest request_;
   std::shared_ptr<BodyStream> upload_;
-  std::string outgoing_;  // the request or a piece of it, being written
+  std::string outgoing_;  // The request or the piece of it that is being written.
   bool writingPiece_ = false;
   bool lastChunkWritten_ = false;
   Clock::time_point startedAt_;
@@ -123,12 +123,12 @@
   std::optional<ResponseParser> parser_;
   MemoryReservation reservation_;
   std::shared_ptr<BodyStream> download_;
-  bool receiving_ = false;          // a read is pending
-  bool feeding_ = false;            // data is being appended to the download
-  bool openEndedTimerSet_ = false;  // the shorter limit for buffering a response of unknown length
+  bool readPending_ = false;        // A socket read is pending.
+  bool appending_ = false;          // Data is being appended to the download.
+  bool openEndedTimerSet_ = false;  // The shorter limit for buffering a response of unknown length is in use.
 
   Clock::time_point idleSince_;
-  bool watching_ = false;  // a wait for the idle socket is pending
+  bool idleWaitPending_ = false;  // A wait for the idle socket to become readable is pending.
 };
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/upstream_limits.hpp
+++ b/src/gateway/upstream_limits.hpp
@@ -1,4 +1,4 @@
-/// Times and sizes of connections to upstream hosts.
+/// Timeouts and sizes for connections to upstream hosts.
 #pragma once
 
 #include <chrono>
@@ -8,12 +8,12 @@
 
 namespace hollyrun::gateway {
 
-/// Bytes read at a time.
+/// The maximum number of bytes per read.
 inline constexpr std::size_t kUpstreamReadSize = 16 << 10;
-/// A response of unknown length is buffered for so long before it is streamed: it may prove to be a small
-/// one.
-inline constexpr std::chrono::milliseconds kOpenEndedBuffering{100};
-/// A streamed body whose peer makes no progress for so long is given up.
+/// A response of unknown length is buffered for this long before it is streamed, because it may turn out to
+/// be small.
+inline constexpr std::chrono::milliseconds kOpenEndedBufferingTime{100};
+/// A streamed body whose peer makes no progress for this long is aborted.
 inline constexpr balancer::Duration kStallTimeout = std::chrono::seconds(10);
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/upstream_observer.hpp
+++ b/src/gateway/upstream_observer.hpp
@@ -1,4 +1,5 @@
-/// What an UpstreamPool asks and reports to its owner: admission and completion of attempts.
+/// The interface through which an UpstreamPool requests the admission of attempts and reports their
+/// completion.
 #pragma once
 
 #include <chrono>
@@ -14,6 +15,7 @@
 
 namespace hollyrun::gateway {
 
+/// Identifies an attempt of a request.
 struct AttemptKey {
   balancer::RequestId request = 0;
   std::uint32_t attempt = 0;
@@ -28,18 +30,18 @@
 
 enum class AttemptStep { connect, write };
 
-/// A step of an attempt that is about to happen.
+/// The next step of an attempt, for which admission is requested.
 struct AttemptStart {
   AttemptKey key;
   balancer::HostId host = balancer::kNone;
   AttemptStep step = AttemptStep::connect;
-  balancer::Duration timeLeft{};  ///< Of the attempt's own time limit.
+  balancer::Duration timeLeft{};  ///< Until the time limit of the attempt.
 };
 
 struct AdmissionResult {
-  /// If set, the attempt ends with this outcome, and nothing of it was written.
+  /// If set, the attempt ends with this outcome before any byte of it is written.
   std::optional<balancer::Outcome> denied;
-  /// The deadline that the request carries to the server; none if it is to carry none.
+  /// The value of the request's X-Deadline-Ms header. If empty, the header is not changed.
   std::optional<std::chrono::milliseconds> advertisedDeadline;
 };
 
@@ -48,20 +50,20 @@
   balancer::HostId host = balancer::kNone;
   balancer::Outcome outcome = balancer::Outcome::reset;
   balancer::Duration elapsed{};
-  HttpResponse response;                       ///< With Outcome::served: complete, or its head alone.
+  HttpResponse response;                       ///< With Outcome::served: complete, or the head only.
   std::shared_ptr<BodyStream> body = nullptr;  ///< The response's body, if it is streamed.
-  std::optional<std::uint64_t> length = {};    ///< Of the streamed body in bytes, if it is known.
+  std::optional<std::uint64_t> length = {};    ///< Of the streamed body in bytes, if known.
 };
 
-/// All calls come from the event loop's thread.
+/// All calls are made on the event loop's thread.
 class UpstreamObserver {
  public:
   virtual ~UpstreamObserver() = default;
 
-  /// Exactly one call per attempt, possibly from within start() and cancel().
+  /// Called exactly once per attempt, possibly from within start() or cancel().
   virtual void onAttemptComplete(AttemptCompletion completion) = 0;
-  /// Asked just before an attempt connects and just before its first byte is written. Nothing else lets the
-  /// first byte of a request out.
+  /// Called immediately before an attempt connects and again immediately before its first byte is written. No
+  /// request is written without this admission.
   virtual AdmissionResult admit(const AttemptStart& start) = 0;
 };
 
--- a/src/gateway/upstream_pool.cpp
+++ b/src/gateway/upstream_pool.cpp
@@ -17,25 +17,26 @@
 using tcp = asio::ip::tcp;
 using Clock = std::chrono::steady_clock;
 
-constexpr Duration kSweepInterval = std::chrono::milliseconds(250);
-// A host that sent bytes which nobody asked for may do so again some milliseconds after a response, and they
-// would pass for the response to the next request. For kQuarantine after it, its connections are used again
-// only once they have been idle for kQuarantineIdleTime.
+constexpr Duration kIdleCheckInterval = std::chrono::milliseconds(250);
+// A host that sent unsolicited bytes may do so again some milliseconds after a response, and they would be
+// taken for the response to the next request. For kQuarantine after such bytes, a connection to the host is
+// reused only once it has been idle for kQuarantineIdleTime.
 constexpr Duration kQuarantine = std::chrono::seconds(30);
 constexpr auto kQuarantineIdleTime = std::chrono::milliseconds(50);
-// An attempt that is still connecting to a host that drains has so long to begin: half of the time that a
-// host grants after its drain was announced.
+// An attempt that is still connecting to a draining host must be written within this time: half of the grace
+// period that a host grants after it announced its drain.
 constexpr Duration kDrainStartLimit = std::chrono::milliseconds(500);
-// A request written to a connection that the host is just closing ends as a reset, and may have run. So idle
-// connections are closed earlier than the host would, by this or by a fifth of a short limit.
+// A request written to a connection that the host is just closing ends as a reset and may have executed. Idle
+// connections are therefore closed before the host would close them: earlier by this margin, or by a fifth of
+// the idle timeout if that is shorter.
 constexpr Duration kIdleMargin = std::chrono::seconds(2);
 
 }  // namespace
 
 UpstreamPool::UpstreamPool(asio::io_context& io, Limits limits, UpstreamObserver& observer,
                            std::shared_ptr<MemoryBudget> budget)
-    : io_(io), limits_(limits), observer_(observer), budget_(std::move(budget)), sweeper_(io) {
-  sweep();
+    : io_(io), limits_(limits), observer_(observer), budget_(std::move(budget)), idleCheckTimer_(io) {
+  closeExpiredIdle();
 }
 
 UpstreamPool::~UpstreamPool() {
@@ -49,12 +50,12 @@
 
 void UpstreamPool::setConnectionLimit(std::size_t connections) {
   limits_.connections = connections;
-  while (open_ > limits_.connections && closeOldestIdle()) {
+  while (openConnections_ > limits_.connections && closeOldestIdle()) {
   }
 }
 
 void UpstreamPool::stop() {
-  sweeper_.cancel();
+  idleCheckTimer_.cancel();
   for (auto& [key, connection] : std::exchange(busy_, {}))
     connection->close();
   for (const auto& connection : std::exchange(relaying_, {}))
@@ -80,7 +81,7 @@
 
 void UpstreamPool::start(AttemptKey key, HostId host, HttpRequest request, Duration limit,
                          Duration latestStart) {
-  begin(host, {key, std::move(request), nullptr, limit, latestStart});
+  startAttempt(host, {key, std::move(request), nullptr, limit, latestStart});
 }
 
 void UpstreamPool::start(AttemptKey key, HostId host, HttpRequest head, std::shared_ptr<BodyStream> upload,
@@ -89,7 +90,7 @@
     head.content_length(*length);
   else
     head.chunked(true);
-  begin(host, {key, std::move(head), std::move(upload), limit, latestStart});
+  startAttempt(host, {key, std::move(head), std::move(upload), limit, latestStart});
 }
 
 void UpstreamPool::completeUpload(AttemptKey key, Duration limit) {
@@ -98,22 +99,22 @@
     it->second->restartTimeLimit(limit);
 }
 
-// With no descriptor left, the connection that has been idle for longest is closed for it.
+// If no file descriptor is left, closes the connection that has been idle for longest and tries again.
 bool UpstreamPool::openSocket(tcp::socket& socket, const tcp::endpoint& endpoint) {
-  error_code ec;
-  socket.open(endpoint.protocol(), ec);
-  if (ec == boost::system::errc::too_many_files_open && closeOldestIdle())
-    socket.open(endpoint.protocol(), ec);
-  return !ec;
+  error_code error;
+  socket.open(endpoint.protocol(), error);
+  if (error == boost::system::errc::too_many_files_open && closeOldestIdle())
+    socket.open(endpoint.protocol(), error);
+  return !error;
 }
 
-void UpstreamPool::begin(HostId host, AttemptAssignment attempt) {
+void UpstreamPool::startAttempt(HostId host, AttemptAssignment attempt) {
   const auto now = Clock::now();
   const AttemptKey key = attempt.key;
   std::shared_ptr<UpstreamConnection> connection = takeIdle(host);
   const bool isNew = !connection;
   if (isNew) {
-    if (open_ >= limits_.connections && !closeOldestIdle())
+    if (openConnections_ >= limits_.connections && !closeOldestIdle())
       return observer_.onAttemptComplete({key, host, Outcome::localFailure, {}, {}});
     connection = std::make_shared<UpstreamConnection>(*this, host);
   }
@@ -199,12 +200,12 @@
   return true;
 }
 
-void UpstreamPool::dropIdle(const std::shared_ptr<UpstreamConnection>& connection) {
+void UpstreamPool::removeIdle(const std::shared_ptr<UpstreamConnection>& connection) {
   std::erase(hostState(connection->host()).idle, connection);
   connection->close();
 }
 
-void UpstreamPool::sweep() {
+void UpstreamPool::closeExpiredIdle() {
   for (HostState& host : hosts_)
     std::erase_if(host.idle, [&](const auto& connection) {
       if (!hasOutlivedIdleLimit(*connection))
@@ -212,10 +213,10 @@
       connection->close();
       return true;
     });
-  sweeper_.expires_after(kSweepInterval);
-  sweeper_.async_wait([this](error_code ec) {
-    if (!ec)
-      sweep();
+  idleCheckTimer_.expires_after(kIdleCheckInterval);
+  idleCheckTimer_.async_wait([this](error_code error) {
+    if (!error)
+      closeExpiredIdle();
   });
 }
 
--- a/src/gateway/upstream_pool.hpp
+++ b/src/gateway/upstream_pool.hpp
@@ -1,5 +1,5 @@
-/// The connections to upstream hosts. The pool starts and ends attempts as its owner asks and reports the
-/// outcome of each; it retries nothing by itself.
+/// The pool of connections to upstream hosts. It starts and cancels attempts at its owner's request and
+/// reports the outcome of each. It never retries an attempt by itself.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -25,11 +25,11 @@
 class UpstreamPool {
  public:
   struct Limits {
-    std::size_t connections = 256;        ///< Over all hosts.
+    std::size_t connections = 256;        ///< Total over all hosts.
     balancer::Duration connectTimeout{};  ///< For a new connection.
-    balancer::Duration idleTimeout{};     ///< Idle ones are closed before it; 0 = never.
+    balancer::Duration idleTimeout{};     ///< Idle connections are closed before it; 0 disables this.
   };
-  /// The observer has to outlive the pool.
+  /// The observer must outlive the pool.
   UpstreamPool(boost::asio::io_context& io, Limits limits, UpstreamObserver& observer,
                std::shared_ptr<MemoryBudget> budget);
   ~UpstreamPool();
@@ -37,50 +37,52 @@
   UpstreamPool& operator=(const UpstreamPool&) = delete;
 
   void setEndpoint(balancer::HostId host, const boost::asio::ip::tcp::endpoint& endpoint);
-  /// Sends the request, on the most recently used idle connection if there is one. Each attempt is completed
-  /// exactly once. `latestStart`: it may not be written later than this, from now.
+  /// Starts an attempt, on the most recently used idle connection to the host if there is one. Each attempt
+  /// is completed exactly once. `latestStart` from now is the latest time at which the request may be
+  /// written.
   void start(AttemptKey key, balancer::HostId host, HttpRequest request, balancer::Duration limit,
              balancer::Duration latestStart = balancer::Duration::max());
-  /// With a streamed body, in chunks if its length is not known. completeUpload() sets the time limit anew.
+  /// Starts an attempt with a streamed body, which is sent chunked if its length is unknown. completeUpload()
+  /// restarts the time limit.
   void start(AttemptKey key, balancer::HostId host, HttpRequest head, std::shared_ptr<BodyStream> upload,
              std::optional<std::uint64_t> length, balancer::Duration limit,
              balancer::Duration latestStart = balancer::Duration::max());
-  /// The last byte of the upload has come from the client: the time limit runs from now on.
+  /// Restarts the time limit from now. Called when the last byte of the upload has arrived from the client.
   void completeUpload(AttemptKey key, balancer::Duration limit);
   void cancel(AttemptKey key);
-  /// Ends the attempt if nothing of it was written yet.
+  /// Ends the attempt if none of it has been written yet.
   void abandonIfUnsent(AttemptKey key);
-  /// The host accepts nothing new; what was sent to it may complete.
+  /// Stops new attempts to a draining host; attempts already sent may complete.
   void drain(balancer::HostId host);
   void closeIdle(balancer::HostId host);
-  /// Closes all connections and reports nothing.
+  /// Closes all connections without reporting their attempts.
   void stop();
   void setTimeouts(balancer::Duration connectTimeout, balancer::Duration idleTimeout);
-  /// Sets the limit on connections; if more are open, idle ones are closed.
+  /// Sets the maximum number of connections. If more are open, idle connections are closed.
   void setConnectionLimit(std::size_t connections);
-  std::size_t connections() const { return open_; }
-  /// Attempts whose last byte was written.
-  std::uint64_t writtenAttempts() const { return written_; }
+  std::size_t connections() const { return openConnections_; }
+  /// The number of attempts whose last byte was written.
+  std::uint64_t writtenAttempts() const { return writtenAttempts_; }
 
  private:
-  friend class UpstreamConnection;  // it enters and removes itself in the maps below
+  friend class UpstreamConnection;  // Registers and unregisters itself in the containers below.
 
   struct HostState {
     boost::asio::ip::tcp::endpoint endpoint;
-    std::vector<std::shared_ptr<UpstreamConnection>> idle;     // the most recently used last
-    std::chrono::steady_clock::time_point quarantinedUntil{};  // after bytes that nobody asked for
+    std::vector<std::shared_ptr<UpstreamConnection>> idle;     // Ordered by last use, the most recent last.
+    std::chrono::steady_clock::time_point quarantinedUntil{};  // Set after unsolicited bytes.
   };
 
   bool openSocket(boost::asio::ip::tcp::socket& socket, const boost::asio::ip::tcp::endpoint& endpoint);
-  void begin(balancer::HostId host, AttemptAssignment attempt);
+  void startAttempt(balancer::HostId host, AttemptAssignment attempt);
   HostState& hostState(balancer::HostId host);
   void addIdle(std::shared_ptr<UpstreamConnection> connection);
   std::shared_ptr<UpstreamConnection> takeIdle(balancer::HostId host);
   bool closeOldestIdle();
   bool hasOutlivedIdleLimit(const UpstreamConnection& connection) const;
-  void dropIdle(const std::shared_ptr<UpstreamConnection>& connection);
+  void removeIdle(const std::shared_ptr<UpstreamConnection>& connection);
   void quarantineHost(balancer::HostId host);
-  void sweep();
+  void closeExpiredIdle();
 
   boost::asio::io_context& io_;
   Limits limits_;
@@ -88,10 +90,10 @@
   std::vector<HostState> hosts_;
   std::shared_ptr<MemoryBudget> budget_;
   std::unordered_map<AttemptKey, std::shared_ptr<UpstreamConnection>, AttemptKeyHash> busy_;
-  std::unordered_set<std::shared_ptr<UpstreamConnection>> relaying_;  // their attempts are complete
-  std::size_t open_ = 0;
-  std::uint64_t written_ = 0;
-  boost::asio::steady_timer sweeper_;
+  std::unordered_set<std::shared_ptr<UpstreamConnection>> relaying_;  // Their attempts are complete.
+  std::size_t openConnections_ = 0;
+  std::uint64_t writtenAttempts_ = 0;
+  boost::asio::steady_timer idleCheckTimer_;
 };
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/upstream_response.cpp
+++ b/src/gateway/upstream_response.cpp
@@ -12,8 +12,8 @@
 Outcome classifyResponse(const ResponseParser& parser) {
   const auto& response = parser.get();
   const http::status status = response.result();
-  // A response that is framed by the end of the connection can't be told from a truncated one, unless it says
-  // that the connection ends with it.
+  // A response that is delimited by the end of the connection can't be distinguished from a truncated one,
+  // unless it announces with `Connection: close` that the connection ends with it.
   if (status == http::status::ok && parser.need_eof() &&
       !http::token_list(response[http::field::connection]).exists("close"))
     return Outcome::reset;
@@ -22,7 +22,7 @@
   const bool isBusy = status == http::status::service_unavailable || status == http::status::gateway_timeout;
   if (isBusy && response["X-Not-Run"] == "1")
     return Outcome::rejected;
-  return Outcome::error;  // it may have run, whatever the response says
+  return Outcome::error;  // The request may have executed, whatever the response states.
 }
 
 Outcome classifyReadError(const boost::system::error_code& error) {
--- a/src/gateway/upstream_response.hpp
+++ b/src/gateway/upstream_response.hpp
@@ -1,4 +1,4 @@
-/// What a response from an upstream host means for its attempt and for its connection.
+/// Classifies responses from upstream hosts: the outcome of the attempt and the reuse of the connection.
 #pragma once
 
 #include <boost/beast/http/parser.hpp>
@@ -11,18 +11,18 @@
 
 using ResponseParser = boost::beast::http::response_parser<IncrementalBody>;
 
-/// The outcome of an attempt whose response has come, by its status and its framing.
+/// Returns the outcome of an attempt from the status and the framing of its response.
 balancer::Outcome classifyResponse(const ResponseParser& parser);
 
-/// The outcome of an attempt whose response could not be read: the connection ended, or the bytes are no
-/// response.
+/// Returns the outcome of an attempt whose response could not be read, because the connection ended or the
+/// bytes are not a valid response.
 balancer::Outcome classifyReadError(const boost::system::error_code& error);
 
-/// Whether this is a successful response of unknown length that is still under way. It may grow past what is
-/// buffered.
+/// Whether this is a successful response of unknown length that is not complete yet. It may exceed the
+/// buffer.
 bool isOpenEnded(const ResponseParser& parser);
 
-/// Whether the response lets its connection carry another request.
+/// Whether the connection may carry another request after this response.
 bool allowsReuse(const ResponseParser& parser);
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/upstream_response_relay.cpp
+++ b/src/gateway/upstream_response_relay.cpp
@@ -1,4 +1,4 @@
-// The part of UpstreamConnection that reads a response and, if it is large, relays it.
+// The part of UpstreamConnection that reads a response and relays it if it is large.
 #include <algorithm>
 #include <boost/asio/error.hpp>
 #include <boost/beast/http/error.hpp>
@@ -27,15 +27,15 @@
 void UpstreamConnection::resetParser() {
   parser_.emplace();
   parser_->eager(true);
-  parser_->body_limit(std::numeric_limits<std::uint64_t>::max());  // what is not buffered passes through
+  parser_->body_limit(std::numeric_limits<std::uint64_t>::max());  // Larger bodies are streamed.
   parser_->header_limit(kHeaderLimit);
 }
 
 void UpstreamConnection::receive() {
-  receiving_ = true;
+  readPending_ = true;
   socket_.async_read_some(
       buffer_.prepare(kUpstreamReadSize), [self = shared_from_this()](error_code error, std::size_t bytes) {
-        self->receiving_ = false;
+        self->readPending_ = false;
         const State state = self->state_;
         if (state != State::reading && state != State::writing && state != State::relaying)
           return;
@@ -60,7 +60,7 @@
   bufferOrRelay();
 }
 
-// The end of the connection may be the end of the response.
+// The end of the connection may delimit the response.
 void UpstreamConnection::handleEndOfStream() {
   error_code error;
   if (parser_->got_some())
@@ -72,7 +72,7 @@
   completeResponse();
 }
 
-// False if the response is malformed, and the attempt over.
+// Returns false if the response is malformed and the attempt has ended.
 bool UpstreamConnection::parseReceived() {
   while (buffer_.size() > 0 && !parser_->is_done()) {
     error_code error;
@@ -86,9 +86,9 @@
     const unsigned status = parser_->is_header_done() ? parser_->get().result_int() : 0;
     const bool isInterim = status / 100 == 1 && status != 101;
     if (parser_->is_done() && isInterim)
-      resetParser();  // the final response is to come
+      resetParser();  // The final response follows.
   }
-  // The parser limits the head, but not the head of a chunk, and the buffer would throw once it is full.
+  // The parser limits the size of the response head, but not of chunk headers, and a full buffer would throw.
   if (!parser_->is_done() && buffer_.size() + kUpstreamReadSize > buffer_.max_size()) {
     handleReadError(http::error::header_limit);
     return false;
@@ -96,13 +96,13 @@
   return true;
 }
 
-// The head is there and a part of the body is to come: small bodies are buffered, large ones streamed.
+// Called once the head is complete and the body is not: small bodies are buffered, large ones streamed.
 void UpstreamConnection::bufferOrRelay() {
   const auto length = parser_->content_length();
   const std::size_t received = parser_->get().body().size();
   reservation_.resize(received);
   if (state_ == State::reading && isOpenEnded(*parser_) && !std::exchange(openEndedTimerSet_, true))
-    armTimer(std::min(deadline_, Clock::now() + kOpenEndedBuffering), Outcome::timeout);
+    armTimer(std::min(deadline_, Clock::now() + kOpenEndedBufferingTime), Outcome::timeout);
   const bool isSmall = std::max<std::uint64_t>(received, length ? *length : 0) <= kBufferedBodyLimit;
   if (isSmall && (received == 0 || pool_.budget_->hasCapacity(kBufferedBodyLimit)))
     return receive();
@@ -112,8 +112,8 @@
 }
 
 void UpstreamConnection::handleReadError(const error_code& error) {
-  // Once all of the body was passed to the socket, its last byte may be out although the write has not been
-  // reported as complete, so the request may have run.
+  // Once the whole body has been passed to the socket, its last byte may have been sent although the write
+  // has not been reported as complete, so the request may have executed.
   const bool lastBytePassed = upload_ && upload_->isFinished();
   if (state_ == State::writing)
     return complete(lastBytePassed ? Outcome::reset : Outcome::connectFailed);
@@ -123,11 +123,11 @@
   pool_.relaying_.erase(shared_from_this());
 }
 
-// `allowed`: whether the response is complete, without which its connection is not reused.
+// `allowed` is `close` if the response is incomplete, in which case its connection must not be reused.
 void UpstreamConnection::completeResponse(ConnectionReuse allowed) {
   if (state_ == State::relaying)
     return relayParsed();
-  const bool beforeRequestEnd = state_ == State::writing;  // it can't have run
+  const bool beforeRequestEnd = state_ == State::writing;  // The request can't have executed.
   const Outcome outcome = classifyResponse(*parser_);
   if (beforeRequestEnd)
     return complete(outcome == Outcome::served ? Outcome::reset : outcome);
@@ -144,7 +144,8 @@
 
 // --- Relaying -------------------------------------------------------------------------------------------
 
-// The attempt is complete, for the host has done its work; the rest of the response is passed on as it comes.
+// The attempt counts as complete because the host has processed the request. The rest of the response is
+// relayed as it arrives.
 void UpstreamConnection::beginRelay() {
   disarmTimer();
   state_ = State::relaying;
@@ -166,13 +167,13 @@
 }
 
 void UpstreamConnection::relayParsed() {
-  // The consumer may take the data within append(), which makes the stream writable at once; feeding_ keeps
-  // that from starting a read from within.
-  feeding_ = true;
+  // The consumer may consume the data within append(), which makes the stream writable at once. appending_
+  // prevents onWritable from starting a nested read.
+  appending_ = true;
   download_->append(std::exchange(parser_->get().body(), {}));
-  feeding_ = false;
+  appending_ = false;
   if (!download_)
-    return;  // closed meanwhile
+    return;  // The connection was closed in the meantime.
   if (!parser_->is_done())
     return continueRelay();
   download_->onWritable = nullptr;
@@ -186,7 +187,7 @@
 }
 
 void UpstreamConnection::continueRelay() {
-  if (state_ != State::relaying || receiving_ || feeding_ || !download_)
+  if (state_ != State::relaying || readPending_ || appending_ || !download_)
     return;
   if (download_->isAbandoned())
     return handleTimeout(Outcome::cancelled);
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -33,7 +33,7 @@
   start();
   EXPECT_EQ(ask(text("read", "X-Deadline-Ms: 15000\r\n")).result_int(), 200u);
   const long told = std::stol(hosts[0]->requests.at(0)["X-Deadline-Ms"].to_string());
-  EXPECT_LE(told, 15000 - kAnswerMargin.count());
+  EXPECT_LE(told, 15000 - kResponseMargin.count());
   EXPECT_GT(told, 0);
 }
 
