--- a/tests/bodies_test.cpp
+++ b/tests/bodies_test.cpp
@@ -1,4 +1,4 @@
-// Bodies in pieces and the forms of HTTP/1.1 that carry them.
+// Tests of streamed bodies and of the HTTP/1.1 framing that carries them.
 #include "gateway/chunked_encoding.hpp"
 #include "gateway_fixture.hpp"
 
@@ -7,7 +7,8 @@
 
 class BodiesTest : public GatewayTest {
  protected:
-  static std::string large(std::size_t bytes = 3 << 20) {  // no two pieces alike
+  // All parts of the body differ, so a lost, repeated or reordered piece is detected.
+  static std::string large(std::size_t bytes = 3 << 20) {
     std::string body;
     while (body.size() < bytes)
       body += std::to_string(body.size()) + ",";
@@ -15,8 +16,8 @@
   }
   static std::string chunked(const std::string& body) {
     std::string text;
-    for (std::size_t at = 0; at < body.size(); at += 50'000)
-      text += encodeChunk(body.substr(at, 50'000));
+    for (std::size_t offset = 0; offset < body.size(); offset += 50'000)
+      text += encodeChunk(body.substr(offset, 50'000));
     return text;
   }
   std::string chunkedWrite(const std::string& chunks) {
@@ -25,61 +26,63 @@
   }
 };
 
-TEST_F(BodiesTest, ALargeAnswerComesThroughWhole) {
+TEST_F(BodiesTest, ALargeResponseIsRelayedCompletely) {
   const std::string body = large();
-  addHost("a", [&](PeerConnection& c, std::size_t n) {
-    if (n == 0)
-      c.reply(answerText(200, "", body));
+  addHost("a", [&](PeerConnection& hostConnection, std::size_t attempt) {
+    if (attempt == 0)
+      hostConnection.reply(answerText(200, "", body));
     else
-      c.reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(body) +
-              "0\r\nX-T: 1\r\n\r\n");
+      hostConnection.reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(body) +
+                           "0\r\nX-T: 1\r\n\r\n");
   });
   start();
-  auto c = client();
+  auto connection = client();
   for (std::size_t i = 0; i < 2; ++i) {
-    c->send(text("read"));
-    ASSERT_TRUE(until([&] { return c->answers.size() == i + 1; }));
-    EXPECT_EQ(c->answers[i].result_int(), 200u);
-    EXPECT_TRUE(c->answers[i].body() == body) << i;
+    connection->send(text("read"));
+    ASSERT_TRUE(until([&] { return connection->answers.size() == i + 1; }));
+    EXPECT_EQ(connection->answers[i].result_int(), 200u);
+    EXPECT_TRUE(connection->answers[i].body() == body) << i;
   }
-  EXPECT_EQ(hosts[0]->connections.size(), 1u) << "kept after a whole answer";
+  EXPECT_EQ(hosts[0]->connections.size(), 1u) << "the connection is reused after a complete response";
 }
 
-TEST_F(BodiesTest, ALargeRequestReachesItsHostWhole) {
+TEST_F(BodiesTest, ALargeRequestIsForwardedCompletely) {
   const std::string body = large();
   addHost("a", always(answerText(200, "", "ok")));
   start();
-  auto c = client();
-  c->send(text("write", "", body));
-  ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
-  c->send(chunkedWrite(chunked(body) + "0\r\n\r\n"));
-  ASSERT_TRUE(until([&] { return c->answers.size() == 2; }));
+  auto connection = client();
+  connection->send(text("write", "", body));
+  ASSERT_TRUE(until([&] { return connection->answers.size() == 1; }));
+  connection->send(chunkedWrite(chunked(body) + "0\r\n\r\n"));
+  ASSERT_TRUE(until([&] { return connection->answers.size() == 2; }));
   for (std::size_t i = 0; i < 2; ++i) {
-    EXPECT_EQ(c->answers[i].result_int(), 200u);
+    EXPECT_EQ(connection->answers[i].result_int(), 200u);
     EXPECT_TRUE(hosts[0]->requests.at(i).body() == body) << i;
   }
   EXPECT_LE(std::stol(hosts[0]->requests[0]["X-Deadline-Ms"].to_string()), 20000);
 }
 
-TEST_F(BodiesTest, ABodyWhoseBytesAreGoneIsNotSentAgain) {
-  // The host takes a part of it and breaks off: it can't have run, but the body is not whole any more.
+TEST_F(BodiesTest, APartlyConsumedUploadIsNotRetried) {
+  // The host reads a part of the body and closes. The request can't have executed, but the gateway no longer
+  // has the complete body.
   tcp::acceptor acceptor(io, loopback());
-  std::vector<std::shared_ptr<tcp::socket>> taken;
-  std::vector<char> some(100'000);
+  std::vector<std::shared_ptr<tcp::socket>> accepted;
+  std::vector<char> bodyPart(100'000);
   acceptor.async_accept([&](error_code, tcp::socket socket) {
-    taken.push_back(std::make_shared<tcp::socket>(std::move(socket)));
-    asio::async_read(*taken[0], asio::buffer(some), [&](error_code, std::size_t) { taken[0]->close(); });
+    accepted.push_back(std::make_shared<tcp::socket>(std::move(socket)));
+    asio::async_read(*accepted[0], asio::buffer(bodyPart),
+                     [&](error_code, std::size_t) { accepted[0]->close(); });
   });
   discovery.list.push_back(target("s-x", acceptor.local_endpoint()));
   start();
-  auto c = client();
+  auto connection = client();
   const std::string message = text("write", "", large());
-  c->send(message);
-  ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
-  EXPECT_EQ(c->answers[0].result_int(), 503u) << "it never ran";
+  connection->send(message);
+  ASSERT_TRUE(until([&] { return connection->answers.size() == 1; }));
+  EXPECT_EQ(connection->answers[0].result_int(), 503u) << "the request never executed";
 }
 
-TEST_F(BodiesTest, AnUntouchedBodyGoesToAnotherHost) {
+TEST_F(BodiesTest, AnUnconsumedUploadIsRetriedOnAnotherHost) {
   addHost("a", always(answerText(200, "", "ok")));
   addHost("a", always(answerText(200, "", "ok")));
   hosts[0]->stopListening();
@@ -88,70 +91,71 @@
     EXPECT_EQ(ask(text("write", "", large(200'000))).result_int(), 200u);
 }
 
-TEST_F(BodiesTest, AnAnswerThatBreaksOffDoesNotLookWhole) {
+TEST_F(BodiesTest, ATruncatedResponseIsNotRelayedAsComplete) {
   const std::string body = large(500'000);
-  addHost("a", [&](PeerConnection& c, std::size_t n) {
-    const std::string cut = n == 0 ? "Content-Length: 900000\r\n\r\n" + body
-                                   : "Transfer-Encoding: chunked\r\n\r\n" + chunked(body);
-    c.reply("HTTP/1.1 200 OK\r\n" + cut, true);
+  addHost("a", [&](PeerConnection& hostConnection, std::size_t attempt) {
+    const std::string truncated = attempt == 0 ? "Content-Length: 900000\r\n\r\n" + body
+                                               : "Transfer-Encoding: chunked\r\n\r\n" + chunked(body);
+    hostConnection.reply("HTTP/1.1 200 OK\r\n" + truncated, true);
   });
   start();
   for (int i = 0; i < 2; ++i) {
-    auto c = client();
-    c->send(text("read"));
-    ASSERT_TRUE(until([&] { return c->closedByPeer; }));
-    EXPECT_TRUE(c->answers.empty());
+    auto connection = client();
+    connection->send(text("read"));
+    ASSERT_TRUE(until([&] { return connection->closedByPeer; }));
+    EXPECT_TRUE(connection->answers.empty());
   }
 }
 
-TEST_F(BodiesTest, AClientThatLeavesEndsItsUpload) {
+TEST_F(BodiesTest, AClientThatDisconnectsAbortsItsUpload) {
   addHost("a", always(answerText(200, "", "ok")));
   start();
-  auto c = client();
+  auto connection = client();
   const std::string message = text("write", "", large());
-  c->send(message.substr(0, message.size() / 2));
+  connection->send(message.substr(0, message.size() / 2));
   ASSERT_TRUE(until([&] { return hosts[0]->connections.size() == 1; }));
-  c->close();
+  connection->close();
   EXPECT_TRUE(until([&] { return hosts[0]->connections[0]->closedByPeer; }));
-  EXPECT_TRUE(reached.empty()) << "nothing that no client sent whole";
+  EXPECT_TRUE(reached.empty()) << "an incomplete request must not reach the host";
   EXPECT_EQ(ask(text("write")).result_int(), 200u);
 }
 
-TEST_F(BodiesTest, WhatIsBrokenMidwayIsAnswered) {
+TEST_F(BodiesTest, AMalformedChunkWithinAnUploadIsRejected) {
   addHost("a", always(answerText(200, "", "ok")));
   start();
   EXPECT_EQ(ask(chunkedWrite(chunked(large(200'000)) + "nonsense\r\n")).result_int(), 400u);
   EXPECT_TRUE(reached.empty());
 }
 
-TEST_F(BodiesTest, AnAnswerEndedByTheConnectionsEndIsServedIfItSaysSo) {
-  addHost("a", [](PeerConnection& c, std::size_t n) {
-    c.reply("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + (n == 0 ? "small" : large(200'000)), true);
+TEST_F(BodiesTest, AResponseDelimitedByCloseIsServedIfItAnnouncesTheClose) {
+  addHost("a", [](PeerConnection& hostConnection, std::size_t attempt) {
+    hostConnection.reply(
+        "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + (attempt == 0 ? "small" : large(200'000)), true);
   });
   start();
   EXPECT_EQ(ask(text("write")).body(), "small");
   EXPECT_TRUE(ask(text("write")).body() == large(200'000));
 }
 
-TEST_F(BodiesTest, InterimAnswersArePassedOver) {
+TEST_F(BodiesTest, InterimResponsesAreSkipped) {
   addHost("a", always("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" +
                       answerText(200, "", "final")));
   start();
   EXPECT_EQ(ask(text("write")).body(), "final");
 }
 
-TEST_F(BodiesTest, AClientThatWaitsToContinueIsTold) {
+TEST_F(BodiesTest, ExpectContinueIsAnsweredAndOtherExpectationsAreRejected) {
   addHost("a", always(answerText(200, "", "ok")));
   start();
-  auto c = client();
-  c->send(
+  auto connection = client();
+  connection->send(
       "POST /write HTTP/1.1\r\nHost: x\r\nX-Request-Id: r\r\nExpect: 100-continue\r\nContent-Length: "
       "3\r\n\r\n");
-  ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
-  EXPECT_EQ(c->answers[0].result_int(), 100u);
-  c->send("abc");
-  ASSERT_TRUE(until([&] { return c->answers.size() == 2; }));
-  EXPECT_EQ(c->answers[1].result_int(), 200u);
+  ASSERT_TRUE(until([&] { return connection->answers.size() == 1; }));
+  EXPECT_EQ(connection->answers[0].result_int(), 100u);
+  connection->send("abc");
+  ASSERT_TRUE(until([&] { return connection->answers.size() == 2; }));
+  EXPECT_EQ(connection->answers[1].result_int(), 200u);
   EXPECT_EQ(hosts[0]->requests[0].body(), "abc");
   EXPECT_EQ(hosts[0]->requests[0].count("Expect"), 0u);
   EXPECT_EQ(
@@ -160,7 +164,7 @@
       417u);
 }
 
-TEST_F(BodiesTest, ATargetMayNameTheServer) {
+TEST_F(BodiesTest, AnAbsoluteTargetIsForwardedInOriginForm) {
   addHost("a", always(answerText(200, "", "ok")));
   start();
   EXPECT_EQ(
@@ -170,19 +174,19 @@
   EXPECT_EQ(hosts[0]->requests[0]["Host"], "api.internal");
 }
 
-TEST_F(BodiesTest, TheTimeOfALargeRequestRunsFromItsLastByte) {
-  shorten(1);  // 400 ms wanted, 1 s at most
+TEST_F(BodiesTest, TheTimeLimitOfAnUploadRunsFromItsLastByte) {
+  shorten(1);  // Latency objective 400 ms, client timeout 1 s.
   addHost("a", always(answerText(200, "", "ok")));
   start();
-  auto c = client();
+  auto connection = client();
   const std::string message = text("write", "X-Deadline-Ms: 1000\r\n", large(200'000));
-  c->send(message.substr(0, 100'000));
-  const auto later = std::chrono::steady_clock::now() + std::chrono::milliseconds(1300);
-  ASSERT_TRUE(until([&] { return std::chrono::steady_clock::now() > later; }));
-  c->send(message.substr(100'000));
-  ASSERT_TRUE(until([&] { return c->answers.size() == 1 || c->closedByPeer; }));
-  ASSERT_EQ(c->answers.size(), 1u);
-  EXPECT_EQ(c->answers[0].result_int(), 200u);
+  connection->send(message.substr(0, 100'000));
+  const auto resumeAt = std::chrono::steady_clock::now() + std::chrono::milliseconds(1300);
+  ASSERT_TRUE(until([&] { return std::chrono::steady_clock::now() > resumeAt; }));
+  connection->send(message.substr(100'000));
+  ASSERT_TRUE(until([&] { return connection->answers.size() == 1 || connection->closedByPeer; }));
+  ASSERT_EQ(connection->answers.size(), 1u);
+  EXPECT_EQ(connection->answers[0].result_int(), 200u);
 }
 
 }  // namespace
--- a/tests/gateway_fixture.hpp
+++ b/tests/gateway_fixture.hpp
@@ -1,4 +1,4 @@
-// A gateway on real loopback sockets with scripted peers, for the tests of the gateway.
+// The fixture of the gateway's tests: a gateway on loopback sockets with scripted peers.
 #pragma once
 
 #include <algorithm>
@@ -18,17 +18,17 @@
   Gateway::Options waits{.clients = {}, .discovery = {}, .abortOnViolation = true};
   Log log{"n0", {.level = LogLevel::off}};
   std::unique_ptr<Gateway> gateway;
-  int serial = 0;
-  std::vector<std::string> reached;  // uid of the host of each attempt, in order
+  int serial = 0;                    // The number in the last request ID.
+  std::vector<std::string> reached;  // The uid of the host of each attempt, in order of arrival.
 
-  // The number of an attempt, over all hosts, tells the script what to do with it.
+  // Handles an attempt. The second argument is its number, counted from 0 over all hosts.
   using Script = std::function<void(PeerConnection&, std::size_t)>;
 
   tcp::endpoint addHost(const std::string& zone, Script script, const std::string& state = "SERVING") {
     const std::string uid = "s-" + std::to_string(hosts.size());
-    hosts.push_back(std::make_unique<Peer>(io, [this, uid, script](PeerConnection& c) {
+    hosts.push_back(std::make_unique<Peer>(io, [this, uid, script](PeerConnection& connection) {
       reached.push_back(uid);
-      script(c, reached.size() - 1);
+      script(connection, reached.size() - 1);
     }));
     discovery.list.push_back(target(uid, hosts.back()->endpoint, zone, state));
     return hosts.back()->endpoint;
@@ -44,16 +44,17 @@
   void reload() { gateway->reload(parsed(config)); }
   template <class Predicate>
   ::testing::AssertionResult until(Predicate predicate) {
-    const auto end = std::chrono::steady_clock::now() + kPatience;
+    const auto deadline = std::chrono::steady_clock::now() + kPatience;
     while (!predicate()) {
-      if (std::chrono::steady_clock::now() > end)
-        return ::testing::AssertionFailure() << "waited in vain";
+      if (std::chrono::steady_clock::now() > deadline)
+        return ::testing::AssertionFailure() << "the expected state was not reached in time";
       io.restart();
       io.run_one_for(std::chrono::milliseconds(50));
     }
     return ::testing::AssertionSuccess();
   }
   std::shared_ptr<Client> client() { return Client::connect(io, gateway->listening()); }
+  // A request of the class `kind` as text.
   std::string text(const std::string& kind, const std::string& headers = "", const std::string& body = "") {
     const std::string id = "X-Request-Id: r" + std::to_string(++serial) + "\r\n";
     if (kind == "read")
@@ -62,30 +63,32 @@
            (kind == "put" ? "Idempotency-Key: k1\r\n" : "") +
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
-  // The one answer to one request on a connection of its own.
-  Response ask(const std::string& what) {
-    auto c = client();
-    c->send(what);
-    EXPECT_TRUE(until([&] { return !c->answers.empty() || c->closedByPeer; }));
-    if (c->answers.empty())
+  // Sends a request on a new connection and returns the response, or an empty one if the connection was
+  // closed.
+  Response ask(const std::string& requestText) {
+    auto connection = client();
+    connection->send(requestText);
+    EXPECT_TRUE(until([&] { return !connection->answers.empty() || connection->closedByPeer; }));
+    if (connection->answers.empty())
       return {};
-    return c->answers.front();
+    return connection->answers.front();
   }
   static Script always(const std::string& reply) {
     return [reply](PeerConnection& c, std::size_t) { c.reply(reply); };
   }
-  // The first attempt of all goes wrong in a way of its own, each later one is served.
-  static Script first(std::function<void(PeerConnection&)> wrong) {
-    return [wrong](PeerConnection& c, std::size_t n) {
-      if (n == 0)
-        wrong(c);
+  // Handles the first attempt with `fail` and serves each later one.
+  static Script first(std::function<void(PeerConnection&)> fail) {
+    return [fail](PeerConnection& connection, std::size_t attempt) {
+      if (attempt == 0)
+        fail(connection);
       else
-        c.reply(answerText(200, "", "late"));
+        connection.reply(answerText(200, "", "late"));
     };
   }
-  void shorten(std::size_t cls) {
-    config["settings"]["grades"][cls]["aimNs"] = 400'000'000;
-    config["settings"]["grades"][cls]["giveUpNs"] = 1'000'000'000;
+  // Shortens the latency objective of a class to 0.4 s and its client timeout to 1 s.
+  void shorten(std::size_t classIndex) {
+    config["settings"]["grades"][classIndex]["aimNs"] = 400'000'000;
+    config["settings"]["grades"][classIndex]["giveUpNs"] = 1'000'000'000;
   }
   void twoHosts(const Script& script) {
     addHost("a", script);
--- a/tests/net_peers.hpp
+++ b/tests/net_peers.hpp
@@ -1,5 +1,6 @@
-// Scripted peers on loopback for the gateway's tests: hosts, clients and discovery, all on the test's own
-// event loop. Nothing sleeps: a test waits for what it expects, for a generous time.
+// Scripted peers on loopback for the gateway's tests: upstream hosts, clients and discovery, all on the event
+// loop of the test. No test sleeps for a fixed time: it polls for the expected state and fails after
+// kPatience.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -36,15 +37,15 @@
 inline tcp::endpoint loopback(unsigned short port = 0) {
   return {asio::ip::make_address("127.0.0.1"), port};
 }
-inline std::string textOf(const tcp::endpoint& e) {
-  return e.address().to_string() + ":" + std::to_string(e.port());
+inline std::string textOf(const tcp::endpoint& endpoint) {
+  return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 inline std::string answerText(int status, const std::string& headers, const std::string& body) {
   return "HTTP/1.1 " + std::to_string(status) + " X\r\n" + headers +
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// A connection accepted by a peer: reads requests one after the other and hands them to the script.
+// A connection accepted by a peer. Reads requests one after the other and passes each to the script.
 class PeerConnection : public std::enable_shared_from_this<PeerConnection> {
  public:
   using Script = std::function<void(PeerConnection&)>;
@@ -61,16 +62,16 @@
         return;
       }
       self->request = self->parser_->release();
-      // Reads on at once, so that the other side's closing is seen while the script makes it wait.
+      // The response may come later. Watching the socket meanwhile detects that the other side closes it.
       self->script_(*self);
       if (self->open)
         self->watch();
     });
   }
   void reply(const std::string& text, bool thenClose = false) {
-    auto held = std::make_shared<std::string>(text);
-    asio::async_write(socket_, asio::buffer(*held),
-                      [self = shared_from_this(), held, thenClose](error_code, std::size_t) {
+    auto buffer = std::make_shared<std::string>(text);
+    asio::async_write(socket_, asio::buffer(*buffer),
+                      [self = shared_from_this(), buffer, thenClose](error_code, std::size_t) {
                         if (thenClose)
                           self->close();
                       });
@@ -103,37 +104,39 @@
   Script script_;
 };
 
-class Peer {  // a server with a script
+// A server that handles each request with a script.
+class Peer {
  public:
-  Peer(asio::io_context& io, PeerConnection::Script s) : script(std::move(s)), acceptor_(io, loopback()) {
+  Peer(asio::io_context& io, PeerConnection::Script handler)
+      : script(std::move(handler)), acceptor_(io, loopback()) {
     endpoint = acceptor_.local_endpoint();
     accept();
   }
   ~Peer() {
-    for (auto& c : connections)
-      c->close();
+    for (auto& connection : connections)
+      connection->close();
   }
-  // The port stays bound, and refuses connections: a released port may be assigned to another test's peer,
-  // and a gateway that still connects would reach that one.
+  // Refuses connections but keeps the port bound: a released port may be assigned to a peer of another test,
+  // which a gateway that still connects would then reach.
   void stopListening() {
     acceptor_.close();
-    held_.open(endpoint.protocol());
-    held_.set_option(tcp::socket::reuse_address(true));
-    held_.bind(endpoint);
+    portReservation_.open(endpoint.protocol());
+    portReservation_.set_option(tcp::socket::reuse_address(true));
+    portReservation_.bind(endpoint);
   }
 
-  // From here on no connection comes up: one lies in the queue, which is full with it, and what dials is left
-  // to try again a second later. Until resume().
+  // Prevents connections from being established until resume(): queueFiller_ fills the accept queue, so the
+  // kernel drops further SYNs, and a connecting peer retransmits its SYN after a second.
   void pause() {
     acceptor_.cancel();
     acceptor_.listen(0);
-    filler_.connect(endpoint);
+    queueFiller_.connect(endpoint);
     paused_ = true;
   }
-  // Whether a connection has come up that is not accepted yet.
+  // Whether an established connection waits to be accepted.
   bool dialled() {
-    pollfd look{acceptor_.native_handle(), POLLIN, 0};
-    return ::poll(&look, 1, 0) > 0;
+    pollfd acceptQueue{acceptor_.native_handle(), POLLIN, 0};
+    return ::poll(&acceptQueue, 1, 0) > 0;
   }
   void resume() {
     paused_ = false;
@@ -161,19 +164,21 @@
     });
   }
   tcp::acceptor acceptor_;
-  tcp::socket held_{acceptor_.get_executor()}, filler_{acceptor_.get_executor()};
+  tcp::socket portReservation_{acceptor_.get_executor()}, queueFiller_{acceptor_.get_executor()};
   bool paused_ = false;
 };
 
-// Answers lists and first looks at once, holds the watches until something is pushed.
+// A discovery service. Answers requests for snapshots and polls without a timeout at once, and keeps watches
+// (long polls) in `held` until push().
 class FakeDiscovery {
  public:
-  explicit FakeDiscovery(asio::io_context& io) : peer(io, [this](PeerConnection& c) { asked(c); }) {}
+  explicit FakeDiscovery(asio::io_context& io)
+      : peer(io, [this](PeerConnection& connection) { handleRequest(connection); }) {}
 
   void push(json changes) {
     changes["rev"] = ++version;
-    for (auto& c : std::exchange(held, {}))
-      c->reply(answerText(200, "", changes.dump()));
+    for (auto& watch : std::exchange(held, {}))
+      watch->reply(answerText(200, "", changes.dump()));
   }
 
   Peer peer;
@@ -184,31 +189,32 @@
   std::vector<std::shared_ptr<PeerConnection>> held;
 
  private:
-  void asked(PeerConnection& c) {
-    targets.push_back(c.request.target().to_string());
+  void handleRequest(PeerConnection& connection) {
+    targets.push_back(connection.request.target().to_string());
     if (failing)
-      return c.reply(answerText(503, "Connection: close\r\n", ""), true);
-    const bool waits = targets.back().find("timeout_ms=20000") != std::string::npos;
-    if (waits)
-      return held.push_back(c.shared_from_this());
-    const bool full = targets.back().find("since=") == std::string::npos;
-    c.reply(answerText(
-        200, "", json{{"rev", version}, {"all", full}, {"targets", full ? list : json::array()}}.dump()));
+      return connection.reply(answerText(503, "Connection: close\r\n", ""), true);
+    const bool isWatch = targets.back().find("timeout_ms=20000") != std::string::npos;
+    if (isWatch)
+      return held.push_back(connection.shared_from_this());
+    const bool isSnapshot = targets.back().find("since=") == std::string::npos;
+    connection.reply(answerText(
+        200, "",
+        json{{"rev", version}, {"all", isSnapshot}, {"targets", isSnapshot ? list : json::array()}}.dump()));
   }
 };
 
-// A client's connection. Sends any text; keeps the answers.
+// A client connection that sends arbitrary text and records the responses.
 class Client : public std::enable_shared_from_this<Client> {
  public:
   static std::shared_ptr<Client> connect(asio::io_context& io, const tcp::endpoint& to) {
-    auto c = std::shared_ptr<Client>(new Client(io));
-    c->socket_.connect(to);
-    c->read();
-    return c;
+    auto client = std::shared_ptr<Client>(new Client(io));
+    client->socket_.connect(to);
+    client->read();
+    return client;
   }
   void send(const std::string& text) {
-    auto held = std::make_shared<std::string>(text);
-    asio::async_write(socket_, asio::buffer(*held), [held](error_code, std::size_t) {});
+    auto buffer = std::make_shared<std::string>(text);
+    asio::async_write(socket_, asio::buffer(*buffer), [buffer](error_code, std::size_t) {});
   }
   void close() { socket_.close(); }
   void halfClose() { socket_.shutdown(tcp::socket::shutdown_send); }
@@ -239,7 +245,8 @@
   std::optional<http::response_parser<http::string_body>> parser_;
 };
 
-// Times so long that a slow machine changes no verdict; a test that waits for their end shortens them.
+// The timeouts are long enough that a slow machine changes no result. A test that waits for one to expire
+// shortens it.
 inline json classJson(const std::string& name, const std::string& idempotency,
                       const std::string& deduplicationScope = "all") {
   return {{"name", name},
--- a/tests/request_table_test.cpp
+++ b/tests/request_table_test.cpp
@@ -1,4 +1,4 @@
-// When contexts of requests are found and when they are removed.
+// Tests when request contexts are found and when they are removed.
 #include "gateway/request_table.hpp"
 
 #include <gtest/gtest.h>
@@ -17,12 +17,12 @@
   EXPECT_EQ(table.findByClient(kClient + 1), nullptr);
 }
 
-TEST(RequestTable, AssignsEachRequestAnIdOfItsOwn) {
+TEST(RequestTable, AssignsDistinctIds) {
   RequestTable table;
   EXPECT_NE(table.add(kClient).id, table.add(kClient + 1).id);
 }
 
-TEST(RequestTable, AFinishedRequestIsKnownByItsIdOnly) {
+TEST(RequestTable, FindsAFinishedRequestByItsIdOnly) {
   RequestTable table;
   RequestContext& context = table.add(kClient);
   table.finish(context);
@@ -42,14 +42,14 @@
   ASSERT_NE(table.find(id), nullptr);
   context.attemptsInFlight = 0;
   table.removeFinished();
-  EXPECT_NE(table.find(id), nullptr) << "it is looked at only when its removal was scheduled";
+  EXPECT_NE(table.find(id), nullptr) << "only scheduled contexts are checked for removal";
   table.scheduleRemoval(id);
   table.scheduleRemoval(id);
   table.removeFinished();
   EXPECT_EQ(table.find(id), nullptr);
 }
 
-TEST(RequestTable, KeepsARequestThatIsNotFinished) {
+TEST(RequestTable, KeepsAnUnfinishedRequest) {
   RequestTable table;
   const balancer::RequestId id = table.add(kClient).id;
   table.scheduleRemoval(id);
--- a/tests/request_validation_test.cpp
+++ b/tests/request_validation_test.cpp
@@ -1,5 +1,4 @@
-// The rule by which a message is accepted as a request, alone: each rejection reason and what a request
-// states.
+// Unit tests of request validation: each rejection reason, and the fields of an accepted request.
 #include "gateway/request_validation.hpp"
 
 #include <gtest/gtest.h>
@@ -50,11 +49,11 @@
   return RequestValidator(settings()).validate(message, body);
 }
 
-balancer::Request accepted(HttpRequest message) {
+balancer::Request validatedRequest(HttpRequest message) {
   const ValidationResult result = validate(message);
   EXPECT_TRUE(std::holds_alternative<ValidatedRequest>(result));
-  const auto* valid = std::get_if<ValidatedRequest>(&result);
-  return valid ? valid->request : balancer::Request{};
+  const auto* validated = std::get_if<ValidatedRequest>(&result);
+  return validated ? validated->request : balancer::Request{};
 }
 
 struct RejectionCase {
@@ -68,14 +67,14 @@
   return out << rejectionCase.name;
 }
 
-HttpRequest changed(HttpRequest message, const std::function<void(HttpRequest&)>& change) {
+HttpRequest modified(HttpRequest message, const std::function<void(HttpRequest&)>& change) {
   change(message);
   return message;
 }
 
-class Rejections : public ::testing::TestWithParam<RejectionCase> {};
+class RequestRejections : public ::testing::TestWithParam<RejectionCase> {};
 
-TEST_P(Rejections, NameTheirReasonAndStatus) {
+TEST_P(RequestRejections, HaveTheExpectedReasonAndStatus) {
   HttpRequest message = GetParam().message();
   const ValidationResult result = validate(message, GetParam().body);
   const auto* rejection = std::get_if<RequestRejection>(&result);
@@ -86,11 +85,11 @@
 
 std::vector<RejectionCase> rejectionCases() {
   const auto get = [](std::function<void(HttpRequest&)> change) {
-    return [change] { return changed(getRequest(), change); };
+    return [change] { return modified(getRequest(), change); };
   };
   const auto post = [](
                         const char* target, std::function<void(HttpRequest&)> change = [](HttpRequest&) {}) {
-    return [target, change] { return changed(postRequest(target), change); };
+    return [target, change] { return modified(postRequest(target), change); };
   };
   return {
       {"Http10", get([](HttpRequest& m) { m.version(10); }), Reason::unsupportedHttpVersion, 505},
@@ -104,9 +103,11 @@
       {"AbsoluteTargetWithoutHost", get([](HttpRequest& m) { m.target("http:///read"); }),
        Reason::invalidTarget, 400},
       {"UnknownClass", post("/other"), Reason::unknownClass, 404},
-      {"TargetIsNoPath", get([](HttpRequest& m) { m.target("read"); }), Reason::unknownClass, 404},
-      {"OtherClassNamed", get([](HttpRequest& m) { m.set("X-Class", "write"); }), Reason::classMismatch, 400},
-      {"NoRequestId", get([](HttpRequest& m) { m.erase("X-Request-Id"); }), Reason::missingRequestId, 400},
+      {"TargetIsNotAPath", get([](HttpRequest& m) { m.target("read"); }), Reason::unknownClass, 404},
+      {"ClassHeaderMismatch", get([](HttpRequest& m) { m.set("X-Class", "write"); }), Reason::classMismatch,
+       400},
+      {"MissingRequestId", get([](HttpRequest& m) { m.erase("X-Request-Id"); }), Reason::missingRequestId,
+       400},
       {"TwoRequestIds", get([](HttpRequest& m) { m.insert("X-Request-Id", "r2"); }), Reason::duplicateHeader,
        400},
       {"TwoDeadlines", get([](HttpRequest& m) {
@@ -116,18 +117,18 @@
        Reason::duplicateHeader, 400},
       {"Put", get([](HttpRequest& m) { m.method(http::verb::put); }), Reason::unsupportedMethod, 405},
       {"PostOfIdempotentClass", post("/read"), Reason::methodClassMismatch, 405},
-      {"NoHost", get([](HttpRequest& m) { m.erase(http::field::host); }), Reason::invalidHost, 400},
+      {"MissingHost", get([](HttpRequest& m) { m.erase(http::field::host); }), Reason::invalidHost, 400},
       {"KeyedWithoutKey", post("/put"), Reason::missingIdempotencyKey, 400},
-      {"DeadlineIsNoNumber", get([](HttpRequest& m) { m.set("X-Deadline-Ms", "soon"); }),
+      {"DeadlineIsNotANumber", get([](HttpRequest& m) { m.set("X-Deadline-Ms", "soon"); }),
        Reason::invalidDeadline, 400},
   };
 }
 
-INSTANTIATE_TEST_SUITE_P(RequestValidator, Rejections, ::testing::ValuesIn(rejectionCases()),
+INSTANTIATE_TEST_SUITE_P(RequestValidator, RequestRejections, ::testing::ValuesIn(rejectionCases()),
                          [](const auto& info) { return info.param.name; });
 
-TEST(RequestValidator, UsesTheClassTimeoutWhenNoDeadlineIsStated) {
-  const balancer::Request request = accepted(getRequest());
+TEST(RequestValidator, UsesTheClassTimeoutWithoutADeadlineHeader) {
+  const balancer::Request request = validatedRequest(getRequest());
   EXPECT_EQ(request.classIndex, 0u);
   EXPECT_EQ(request.remaining, milliseconds(700));
   EXPECT_EQ(request.tenantIndex, balancer::kNone);
@@ -140,7 +141,7 @@
   message.set("X-Cost-Hint", "1500");
   message.set("X-Tenant", "second");
   message.set(http::field::cookie, "a=b; obj=ff; c=d");
-  const balancer::Request request = accepted(message);
+  const balancer::Request request = validatedRequest(message);
   EXPECT_EQ(request.remaining, milliseconds(250));
   EXPECT_EQ(request.cost, std::chrono::microseconds(1500));
   EXPECT_EQ(request.tenantIndex, 1u);
@@ -148,11 +149,11 @@
   EXPECT_EQ(request.key, 255u);
 }
 
-TEST(RequestValidator, IgnoresACostThatIsNoNumberAndAnUnknownTenant) {
+TEST(RequestValidator, IgnoresANonNumericCostAndAnUnknownTenant) {
   HttpRequest message = getRequest();
   message.set("X-Cost-Hint", "much");
   message.set("X-Tenant", "third");
-  const balancer::Request request = accepted(message);
+  const balancer::Request request = validatedRequest(message);
   EXPECT_EQ(request.cost, balancer::Duration{});
   EXPECT_EQ(request.tenantIndex, balancer::kNone);
 }
@@ -169,8 +170,8 @@
 TEST(RequestValidator, RecognizesAHealthCheckWithoutARequestId) {
   HttpRequest message{http::verb::get, "/up", 11};
   EXPECT_TRUE(std::holds_alternative<HealthCheck>(validate(message)));
-  HttpRequest old{http::verb::get, "/up", 10};
-  EXPECT_TRUE(std::holds_alternative<RequestRejection>(validate(old))) << "framing is checked first";
+  HttpRequest http10{http::verb::get, "/up", 10};
+  EXPECT_TRUE(std::holds_alternative<RequestRejection>(validate(http10))) << "framing is checked first";
 }
 
 }  // namespace
