--- a/tests/bodies_test.cpp
+++ b/tests/bodies_test.cpp
@@ -175,7 +175,7 @@
 }
 
 TEST_F(BodiesTest, TheTimeLimitOfAnUploadRunsFromItsLastByte) {
-  shorten(1);  // Latency objective 400 ms, client timeout 1 s.
+  shortenTimeouts(1);  // Latency objective 400 ms, client timeout 1 s.
   addHost("a", always(answerText(200, "", "ok")));
   start();
   auto connection = client();
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -114,7 +114,7 @@
 };
 
 TEST_F(Closes, OfAnIdleConnectionPastItsTimeAreNoReset) {
-  waits.clients.idleTimeout = 10ms;
+  options.clients.idleTimeout = 10ms;
   addHost("a", always(ok()));
   start();
   PlainClient c(io, gateway->listening());
@@ -123,7 +123,7 @@
 }
 
 TEST_F(Closes, ThatMakeRoomAreNoReset) {
-  waits.clients.connections = 1;
+  options.clients.connections = 1;
   addHost("a", always(ok()));
   start();
   PlainClient c(io, gateway->listening());
@@ -146,7 +146,7 @@
 }
 
 TEST_F(Closes, OfAConnectionWithAPartOfARequestAreNoReset) {
-  waits.clients.requestTimeout = 10ms;
+  options.clients.requestTimeout = 10ms;
   addHost("a", always(ok()));
   start();
   PlainClient c(io, gateway->listening());
@@ -168,7 +168,7 @@
 }
 
 TEST_F(Closes, TheDescriptorsOfThoseThatMadeRoomAreBounded) {
-  waits.clients.connections = 4;
+  options.clients.connections = 4;
   addHost("a", always(ok()));
   start();
   std::vector<std::unique_ptr<PlainClient>> all;  // none ends its side
@@ -219,7 +219,7 @@
 }
 
 TEST_F(Crossings, AHangingHostUnderARequestAtTheStopCostsOneAnswer) {
-  shorten(1);
+  shortenTimeouts(1);
   addHost("a", [](PeerConnection&, std::size_t) {});
   start();
   auto c = client();
@@ -261,7 +261,7 @@
   DownstreamServer server{io, {}, observer, std::make_shared<MemoryBudget>(1 << 20)};
   template <class Predicate>
   bool until(Predicate predicate) {
-    const auto end = Clock::now() + kPatience;
+    const auto end = Clock::now() + kTestTimeout;
     while (!predicate() && Clock::now() < end) {
       io.restart();
       io.run_one_for(10ms);
--- a/tests/deadline_test.cpp
+++ b/tests/deadline_test.cpp
@@ -60,7 +60,7 @@
 TEST_F(AdvertisedDeadline, ExcludesTheConnectTimeOfARetry) {
   config["settings"]["ceilings"]["connectTimeoutNs"] = 20'000'000'000;
   Peer* second = nullptr;
-  twoHosts(first([&](PeerConnection& hostConnection) {
+  twoHosts(failFirst([&](PeerConnection& hostConnection) {
     second = hosts[reached[0] == "s-0" ? 1 : 0].get();
     second->pause();
     hostConnection.reset();
--- a/tests/departures_test.cpp
+++ b/tests/departures_test.cpp
@@ -33,7 +33,7 @@
   // all that is accepted; beyond it the gateway takes one more.
   void startWith(Script script) {
     if (full())
-      waits.clients.connections = 1;
+      options.clients.connections = 1;
     addHost("a", [this, script](PeerConnection& c, std::size_t n) {
       if (c.request["X-Request-Id"] == kHolder)
         held_ = c.shared_from_this();
@@ -98,7 +98,7 @@
 
 TEST_P(Departures, BetweenAcceptAndReadSendNothing) {
   if (full())
-    waits.clients.connections = 1;
+    options.clients.connections = 1;
   addHost("a", always(ok()));
   start();
   auto c = client();
@@ -117,13 +117,14 @@
 TEST_P(Departures, AsTheConnectionToTheHostComesUpSendNothing) {
   config["settings"]["ceilings"]["cancel"] = severalTurns();
   if (full())
-    waits.clients.connections = 1;
+    options.clients.connections = 1;
   addHost("a", always(ok()));
   start();
   ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
   auto c = client();
   c->send(text("read"));
-  ASSERT_TRUE(until([&] { return hosts[0]->dialled(); }));  // and the gateway has not seen it come up
+  ASSERT_TRUE(
+      until([&] { return hosts[0]->hasPendingConnection(); }));  // and the gateway has not seen it come up
   leave(*c, how());
   if (severalTurns())
     runAllDue();
@@ -132,7 +133,7 @@
 
 TEST_P(Departures, BetweenAnAttemptAndItsRepeatSendNoRepeat) {
   if (full())
-    waits.clients.connections = 1;
+    options.clients.connections = 1;
   std::shared_ptr<Client> c;
   std::shared_ptr<PeerConnection> attempt;
   config["settings"]["ceilings"]["cancel"] = !severalTurns();
@@ -184,7 +185,7 @@
     clients.push_back(std::make_unique<PlainClient>(io, server.localEndpoint()));
   std::size_t before = 0;
   while (server.connections() < kWaiting) {
-    ASSERT_GT(io.run_one_for(kPatience), 0u);
+    ASSERT_GT(io.run_one_for(kTestTimeout), 0u);
     EXPECT_LE(server.connections() - before, kMostInOneTurn);
     before = server.connections();
   }
--- a/tests/discovery_crossings_test.cpp
+++ b/tests/discovery_crossings_test.cpp
@@ -35,7 +35,7 @@
 }
 
 TEST_F(Crossings, AWatchWhoseAnswerAndTimerComeInOneTurnIsEndedOnce) {
-  waits.discovery = {100ms, 100ms};
+  options.discovery = {100ms, 100ms};
   twoHosts(always(ok()));
   const auto script = discovery.peer.script;
   std::size_t asked = 0;
@@ -60,7 +60,7 @@
 }
 
 TEST_F(Crossings, AListHalfReadWhenItsWatchFallsSilentCountsForNothing) {
-  waits.discovery = {50ms, 50ms};
+  options.discovery = {50ms, 50ms};
   twoHosts(always(ok()));
   const auto script = discovery.peer.script;
   bool cut = false;
@@ -166,7 +166,7 @@
 }
 
 TEST_F(DiscoveryOutage, AWatchThatFallsSilentLateIsOpenedAnewAndTellsTheDrain) {
-  waits.discovery = {100ms, 100ms};
+  options.discovery = {100ms, 100ms};
   twoHosts(always(ok()));
   const auto script = discovery.peer.script;
   const auto isWatch = [](PeerConnection& c) {
--- a/tests/gateway_fixture.hpp
+++ b/tests/gateway_fixture.hpp
@@ -15,7 +15,7 @@
   FakeDiscovery discovery{io};
   std::vector<std::unique_ptr<Peer>> hosts;
   json config = configJson();
-  Gateway::Options waits{.clients = {}, .discovery = {}, .abortOnViolation = true};
+  Gateway::Options options{.clients = {}, .discovery = {}, .abortOnViolation = true};
   Log log{"n0", {.level = LogLevel::off}};
   std::unique_ptr<Gateway> gateway;
   int serial = 0;                    // The number in the last request ID.
@@ -37,14 +37,14 @@
     config["discovery"] = textOf(discovery.peer.endpoint);
     if (!config.contains("known"))
       config["known"] = {{"rev", 1}, {"all", true}, {"targets", discovery.list}};
-    gateway = std::make_unique<Gateway>(io, parsed(config), waits, log);
+    gateway = std::make_unique<Gateway>(io, parsed(config), options, log);
   }
   static const char* noVariables(const char*) { return nullptr; }
   static Config parsed(const json& file) { return parseConfig(file, noVariables); }
   void reload() { gateway->reload(parsed(config)); }
   template <class Predicate>
   ::testing::AssertionResult until(Predicate predicate) {
-    const auto deadline = std::chrono::steady_clock::now() + kPatience;
+    const auto deadline = std::chrono::steady_clock::now() + kTestTimeout;
     while (!predicate()) {
       if (std::chrono::steady_clock::now() > deadline)
         return ::testing::AssertionFailure() << "the expected state was not reached in time";
@@ -77,7 +77,7 @@
     return [reply](PeerConnection& c, std::size_t) { c.reply(reply); };
   }
   // Handles the first attempt with `fail` and serves each later one.
-  static Script first(std::function<void(PeerConnection&)> fail) {
+  static Script failFirst(std::function<void(PeerConnection&)> fail) {
     return [fail](PeerConnection& connection, std::size_t attempt) {
       if (attempt == 0)
         fail(connection);
@@ -86,7 +86,7 @@
     };
   }
   // Shortens the latency objective of a class to 0.4 s and its client timeout to 1 s.
-  void shorten(std::size_t classIndex) {
+  void shortenTimeouts(std::size_t classIndex) {
     config["settings"]["grades"][classIndex]["aimNs"] = 400'000'000;
     config["settings"]["grades"][classIndex]["giveUpNs"] = 1'000'000'000;
   }
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -92,14 +92,14 @@
 class AttemptOutcomes : public GatewayTest, public ::testing::WithParamInterface<OutcomeCase> {};
 
 TEST_P(AttemptOutcomes, NonIdempotentRequestIsRetriedOnlyIfItNeverExecuted) {
-  twoHosts(first(GetParam().fail));
+  twoHosts(failFirst(GetParam().fail));
   const Response response = ask(text("write", "", "body"));
   EXPECT_EQ(response.result_int(), GetParam().mayHaveExecuted ? 502u : 200u);
   EXPECT_EQ(reached.size(), GetParam().mayHaveExecuted ? 1u : 2u);
 }
 
 TEST_P(AttemptOutcomes, IdempotentRequestIsRetriedOnTheOtherHost) {
-  twoHosts(first(GetParam().fail));
+  twoHosts(failFirst(GetParam().fail));
   const Response response = ask(text("read"));
   EXPECT_EQ(response.result_int(), 200u);
   EXPECT_EQ(response.body(), "late") << "no part of the invalid response is served";
@@ -156,7 +156,7 @@
 }
 
 TEST_F(GatewayTest, ATimedOutNonIdempotentRequestFailsAndItsConnectionIsClosed) {
-  shorten(1);
+  shortenTimeouts(1);
   twoHosts([](PeerConnection&, std::size_t) {});
   EXPECT_EQ(ask(text("write")).result_int(), 502u);
   EXPECT_EQ(reached.size(), 1u);
@@ -169,7 +169,7 @@
 }
 
 TEST_F(GatewayTest, ATimedOutIdempotentRequestIsRejected) {
-  shorten(0);
+  shortenTimeouts(0);
   twoHosts([](PeerConnection&, std::size_t) {});
   EXPECT_EQ(ask(text("read")).result_int(), 503u);
 }
@@ -231,7 +231,7 @@
 // --- Keyed requests -------------------------------------------------------------------------------------
 
 TEST_F(GatewayTest, AKeyedRequestThatMayHaveExecutedIsRetriedInItsZone) {
-  const Script script = first([](PeerConnection& c) { c.reset(); });
+  const Script script = failFirst([](PeerConnection& c) { c.reset(); });
   for (const char* zone : {"a", "a", "b", "b"})
     addHost(zone, script);
   start();
@@ -244,7 +244,7 @@
 
 TEST_F(GatewayTest, AKeyedRequestIsNotRetriedAfterItsDeduplicationWindow) {
   config["settings"]["grades"][2]["windowNs"] = 1;
-  twoHosts(first([](PeerConnection& c) { c.reset(); }));
+  twoHosts(failFirst([](PeerConnection& c) { c.reset(); }));
   EXPECT_EQ(ask(text("put")).result_int(), 502u);
   EXPECT_EQ(reached.size(), 1u);
 }
@@ -313,7 +313,7 @@
 }
 
 TEST_F(GatewayTest, AConnectionThatExceedsTheRequestTimeoutIsClosed) {
-  waits.clients.requestTimeout = std::chrono::milliseconds(20);
+  options.clients.requestTimeout = std::chrono::milliseconds(20);
   twoHosts(always(answerText(200, "", "ok")));
   auto connection = client();
   connection->send("GET /read HT");
@@ -322,7 +322,7 @@
 }
 
 TEST_F(GatewayTest, AClientWithoutACompleteFirstRequestIsClosedEvenIfItSends) {
-  waits.clients.firstRequestTimeout = std::chrono::milliseconds(20);
+  options.clients.firstRequestTimeout = std::chrono::milliseconds(20);
   twoHosts(always(answerText(200, "", "ok")));
   auto silent = client(), slow = client();
   slow->send("GET /re");
@@ -332,7 +332,7 @@
 }
 
 TEST_F(GatewayTest, AServedClientKeepsItsConnectionPastTheFirstRequestTimeout) {
-  waits.clients.firstRequestTimeout = std::chrono::milliseconds(2000);
+  options.clients.firstRequestTimeout = std::chrono::milliseconds(2000);
   twoHosts(always(answerText(200, "", "ok")));
   auto kept = client();
   kept->send(text("read"));
@@ -374,7 +374,7 @@
 }
 
 TEST_F(GatewayTest, IdleClientsAreEvictedForNewOnes) {
-  waits.clients.connections = 4;
+  options.clients.connections = 4;
   twoHosts(always(answerText(200, "", "ok")));
   std::vector<std::shared_ptr<Client>> idle;
   for (int i = 0; i < 4; ++i)
@@ -384,8 +384,8 @@
 }
 
 TEST_F(GatewayTest, SilentClientsWithAnIncompleteRequestAreEvictedForNewOnes) {
-  waits.clients.connections = 3;
-  waits.clients.firstRequestTimeout = std::chrono::minutes(5);
+  options.clients.connections = 3;
+  options.clients.firstRequestTimeout = std::chrono::minutes(5);
   twoHosts(always(answerText(200, "", "ok")));
   std::vector<std::shared_ptr<Client>> silentClients;
   for (int i = 0; i < 4; ++i) {  // One more than the limit, which the listener still accepts.
@@ -405,7 +405,7 @@
 
 TEST_F(GatewayTest, UpstreamConnectionsAreLimited) {
   config["limits"]["sockets"] = 64;  // Leaves 12 for upstream connections.
-  shorten(1);
+  shortenTimeouts(1);
   addHost("a", [](PeerConnection&, std::size_t) {});
   start();
   std::vector<std::shared_ptr<Client>> clients;
@@ -469,7 +469,7 @@
   config["known"] = nullptr;
   config["discovery"] = textOf(discovery.peer.endpoint);
   config.erase("known");
-  gateway = std::make_unique<Gateway>(io, parsed(config), waits, log);
+  gateway = std::make_unique<Gateway>(io, parsed(config), options, log);
   ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
   EXPECT_EQ(discovery.targets[0], "/discovery/hosts");
   EXPECT_EQ(ask(text("read")).result_int(), 200u);
@@ -530,7 +530,7 @@
 }
 
 TEST_F(GatewayTest, AWatchThatTimesOutIsRestarted) {
-  waits.discovery.answer = std::chrono::milliseconds(20);
+  options.discovery.answer = std::chrono::milliseconds(20);
   discovery.peer.script = [&](PeerConnection& hostConnection) {
     discovery.targets.push_back(hostConnection.request.target().to_string());
   };
--- a/tests/membership_transport_test.cpp
+++ b/tests/membership_transport_test.cpp
@@ -28,7 +28,7 @@
     return parseConfig(c, [](const char*) { return nullptr; });
   }
   std::unique_ptr<Gateway> member(const json& c) {
-    return std::make_unique<Gateway>(io, parsed(c), waits, log);
+    return std::make_unique<Gateway>(io, parsed(c), options, log);
   }
   static std::string seedOf(const Gateway& g) {
     const auto e = g.fleet()->listening();
--- a/tests/net_peers.hpp
+++ b/tests/net_peers.hpp
@@ -1,6 +1,6 @@
 // Scripted peers on loopback for the gateway's tests: upstream hosts, clients and discovery, all on the event
 // loop of the test. No test sleeps for a fixed time: it polls for the expected state and fails after
-// kPatience.
+// kTestTimeout.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -32,7 +32,7 @@
 using Request = http::request<http::string_body>;
 using Response = http::response<http::string_body>;
 
-inline constexpr auto kPatience = std::chrono::seconds(60);
+inline constexpr auto kTestTimeout = std::chrono::seconds(60);
 
 inline tcp::endpoint loopback(unsigned short port = 0) {
   return {asio::ip::make_address("127.0.0.1"), port};
@@ -134,7 +134,7 @@
     paused_ = true;
   }
   // Whether an established connection waits to be accepted.
-  bool dialled() {
+  bool hasPendingConnection() {
     pollfd acceptQueue{acceptor_.native_handle(), POLLIN, 0};
     return ::poll(&acceptQueue, 1, 0) > 0;
   }
--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -43,7 +43,7 @@
 
   template <class Predicate>
   ::testing::AssertionResult until(const Predicate& predicate) {
-    const auto end = std::chrono::steady_clock::now() + kPatience;
+    const auto end = std::chrono::steady_clock::now() + kTestTimeout;
     while (!predicate()) {
       if (std::chrono::steady_clock::now() > end)
         return ::testing::AssertionFailure() << "waited in vain";
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -31,7 +31,7 @@
 
 template <class Predicate>
 bool runUntil(asio::io_context& io, const Predicate& predicate) {
-  const auto end = std::chrono::steady_clock::now() + kPatience;
+  const auto end = std::chrono::steady_clock::now() + kTestTimeout;
   while (!predicate()) {
     if (std::chrono::steady_clock::now() > end)
       return false;
@@ -86,7 +86,7 @@
   const pid_t pid = run({"GW_CONFIG=" + path});
   tcp::socket socket(io);
   error_code ec = asio::error::not_connected;
-  const auto end = std::chrono::steady_clock::now() + kPatience;
+  const auto end = std::chrono::steady_clock::now() + kTestTimeout;
   while (ec && std::chrono::steady_clock::now() < end) {
     socket.close();
     socket.connect(free, ec);
--- a/tests/upstream_crossings_test.cpp
+++ b/tests/upstream_crossings_test.cpp
@@ -52,7 +52,7 @@
 }
 
 TEST_F(Crossings, AnAnswerThatNeverEndsIsAnsweredInTime) {
-  shorten(1);
+  shortenTimeouts(1);
   addHost("a", [&](PeerConnection& c, std::size_t) {
     c.reply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
   });
@@ -167,7 +167,7 @@
 TEST_F(Crossings, AResendWhoseConnectionComesUpPastTheWindowIsNotSent) {
   config["settings"]["ceilings"]["connectTimeoutNs"] = 20'000'000'000;
   config["settings"]["grades"][2]["windowNs"] = 400'000'000;
-  const Script script = first([&](PeerConnection& c) {
+  const Script script = failFirst([&](PeerConnection& c) {
     hosts[reached[0] == "s-0" ? 1 : 0]->pause();
     c.reset();
   });
@@ -188,7 +188,7 @@
 
 TEST_F(Crossings, AReloadThatShortensTheWindowLeavesRequestsUnderWayTheirs) {
   std::shared_ptr<PeerConnection> held;
-  twoHosts(first([&](PeerConnection& c) { held = c.shared_from_this(); }));
+  twoHosts(failFirst([&](PeerConnection& c) { held = c.shared_from_this(); }));
   auto c = client();
   c->send(text("put"));
   ASSERT_TRUE(until([&] { return held != nullptr; }));
