--- a/src/gateway/request_validation.cpp
+++ b/src/gateway/request_validation.cpp
@@ -189,8 +189,8 @@
   return validated;
 }
 
-// Reads the optional fields. An absent or malformed field is ignored: it only loses the client the benefit of
-// it.
+// Reads the optional fields. An absent or malformed field is ignored: the client only loses the benefit of
+// that field.
 void RequestValidator::parseOptionalHeaders(const HttpRequest& message, balancer::Request& request) const {
   if (const auto costUs = parseNumber<std::uint32_t>(message["X-Cost-Hint"]))
     request.cost = std::chrono::microseconds(*costUs);
--- a/src/gateway/server_start_times.hpp
+++ b/src/gateway/server_start_times.hpp
@@ -46,7 +46,7 @@
     std::int64_t startUnixMs = 0;
     balancer::Time start{};
   };
-  using Offset = std::chrono::nanoseconds;  // monotonic time minus Unix time
+  using Offset = std::chrono::nanoseconds;  // Monotonic time minus Unix time.
 
   void updateOffsetBounds(const ListedEndpoint& endpoint, const Clocks& now);
   Offset estimateOffset(const Clocks& now) const;
--- a/src/gateway/upstream_connection.cpp
+++ b/src/gateway/upstream_connection.cpp
@@ -59,7 +59,7 @@
   if (const auto upload = std::exchange(upload_, nullptr)) {
     upload->onReadable = nullptr;
     if (upload->consumptionStarted())
-      upload->abandon();  // An upload that is not consumed may be sent by another attempt.
+      upload->abandon();  // Otherwise another attempt may still send it.
   }
   if (const auto download = std::exchange(download_, nullptr)) {
     download->onWritable = nullptr;
--- a/src/gateway/upstream_pool.hpp
+++ b/src/gateway/upstream_pool.hpp
@@ -52,7 +52,8 @@
   void cancel(AttemptKey key);
   /// Ends the attempt if none of it has been written yet.
   void abandonIfUnsent(AttemptKey key);
-  /// Stops new attempts to a draining host; attempts already sent may complete.
+  /// Closes the idle connections to a draining host and limits the time in which attempts that are still
+  /// connecting must be written. Attempts already written may complete.
   void drain(balancer::HostId host);
   void closeIdle(balancer::HostId host);
   /// Closes all connections without reporting their attempts.
