--- a/src/gateway/discovery.cpp
+++ b/src/gateway/discovery.cpp
@@ -16,22 +16,24 @@
 using tcp = asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr std::uint64_t kMaxListBytes = 4 << 20;  // some ten thousand endpoints
-constexpr const char* kPath = "/discovery/hosts";
+constexpr std::uint64_t kMaxListBytes = 4 << 20;  // Enough for about ten thousand endpoints.
+constexpr const char* kHostsPath = "/discovery/hosts";
 
 }  // namespace
 
-// One connection with its current request; reused for the next as long as both sides keep it alive.
+// A connection and its current request. The next request reuses it if both sides keep it alive.
 struct Discovery::Connection : std::enable_shared_from_this<Discovery::Connection> {
-  Discovery* owner;  // null once closed
+  Discovery* owner;  // Null once closed.
   tcp::socket socket;
   asio::steady_timer timer;
   boost::beast::flat_buffer buffer;
   http::request<http::empty_body> request;
-  std::string serializedRequest;  // while it is written
+  std::string serializedRequest;  // Kept while the request is being written.
   std::optional<http::response_parser<http::string_body>> parser;
   RequestType type = RequestType::snapshot;
-  std::uint64_t generation = 0;  // of the request: a timeout of an earlier one that is already due is ignored
+  // Number of the current request. The handler of an earlier request's timeout may already be queued when
+  // that request completes; it is ignored because its number differs.
+  std::uint64_t generation = 0;
 
   explicit Connection(Discovery& discovery)
       : owner(&discovery), socket(discovery.io_), timer(discovery.io_) {}
@@ -47,7 +49,7 @@
     type = requestType;
     parser.emplace();
     parser->body_limit(kMaxListBytes);
-    // Without a timeout a server that stops answering would block the watch forever.
+    // Without a timeout, a server that stops responding would block the watch forever.
     timer.expires_after(timeout);
     timer.async_wait([self = shared_from_this(), current = ++generation](error_code ec) {
       if (!ec && self->owner && current == self->generation)
@@ -88,7 +90,7 @@
       try {
         if (!json.is_discarded())
           list = parseEndpointList(json);
-      } catch (const std::invalid_argument&) {  // an invalid list counts as a failed request
+      } catch (const std::invalid_argument&) {  // An invalid list counts as a failed request.
       }
     }
     finish(list);
@@ -124,8 +126,9 @@
 
 void Discovery::switchServer(tcp::endpoint server) {
   server_ = std::move(server);
-  // Its versions may count from another start, and a delta to a list that it never sent would leave removed
-  // endpoints in ours forever. So a snapshot is requested; our list stays in effect until that has come.
+  // The new server may count versions from another start, and a delta to a list that it never sent would
+  // leave removed endpoints in the current list forever. So a snapshot is requested, and the current list
+  // stays in effect until the snapshot arrives.
   version_.reset();
   watch();
 }
@@ -135,7 +138,7 @@
     connection_ = std::make_shared<Connection>(*this);
   const std::chrono::milliseconds wait =
       type == RequestType::poll ? timeouts_.watch : std::chrono::milliseconds(1);
-  std::string target = kPath;
+  std::string target = kHostsPath;
   if (type != RequestType::snapshot)
     target += "?since=" + std::to_string(*version_) + "&timeout_ms=" + std::to_string(wait.count());
   connection_->request = {http::verb::get, target, 11};
@@ -146,8 +149,8 @@
 void Discovery::complete(RequestType type, const std::optional<EndpointList>& list) {
   if (!list)
     return fail();
-  // A server that was set up anew counts versions from the start. A delta to a list that we don't hold would
-  // leave removed endpoints in ours forever.
+  // A server that was set up anew counts versions from the start again. A delta to a list that this client
+  // never received would leave removed endpoints in the current list forever.
   if (!list->snapshot && (type == RequestType::snapshot || (version_ && list->version < *version_))) {
     version_.reset();
     return fail();
--- a/src/gateway/discovery.hpp
+++ b/src/gateway/discovery.hpp
@@ -1,5 +1,5 @@
-/// Client of the discovery service: watches the endpoint list by long polls. When to start a new watch after
-/// a failure is decided by the balancer.
+/// Client of the discovery service: watches the endpoint list by long polling. The balancer decides when to
+/// start a new watch after a failure.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,13 +23,13 @@
  public:
   struct Callbacks {
     std::function<void(const EndpointList&)> onEndpoints;
-    std::function<void()> onFailure;  ///< the watch has ended
+    std::function<void()> onFailure;  ///< The watch has ended; watch() starts a new one.
   };
   struct Timeouts {
-    std::chrono::milliseconds watch{20000};  ///< how long a long poll may wait for a change
-    /// How much longer any call may take before it counts as failed. A change that a failed poll did not
-    /// deliver has to be applied within 2 s after the poll's wait, and the balancer's backoff takes up to 1.5
-    /// s of that.
+    std::chrono::milliseconds watch{20000};  ///< The time that a long poll waits for a change.
+    /// The time that any request may take beyond its wait before it counts as failed. A change that a failed
+    /// poll did not deliver has to be applied within 2 s after the end of the poll's wait, and the balancer's
+    /// backoff takes up to 1.5 s of that.
     std::chrono::milliseconds answer{1000};
   };
 
@@ -39,19 +39,19 @@
   Discovery(const Discovery&) = delete;
   Discovery& operator=(const Discovery&) = delete;
 
-  /// Sets the version of the list that is held already, so that a watch asks for changes to it.
+  /// Sets the version of the list in effect, so that the next watch requests changes since that version.
   void setKnownVersion(std::int64_t version) { version_ = version; }
   const boost::asio::ip::tcp::endpoint& server() const { return server_; }
-  /// Starts a watch; one that is under way is abandoned.
+  /// Starts a watch and abandons the current one, if any.
   void watch();
-  /// Continues with another discovery server and starts a watch there, from a snapshot on.
+  /// Switches to another discovery server and starts a watch there, which begins with a snapshot.
   void switchServer(boost::asio::ip::tcp::endpoint server);
   void stop();
 
  private:
   struct Connection;
-  /// firstPoll returns at once, so that the balancer learns that the watch is up; later ones wait for a
-  /// change.
+  /// The first poll returns at once, so that the balancer learns that the watch works; later polls wait for
+  /// a change.
   enum class RequestType { snapshot, firstPoll, poll };
 
   void send(RequestType type);
--- a/src/gateway/endpoint_list.cpp
+++ b/src/gateway/endpoint_list.cpp
@@ -13,14 +13,16 @@
 boost::asio::ip::tcp::endpoint parseEndpoint(std::string_view text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos)
-    throw std::invalid_argument("'" + std::string(text) + "' is no address:port");
+    throw std::invalid_argument("'" + std::string(text) +
+                                "' is not an IP address and port such as 127.0.0.1:8080");
   boost::system::error_code ec;
   const auto address = boost::asio::ip::make_address(std::string(text.substr(0, colon)), ec);
   unsigned short port = 0;
   const char* last = text.data() + text.size();
   const auto [end, error] = std::from_chars(text.data() + colon + 1, last, port);
   if (ec || error != std::errc{} || end != last)
-    throw std::invalid_argument("'" + std::string(text) + "' is no address:port");
+    throw std::invalid_argument("'" + std::string(text) +
+                                "' is not an IP address and port such as 127.0.0.1:8080");
   return {address, port};
 }
 
@@ -28,16 +30,17 @@
 
 using balancer::EndpointState;
 
-constexpr std::int64_t kMaxUnixMs = 253402300799999;  // the year 9999: past it the clock's sums overflow
+// The end of the year 9999; later times overflow the clock's arithmetic.
+constexpr std::int64_t kMaxUnixMs = 253402300799999;
 
-/// The integer field `name`, or `fallback` if it is absent.
+/// Returns the integer field `name`, or `fallback` if it is absent.
 std::int64_t integerOr(const nlohmann::json& object, const char* name, std::int64_t fallback,
                        std::int64_t maximum) {
   const auto it = object.find(name);
   return it == object.end() ? fallback : wholeNumber(*it, maximum);
 }
 
-/// The state as discovery spells it.
+/// Parses a state as discovery spells it.
 EndpointState parseState(const std::string& text) {
   if (text == "SERVING")
     return EndpointState::serving;
@@ -45,20 +48,20 @@
     return EndpointState::draining;
   if (text == "DELETED")
     return EndpointState::removed;
-  throw std::invalid_argument("unknown state '" + text + "'");
+  throw std::invalid_argument("unknown state '" + text + "'; expected SERVING, DRAINING or DELETED");
 }
 
 ListedEndpoint parseListedEndpoint(const nlohmann::json& target) {
   ListedEndpoint endpoint;
   endpoint.uid = target.at("uid").get<std::string>();
   if (endpoint.uid.empty())
-    throw std::invalid_argument("a host has no uid");
+    throw std::invalid_argument("the uid of a host is empty");
   endpoint.state = parseState(target.at("state").get<std::string>());
-  // A removed one needs no address.
+  // A removed host needs no address.
   if (endpoint.state != EndpointState::removed || target.contains("endpoint")) {
     endpoint.address = parseEndpoint(target.at("endpoint").get<std::string>());
     if (endpoint.address.port() == 0)
-      throw std::invalid_argument("host " + endpoint.uid + " has no port");
+      throw std::invalid_argument("host " + endpoint.uid + ": the port of its endpoint is 0");
   }
   endpoint.zone = target.value("az", std::string());
   endpoint.machineType = target.value("model", std::string());
@@ -76,19 +79,21 @@
     EndpointList list;
     list.version = wholeNumber(json.at("rev"), INT64_MAX);
     list.snapshot = json.value("all", false);
-    // Anything else would be read as an empty list, and an empty snapshot removes all endpoints.
+    // The loop below would read any other type as an empty list, and an empty snapshot removes all endpoints.
     if (!json.at("targets").is_array())
-      throw std::invalid_argument("targets is no list");
+      throw std::invalid_argument(std::string("targets: expected a list, got ") +
+                                  json.at("targets").type_name());
     std::unordered_set<std::string> uids;
     for (const auto& target : json.at("targets")) {
       list.endpoints.push_back(parseListedEndpoint(target));
-      // In a delta the last change of an endpoint holds.
+      // A delta may list a host more than once; its last change takes effect.
       if (list.snapshot && !uids.insert(list.endpoints.back().uid).second)
-        throw std::invalid_argument("host " + list.endpoints.back().uid + " is listed twice");
+        throw std::invalid_argument("host " + list.endpoints.back().uid +
+                                    " is listed more than once in a snapshot");
     }
     return list;
-  } catch (const nlohmann::json::exception& bad) {
-    throw std::invalid_argument(std::string("host list: ") + bad.what());
+  } catch (const nlohmann::json::exception& error) {
+    throw std::invalid_argument(std::string("endpoint list: ") + error.what());
   }
 }
 
--- a/src/gateway/endpoint_table.cpp
+++ b/src/gateway/endpoint_table.cpp
@@ -41,8 +41,8 @@
   std::vector<Endpoint> endpoints;
   for (const ListedEndpoint& listed : list.endpoints) {
     Endpoint endpoint;
-    // The balancer identifies a host by its uid, which is the same at all gateways and survives a new
-    // address.
+    // The balancer identifies a host by its uid, which is the same at all gateways and does not change with
+    // the address.
     endpoint.address = listed.uid;
     endpoint.zone = listed.zone;
     endpoint.machineType = listed.machineType;
@@ -55,7 +55,7 @@
   return endpoints;
 }
 
-// The start of a drain is when this process first learned of it.
+// A drain starts when this process first learns of it.
 void EndpointTable::takeOutOfService(EndpointStatus& status, EndpointState state) {
   if (status.state == EndpointState::serving)
     status.stateSince = state_.clock.now();
--- a/src/gateway/endpoint_table.hpp
+++ b/src/gateway/endpoint_table.hpp
@@ -1,4 +1,4 @@
-/// What the endpoint lists said: the status of each upstream host, applied to the balancer and the pool.
+/// Applies endpoint lists to the balancer and the upstream pool, and keeps the status of each upstream host.
 #pragma once
 
 #include <vector>
@@ -18,9 +18,9 @@
   /// Applies a list to the balancer first, then to the statuses and the pool.
   void applyEndpointList(const EndpointList& list, balancer::EndpointListKind kind);
 
-  /// Throws std::out_of_range if no list ever named this host.
+  /// Throws std::out_of_range if no list has ever named this host.
   const balancer::EndpointStatus& status(balancer::HostId host) const { return statuses_.at(host); }
-  /// Whether discovery has answered, or a cached list named an endpoint.
+  /// Whether discovery has sent a list, or a cached list has named an endpoint.
   bool isReady() const { return isReady_; }
 
  private:
