--- a/src/gateway/downstream_connection.cpp
+++ b/src/gateway/downstream_connection.cpp
@@ -22,19 +22,19 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-// A connection that was established just before the listener closed has so long to send its first request.
+// Time for the first request of a connection that was established just before the listener closed.
 constexpr auto kFirstRequestGrace = std::chrono::milliseconds(250);
 
-// A body has to come at this rate in bytes per second at least, well below the slowest proper client, after
-// some time in which it need not.
-constexpr double kMinBodyRate = 24 << 10;
+// The lowest accepted rate of a request body, well below that of the slowest conforming client. The rate is
+// enforced once a grace period is over.
+constexpr double kMinBodyBytesPerSecond = 24 << 10;
 constexpr auto kMinBodyGrace = std::chrono::milliseconds(300);
 constexpr auto kMaxBodyGrace = std::chrono::milliseconds(1000);
 
-// A lingering connection is closed after this, one without a proper request sooner.
+// A lingering connection is closed after this time, and sooner if it has not sent a valid request.
 constexpr auto kLingerTimeout = std::chrono::milliseconds(1000);
 constexpr auto kLingerTimeoutWithoutRequest = std::chrono::milliseconds(300);
-// Bytes that are discarded meanwhile; more would cost too much time.
+// Limit on the bytes that a lingering connection may send; reading more would take too much time.
 constexpr std::size_t kMaxDiscardedBytes = 4 << 20;
 
 }  // namespace
@@ -81,17 +81,17 @@
   return awaitingFirstRequest_ && now - connectedAt_ <= kFirstRequestGrace;
 }
 
-// --- The end of the connection --------------------------------------------------------------------------
+// --- Closing --------------------------------------------------------------------------------------------
 
 void DownstreamConnection::close(CloseReason reason) {
   if (state_ == State::closed)
     return;
-  const CloseReason counted = lingerReason_.value_or(reason);
-  server_.countClosed(counted);
+  const CloseReason recordedReason = lingerReason_.value_or(reason);
+  server_.countClosed(recordedReason);
   const bool owesResponse = state_ == State::awaitingResponse || state_ == State::uploading;
   const bool isExcused = reason == CloseReason::clientDisconnected || reason == CloseReason::shutdown;
   if (owesResponse && !isExcused)
-    server_.observer_.onClosedUnanswered(requestId_, counted);
+    server_.observer_.onClosedUnanswered(requestId_, recordedReason);
   setState(State::closed);
   error_code ignored;
   socket_.close(ignored);
@@ -135,23 +135,23 @@
     download->abandon();
 }
 
-// --- The end of the client's side -----------------------------------------------------------------------
+// --- Disconnected clients -------------------------------------------------------------------------------
 
-// The client ended its side or reset the connection; from here on a close and a half-close look alike.
+// Handles a close, half-close or reset by the client; a close and a half-close cannot be told apart here.
 void DownstreamConnection::handleEndOfStream() {
   switch (state_) {
     case State::uploading:
     case State::awaitingResponse:
-      return handleClientGone();
+      return handleClientDisconnected();
     case State::responding:
       keepAlive_ = false;
-      return;  // the response may still arrive
+      return;  // The client may still receive the response.
     default:
       return close(CloseReason::clientDisconnected);
   }
 }
 
-void DownstreamConnection::handleClientGone() {
+void DownstreamConnection::handleClientDisconnected() {
   const DownstreamRequestId id = requestId_;
   server_.awaitingResponse_.erase(id);
   close(CloseReason::clientDisconnected);
@@ -159,17 +159,17 @@
 }
 
 bool DownstreamConnection::hasClientHungUp() {
-  pollfd query{socket_.native_handle(), POLLRDHUP, 0};
+  pollfd descriptor{socket_.native_handle(), POLLRDHUP, 0};
   int ready = 0;
   do
-    ready = ::poll(&query, 1, 0);
+    ready = ::poll(&descriptor, 1, 0);
   while (ready < 0 && errno == EINTR);
   if (ready < 0)
     return !isEstablished();
-  return ready > 0 && (query.revents & (POLLRDHUP | POLLHUP | POLLERR));
+  return ready > 0 && (descriptor.revents & (POLLRDHUP | POLLHUP | POLLERR));
 }
 
-// Whether neither side has ended, by the kernel's own state: for when the poll itself fails.
+// Whether neither side has closed, according to the kernel's TCP state. Used when poll() itself fails.
 bool DownstreamConnection::isEstablished() {
   tcp_info info{};
   socklen_t length = sizeof info;
@@ -183,7 +183,7 @@
 void DownstreamConnection::checkTimeouts(Clock::time_point now) {
   const bool owesResponse = state_ == State::awaitingResponse || state_ == State::uploading;
   if (owesResponse && !readPending_ && hasClientHungUp())
-    return handleClientGone();
+    return handleClientDisconnected();
   if (!isOverdue(now))
     return;
   const bool hasStartedRequest = state_ == State::readingHead;
@@ -211,7 +211,7 @@
       return isBodyTooSlow(now);
     case State::uploading:
       return readPending_ && isBodyTooSlow(now);
-    case State::responding:  // a client that does not read
+    case State::responding:  // The client does not read its response.
       return (!download_ || writingPiece_) && stateAge > limits.requestTimeout;
     case State::lingering:
       if (awaitingFirstRequest_ && now - connectedAt_ > limits.firstRequestTimeout + kMinBodyGrace)
@@ -222,8 +222,8 @@
   }
 }
 
-// Whether the body comes at a lower rate than that of the slowest proper client. A first request that is not
-// proper has to be over 3 s after the connect; a proper one may need most of that for its head.
+// Whether the body arrives at less than the minimum rate. The connection of an invalid first request has to
+// be closed within 3 s of the connect, and the head of a valid one may take most of that time.
 bool DownstreamConnection::isBodyTooSlow(Clock::time_point now) const {
   const DownstreamServer::Limits& limits = server_.limits_;
   if (awaitingFirstRequest_ && now - connectedAt_ <= limits.firstRequestTimeout)
@@ -233,7 +233,7 @@
                          ? std::clamp<Clock::duration>(timeLeft, kMinBodyGrace, kMaxBodyGrace)
                          : Clock::duration(limits.requestTimeout) / 2;
   const std::chrono::duration<double> elapsed = now - bodyStartedAt_ - grace;
-  return static_cast<double>(bodyBytes_) < kMinBodyRate * elapsed.count();
+  return static_cast<double>(bodyBytes_) < kMinBodyBytesPerSecond * elapsed.count();
 }
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/downstream_connection.hpp
+++ b/src/gateway/downstream_connection.hpp
@@ -1,4 +1,5 @@
-/// One connection of a client: reads its requests, writes their responses, and notices that the client left.
+/// A downstream client's connection: reads requests, writes their responses, and detects that the client has
+/// disconnected.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -24,10 +25,11 @@
 
 class DownstreamServer;
 
-/// Called once per response: whether it was written completely, or its connection ended before that.
+/// Called once per response. `complete` is false if the connection ended before the whole response was
+/// written.
 using ResponseCallback = std::function<void(bool complete)>;
 
-/// docs/connections.md has the table of states and events.
+/// A state machine; docs/connections.md has its table of states and events.
 class DownstreamConnection : public std::enable_shared_from_this<DownstreamConnection> {
  public:
   using Clock = std::chrono::steady_clock;
@@ -37,29 +39,31 @@
   void start() { awaitReadable(); }
 
   void respond(HttpResponse response, ResponseCallback callback);
-  /// With a streamed body, in chunks if its length is not known.
+  /// Sends a response with a streamed body, chunked if its length is not known.
   void respondStreaming(HttpResponse head, std::shared_ptr<BodyStream> body,
                         std::optional<std::uint64_t> length, ResponseCallback callback);
 
-  /// Closes the socket at once. The first reason counts: a connection that lingers has one already.
+  /// Closes the socket at once. Only the first reason is recorded: that of linger() if the connection
+  /// lingers.
   void close(CloseReason reason);
-  /// Ends our side of the connection and discards what the client still sends until it ends its own. A
-  /// connection that is closed with unread bytes in it, or that receives more after the close, is reset, and
-  /// the reset may overtake the response; a client whose request meets our end sends it once more.
+  /// Half-closes the connection and discards what the client still sends until it closes its side. The kernel
+  /// resets a connection that is closed with unread bytes or receives more bytes after the close, and the
+  /// reset may overtake the response. A client whose request crosses the half-close sends the request again.
   void linger(CloseReason reason);
-  /// The client left while its request was waiting for its response.
-  void handleClientGone();
-  /// What has to happen by time alone; called periodically.
+  /// Handles a client that disconnected while its request was waiting for its response.
+  void handleClientDisconnected();
+  /// Closes the connection or rejects its request if a time limit is exceeded, and detects a disconnected
+  /// client while the socket is not being read. Called periodically.
   void checkTimeouts(Clock::time_point now);
 
-  /// Between requests, and nothing waits to be read.
+  /// Whether the connection is between requests and its socket has no unread bytes.
   bool isIdle() const;
-  /// A part of a request has come, and nothing waits to be read.
+  /// Whether a part of a request has arrived and the socket has no unread bytes.
   bool isIncomplete() const;
-  /// Connected so recently that its first request may be on its way.
+  /// Whether the connection is so recent that its first request may still be in transit.
   bool mayExpectFirstRequest(Clock::time_point now) const;
-  /// Whether the client has ended its side, asked of the socket: the event loop reports no end that lies
-  /// behind unread bytes, and may not have reported one yet.
+  /// Whether the client has closed its side. Queries the socket, because the event loop may not have reported
+  /// the close yet and never reports one that follows unread bytes.
   bool hasClientHungUp();
   Clock::time_point lastReceivedAt() const { return lastReceivedAt_; }
 
@@ -68,8 +72,8 @@
     idle,
     readingHead,
     readingBody,
-    uploading,         // the request was handed over, its body is streamed
-    awaitingResponse,  // the request was handed over complete
+    uploading,         // The observer has the request; its body is being streamed.
+    awaitingResponse,  // The observer has the complete request.
     responding,
     lingering,
     closed,
@@ -117,9 +121,9 @@
   boost::asio::ip::tcp::socket socket_;
   State state_ = State::idle;
   const Clock::time_point connectedAt_ = Clock::now();
-  Clock::time_point stateSince_;  // in readingHead, since the first byte of the request
+  Clock::time_point stateSince_;  // In readingHead: the arrival of the request's first byte.
   std::optional<CloseReason> lingerReason_;
-  ConnectionEvictor::List* evictionList_ = nullptr;  // the list that holds this connection, if one does
+  ConnectionEvictor::List* evictionList_ = nullptr;  // The list that contains this connection, if any.
   ConnectionEvictor::List::iterator evictionEntry_;
 
   boost::beast::flat_buffer buffer_;
@@ -131,15 +135,15 @@
   Clock::time_point bodyStartedAt_;
   Clock::time_point uploadPausedAt_;
   std::size_t bodyBytes_ = 0;
-  std::size_t discardedBytes_ = 0;    // while lingering
-  bool awaitingFirstRequest_ = true;  // no request has come complete yet
-  bool readPending_ = false;          // a wait for the socket to be readable
-  bool feedingUpload_ = false;        // data is being appended to the upload
+  std::size_t discardedBytes_ = 0;    // While lingering.
+  bool awaitingFirstRequest_ = true;  // No request has arrived completely yet.
+  bool readPending_ = false;          // A wait for the socket to become readable is pending.
+  bool feedingUpload_ = false;        // Data is being appended to the upload.
 
   ResponseCallback responseCallback_;
   std::shared_ptr<BodyStream> download_;
-  std::string outgoing_;    // the response or a piece of it, being written
-  bool keepAlive_ = false;  // of the request, then of its response
+  std::string outgoing_;    // The response, or the piece of it, that is being written.
+  bool keepAlive_ = false;  // First the request's, then its response's.
   bool writingPiece_ = false;
   bool lastChunkWritten_ = false;
 };
--- a/src/gateway/downstream_constants.hpp
+++ b/src/gateway/downstream_constants.hpp
@@ -1,11 +1,11 @@
-/// Sizes that the files of the downstream connection share.
+/// Constants shared by the source files of DownstreamConnection.
 #pragma once
 
 #include <cstddef>
 
 namespace hollyrun::gateway {
 
-/// Bytes read at a time of a request's head, and of its body.
+/// Bytes per read of a request's head and of its body.
 inline constexpr std::size_t kHeadReadSize = 4096;
 inline constexpr std::size_t kBodyReadSize = 16 << 10;
 
--- a/src/gateway/downstream_listener.cpp
+++ b/src/gateway/downstream_listener.cpp
@@ -16,9 +16,10 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-// Accepting is tried again after this when no descriptor or buffer was left.
+// Delay before the next attempt to accept after file descriptors or buffers ran out.
 constexpr auto kRetryInterval = std::chrono::milliseconds(20);
-// Connections accepted in one turn of the event loop, so that responses and timers are handled in between.
+// Limit on the connections accepted in one iteration of the event loop, so that responses and timers are
+// handled in between.
 constexpr std::size_t kAcceptBatch = 32;
 
 }  // namespace
@@ -26,13 +27,13 @@
 DownstreamListener::DownstreamListener(asio::io_context& io, ConnectionAdmission& admission)
     : io_(io), acceptor_(io), admission_(admission), retryTimer_(io) {}
 
-void DownstreamListener::listen(const tcp::endpoint& at, bool shared) {
-  acceptor_.open(at.protocol());
+void DownstreamListener::listen(const tcp::endpoint& address, bool shared) {
+  acceptor_.open(address.protocol());
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
   using ReusePort = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
   if (shared)
     acceptor_.set_option(ReusePort(true));
-  acceptor_.bind(at);
+  acceptor_.bind(address);
   acceptor_.listen();
   acceptor_.non_blocking(true);
   // Without this option Asio handles an aborted connection by waiting for the next one within the call, which
@@ -47,8 +48,8 @@
       return;
     if (acceptPending() != AcceptResult::noCapacity)
       return awaitPending();
-    // With no descriptor or buffer left the listener stays readable, and waiting for it at once would make
-    // the event loop spin.
+    // The listener stays readable while no descriptor or buffer is free, so that waiting for it at once would
+    // make the event loop spin.
     retryTimer_.expires_after(kRetryInterval);
     retryTimer_.async_wait([this](error_code waitError) {
       if (!waitError && acceptor_.is_open())
@@ -57,8 +58,9 @@
   });
 }
 
-// Accepts a batch. At the limit a connection is evicted only for one that has been accepted, so that no idle
-// client is disconnected for nobody; so there may be one connection over the limit.
+// Accepts a batch of connections. At the limit, an idle client is disconnected only once the new connection
+// has been accepted, because a pending connection may turn out to be aborted. So one connection over the
+// limit may be open.
 DownstreamListener::AcceptResult DownstreamListener::acceptPending() {
   for (std::size_t attempts = 0; attempts < kAcceptBatch; ++attempts) {
     if (admission_.isOverLimit() && !admission_.evictForCapacity(EvictionScope::all))
@@ -68,14 +70,16 @@
     acceptor_.accept(socket, error);
     if (wouldBlock(error))
       return AcceptResult::allAccepted;
-    // Closing a connection helps only where this process has no descriptor left; at any other error it would
-    // close one whose request is on its way, and gain nothing.
+    // Eviction helps only if this process has no descriptor left. On any other error it would gain nothing
+    // and could close a connection whose request is in transit.
     if (error == boost::system::errc::too_many_files_open)
       return admission_.evictForCapacity(EvictionScope::sparingNew) ? AcceptResult::morePending
                                                                     : AcceptResult::noCapacity;
     if (isLocalShortage(error) && !isInterrupted(error))
       return AcceptResult::noCapacity;
-    if (error)  // it concerns the first pending connection, which is gone; the next may be sound (accept(2))
+    // Any other error concerns the first pending connection, which is gone; the next one may be usable
+    // (accept(2)).
+    if (error)
       continue;
     if (admission_.isAtLimit())
       admission_.evictForCapacity(EvictionScope::all);
@@ -86,8 +90,8 @@
   return AcceptResult::morePending;
 }
 
-// Pending connections may hold requests already, and closing the listener resets them. So a filter first
-// drops the packets that would establish further ones.
+// Closing the listener resets pending connections, which may already contain requests. So a socket filter
+// first drops the packets that would establish further connections, and then all pending ones are accepted.
 void DownstreamListener::acceptRemaining() {
   sock_filter dropAll[] = {{BPF_RET | BPF_K, 0, 0, 0}};
   const sock_fprog program{1, dropAll};
--- a/src/gateway/downstream_listener.hpp
+++ b/src/gateway/downstream_listener.hpp
@@ -1,4 +1,4 @@
-/// Accepts the clients' connections, as far as descriptors and the limit on connections allow.
+/// Accepts client connections, as far as file descriptors and the connection limit allow.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -9,31 +9,32 @@
 
 namespace hollyrun::gateway {
 
-/// What the listener needs of the owner of the connections.
+/// Implemented by the owner of the connections; decides whether the listener may accept another one.
 class ConnectionAdmission {
  public:
   virtual ~ConnectionAdmission() = default;
 
-  /// Whether as many connections are open as the limit allows.
+  /// Whether the number of open connections has reached the limit.
   virtual bool isAtLimit() const = 0;
   virtual bool isOverLimit() const = 0;
-  /// False if no connection may be closed for another.
+  /// Evicts one connection to make room for another. Returns false if none may be evicted.
   virtual bool evictForCapacity(EvictionScope scope) = 0;
   virtual void admit(boost::asio::ip::tcp::socket socket) = 0;
 };
 
 class DownstreamListener {
  public:
-  /// The admission has to outlive the listener.
+  /// `admission` has to outlive the listener.
   DownstreamListener(boost::asio::io_context& io, ConnectionAdmission& admission);
 
-  /// Throws boost::system::system_error. `shared`: another process may listen there too (SO_REUSEPORT).
-  void listen(const boost::asio::ip::tcp::endpoint& at, bool shared);
+  /// If `shared`, another process may listen at the same address (SO_REUSEPORT). Throws
+  /// boost::system::system_error.
+  void listen(const boost::asio::ip::tcp::endpoint& address, bool shared);
   boost::asio::ip::tcp::endpoint localEndpoint() const { return acceptor_.local_endpoint(); }
   bool isOpen() const { return acceptor_.is_open(); }
   int nativeHandle() { return acceptor_.native_handle(); }
 
-  /// From here on no connection is established; all that were established before are accepted.
+  /// Stops the kernel from establishing further connections and accepts all pending ones.
   void acceptRemaining();
   void close();
 
@@ -41,7 +42,7 @@
   enum class AcceptResult {
     allAccepted,
     morePending,
-    noCapacity,  ///< No connection may be accepted for now.
+    noCapacity,  ///< No further connection may be accepted for now.
   };
 
   void awaitPending();
--- a/src/gateway/downstream_observer.hpp
+++ b/src/gateway/downstream_observer.hpp
@@ -1,4 +1,5 @@
-/// What a DownstreamServer reports to its owner: requests, departures of clients, and the end of a drain.
+/// The events that a DownstreamServer reports to its owner: requests, disconnected clients, and the end of a
+/// drain.
 #pragma once
 
 #include <chrono>
@@ -13,43 +14,44 @@
 
 namespace hollyrun::gateway {
 
-/// Identifies one request of a client and its response; never used again.
+/// Identifies a client request and its response; ids are not reused.
 using DownstreamRequestId = std::uint64_t;
 
 struct DownstreamRequest {
   DownstreamRequestId id = 0;
-  HttpRequest message;  ///< With its body, if that is buffered whole.
-  /// When its last byte arrived; for an upload, when its head did.
+  HttpRequest message;  ///< Includes the body if that is buffered completely.
+  /// Arrival of the last byte of the request or, for a streamed body, of the last byte of its head.
   std::chrono::steady_clock::time_point receivedAt;
   MemoryReservation reservation;              ///< For the buffered body.
-  std::shared_ptr<BodyStream> upload;         ///< The body, if it is streamed.
-  std::optional<std::uint64_t> uploadLength;  ///< In bytes, if it is known.
+  std::shared_ptr<BodyStream> upload;         ///< The body if it is streamed.
+  std::optional<std::uint64_t> uploadLength;  ///< Bytes, if known.
 };
 
-/// Why the server answered a request by itself, without its observer.
+/// Why the server rejected a request itself, without its observer.
 enum class RejectionKind {
   invalid,     ///< Malformed, too large, or too slow.
-  overloaded,  ///< No memory for its body.
+  overloaded,  ///< No memory left for the body.
 };
 
-/// All calls come from the event loop's thread and may call the server back.
+/// All methods are called on the event loop's thread and may call the server.
 class DownstreamObserver {
  public:
   virtual ~DownstreamObserver() = default;
 
-  /// A request to be answered by DownstreamServer::answer(), now or later.
+  /// A request has arrived; DownstreamServer::respond() sends its response, now or later.
   virtual void onRequest(DownstreamRequest request) = 0;
-  /// The client left before its response began; no response is wanted.
+  /// The client disconnected before its response began, or the server itself rejected the request while its
+  /// body was being streamed. No response is needed.
   virtual void onClientDisconnected(DownstreamRequestId id) = 0;
   /// The last byte of a streamed request body has arrived.
   virtual void onUploadComplete(DownstreamRequestId id) = 0;
-  /// The server answered by itself. `target` is empty if no complete head had arrived.
+  /// The server rejected a request itself. `target` is empty if no complete head had arrived.
   virtual void onLocalRejection(const std::string& target, RejectionKind kind) = 0;
-  /// This side closed a connection whose client waits for its response: a lost request.
+  /// The gateway closed a connection whose client was waiting for its response: the request is lost.
   virtual void onClosedUnanswered(DownstreamRequestId id, CloseReason reason) = 0;
-  /// After stopAccepting(): the last connection is closed.
+  /// The last connection has been closed after stopAccepting().
   virtual void onDrained() = 0;
-  /// In stopAccepting(): all pending connections are accepted, and the listener is still open.
+  /// Called within stopAccepting(), when all pending connections are accepted and the listener is still open.
   virtual void onLastAccept() {}
 };
 
--- a/src/gateway/downstream_request_reader.cpp
+++ b/src/gateway/downstream_request_reader.cpp
@@ -1,4 +1,4 @@
-// The part of DownstreamConnection that reads requests.
+// The member functions of DownstreamConnection that read requests.
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
 #include <boost/beast/core/string.hpp>
@@ -46,8 +46,9 @@
     awaitReadable();
 }
 
-// One wait is always pending, except while no more may be read. The wait itself reads nothing: what has come
-// is read in the state of that moment.
+// Waits until the socket is readable, unless a wait is already pending. The wait itself reads nothing, so
+// that the handler reads according to the state at that time. A wait is pending except while no more may be
+// read.
 void DownstreamConnection::awaitReadable() {
   if (std::exchange(readPending_, true))
     return;
@@ -58,7 +59,8 @@
   });
 }
 
-// What a client sends before its response is kept for its next request.
+// Buffers input that arrives before the response for the client's next request. Once the buffer contains as
+// much as one read of a head, further input stays in the socket.
 void DownstreamConnection::awaitPipelined() {
   if (buffer_.size() < kHeadReadSize)
     awaitReadable();
@@ -103,7 +105,7 @@
   submitRequest();
 }
 
-// False if the request was rejected.
+// Returns false if the request was rejected.
 bool DownstreamConnection::parseBuffered() {
   while (buffer_.size() > 0 && !parser_->is_done()) {
     error_code error;
@@ -115,8 +117,8 @@
       return false;
     }
   }
-  // The parser limits head and body, but not the head of a chunk; the buffer would throw once it is full, and
-  // that would end the process.
+  // The parser limits the head and the body, but not the head of a chunk. A full buffer would throw, and the
+  // exception would end the process.
   if (!parser_->is_done() && buffer_.size() + kBodyReadSize > buffer_.max_size()) {
     rejectMalformed(http::error::body_limit);
     return false;
@@ -124,7 +126,7 @@
   return true;
 }
 
-// False if the request was rejected or its connection closed.
+// Returns false if the request was rejected or its connection was closed.
 bool DownstreamConnection::handleHead() {
   setState(State::readingBody);
   bodyStartedAt_ = Clock::now();
@@ -144,7 +146,7 @@
   return state_ == State::readingBody || state_ == State::uploading;
 }
 
-// False if the request was rejected or its connection closed.
+// Returns false if the request was rejected or its connection was closed.
 bool DownstreamConnection::handleExpectation() {
   const auto& head = parser_->get();
   if (!boost::beast::iequals(head[http::field::expect], "100-continue"))
@@ -155,12 +157,13 @@
   return false;
 }
 
-// So short a text always fits into the kernel's buffer, because nothing was written before it.
+// Writes without waiting for the socket: the text is so short that it always fits into the kernel's send
+// buffer, because nothing was written before it.
 bool DownstreamConnection::sendContinue() {
   static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
   error_code error;
-  for (asio::const_buffer rest = asio::buffer(kContinue); rest.size() > 0;) {
-    rest += socket_.write_some(rest, error);
+  for (asio::const_buffer unsent = asio::buffer(kContinue); unsent.size() > 0;) {
+    unsent += socket_.write_some(unsent, error);
     if (error && !isInterrupted(error))
       return false;
   }
@@ -169,12 +172,12 @@
 
 // --- The body -------------------------------------------------------------------------------------------
 
-// Passes on what the parser has of the body, unless that is buffered whole. False if the request is over or
-// the upload is paused.
+// Moves the parsed part of the body to the upload, unless the body is buffered completely. Returns false if
+// the request has ended or the upload is paused.
 bool DownstreamConnection::handleBody() {
   std::string& body = parser_->get().body();
-  const std::size_t counted = upload_ ? 0 : std::min(bodyBytes_, body.size());
-  bodyBytes_ += body.size() - counted;
+  const std::size_t alreadyCounted = upload_ ? 0 : std::min(bodyBytes_, body.size());
+  bodyBytes_ += body.size() - alreadyCounted;
   if (state_ == State::readingBody && body.size() > kBufferedBodyLimit)
     beginUpload();
   if (state_ != State::uploading)
@@ -188,8 +191,8 @@
 
 bool DownstreamConnection::feedUpload(const std::string& piece) {
   const auto upload = upload_;
-  // The consumer may take the data within append(), which makes the stream writable at once; feedingUpload_
-  // keeps that from starting a second read from within.
+  // The consumer may consume the data within append(), which makes the stream writable at once.
+  // feedingUpload_ prevents resumeUpload() from starting a second read in that case.
   feedingUpload_ = true;
   upload->append(piece);
   feedingUpload_ = false;
@@ -198,7 +201,7 @@
   if (!upload->isFull())
     return true;
   uploadPausedAt_ = Clock::now();
-  return false;  // resumeUpload() reads on
+  return false;  // resumeUpload() continues to read.
 }
 
 void DownstreamConnection::beginUpload() {
@@ -221,7 +224,7 @@
     return;
   if (upload_->isAbandoned() || upload_->isFull())
     return;
-  // The time in which the upload was paused does not count against the client's rate.
+  // The time during which the upload was paused does not reduce the client's rate.
   bodyStartedAt_ += Clock::now() - std::exchange(uploadPausedAt_, Clock::now());
   awaitReadable();
 }
@@ -237,7 +240,7 @@
   upload->finish();
 }
 
-// --- Handing the request over ---------------------------------------------------------------------------
+// --- Passing the request to the observer ----------------------------------------------------------------
 
 void DownstreamConnection::submitRequest() {
   DownstreamRequest request = makeRequest(State::awaitingResponse);
@@ -260,18 +263,18 @@
   return request;
 }
 
-// Answers without the observer. Always false, for its callers to return.
+// Responds without the observer. Always returns false, as a result for its callers.
 bool DownstreamConnection::reject(http::status status) {
   keepAlive_ = false;
   HttpResponse response;
   response.result(status);
-  const bool wasHandedOver = server_.awaitingResponse_.erase(requestId_) > 0;
+  const bool wasSubmitted = server_.awaitingResponse_.erase(requestId_) > 0;
   const DownstreamRequestId id = requestId_;
   const bool hasHead = state_ == State::readingBody;
   const std::string target = hasHead ? parser_->get().target().to_string() : "";
   buffer_.consume(buffer_.size());
   respond(std::move(response), nullptr);
-  if (wasHandedOver)
+  if (wasSubmitted)
     server_.observer_.onClientDisconnected(id);
   else
     server_.observer_.onLocalRejection(target, rejectionKindOf(status));
--- a/src/gateway/downstream_response_writer.cpp
+++ b/src/gateway/downstream_response_writer.cpp
@@ -1,4 +1,4 @@
-// The part of DownstreamConnection that writes responses.
+// The member functions of DownstreamConnection that write responses.
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/socket_base.hpp>
 #include <boost/beast/http/write.hpp>
@@ -17,14 +17,14 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-// The kernel's send buffer for a streamed response, in bytes.
-constexpr int kStreamSendBuffer = 128 << 10;
+// Size of the kernel's send buffer for a streamed response.
+constexpr int kStreamSendBufferBytes = 128 << 10;
 
 }  // namespace
 
 void DownstreamConnection::beginResponse(HttpResponse& response, ResponseCallback callback) {
   if (state_ == State::uploading)
-    keepAlive_ = false;  // the rest of its body is not read
+    keepAlive_ = false;  // The rest of the request body is not read.
   dropBodies();
   setState(State::responding);
   requestId_ = 0;
@@ -35,8 +35,7 @@
   response.keep_alive(keepAlive_);
 }
 
-// Whether the connection is kept is decided here once more, because the drain may have begun since the
-// response did.
+// Checks closesAfterResponse_ again, because a drain may have begun since the response did.
 void DownstreamConnection::finishResponse(const error_code& error) {
   notifyResponseEnd(!error);
   if (error)
@@ -72,9 +71,9 @@
   else
     head.chunked(true);
   // The kernel reports a full send buffer as writable only once a third of it is free. With a large buffer
-  // and a client that reads slowly this takes so long that the client would be taken for stalled.
+  // and a slow reader this takes so long that the client would be considered stalled.
   error_code ignored;
-  socket_.set_option(asio::socket_base::send_buffer_size(kStreamSendBuffer), ignored);
+  socket_.set_option(asio::socket_base::send_buffer_size(kStreamSendBufferBytes), ignored);
   download_ = std::move(body);
   download_->onReadable = [weak = weak_from_this(), isChunked] {
     if (const auto self = weak.lock())
@@ -105,8 +104,8 @@
   const std::string piece = download_->consume();
   if (!piece.empty())
     return writePiece(isChunked ? encodeChunk(piece) : piece, isChunked);
-  // A response that breaks off must not look complete to the client: the rest of its announced length, or its
-  // last chunk, stays missing.
+  // A truncated response must not look complete to the client: the connection is closed before the end of the
+  // announced length or before the last chunk.
   if (download_->hasFailed())
     return close(CloseReason::truncatedResponse);
   if (!download_->isFinished())
--- a/src/gateway/downstream_server.cpp
+++ b/src/gateway/downstream_server.cpp
@@ -12,7 +12,7 @@
 using tcp = asio::ip::tcp;
 using Clock = std::chrono::steady_clock;
 
-// How often connections are checked for timeouts.
+// Interval between checks of all connections for timeouts.
 constexpr auto kSweepInterval = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -38,8 +38,8 @@
 
 // --- Connections ----------------------------------------------------------------------------------------
 
-void DownstreamServer::listen(const tcp::endpoint& at, bool shared) {
-  listener_.listen(at, shared);
+void DownstreamServer::listen(const tcp::endpoint& address, bool shared) {
+  listener_.listen(address, shared);
 }
 
 void DownstreamServer::setConnectionLimit(std::size_t connections) {
@@ -118,7 +118,7 @@
   if (it == awaitingResponse_.end())
     return;
   const std::shared_ptr<DownstreamConnection> connection = it->second;
-  connection->handleClientGone();
+  connection->handleClientDisconnected();
 }
 
 // --- Drain ----------------------------------------------------------------------------------------------
--- a/src/gateway/downstream_server.hpp
+++ b/src/gateway/downstream_server.hpp
@@ -1,5 +1,5 @@
-/// The clients' side of the gateway: owns the listener and the connections, and routes each response to the
-/// connection whose request it answers.
+/// The downstream side of the gateway: owns the listener and the client connections, and routes each response
+/// to the connection of its request.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -27,50 +27,52 @@
  public:
   struct Limits {
     std::size_t connections = 640;
-    std::chrono::milliseconds firstRequestTimeout{
-        2500};  ///< From the connect until the first request is complete.
-    std::chrono::milliseconds requestTimeout{
-        5000};  ///< From a later request's first byte until it is complete.
-    std::chrono::milliseconds idleTimeout{75000};  ///< Between requests.
+    /// From the connect until the first request is complete.
+    std::chrono::milliseconds firstRequestTimeout{2500};
+    /// From the first byte of a later request until it is complete.
+    std::chrono::milliseconds requestTimeout{5000};
+    /// Between two requests.
+    std::chrono::milliseconds idleTimeout{75000};
   };
 
-  /// The observer has to outlive the server.
+  /// `observer` has to outlive the server.
   DownstreamServer(boost::asio::io_context& io, Limits limits, DownstreamObserver& observer,
                    std::shared_ptr<MemoryBudget> budget);
   ~DownstreamServer() override;
   DownstreamServer(const DownstreamServer&) = delete;
   DownstreamServer& operator=(const DownstreamServer&) = delete;
 
-  /// Throws boost::system::system_error. `shared`: another process may listen there too.
-  void listen(const boost::asio::ip::tcp::endpoint& at, bool shared);
+  /// If `shared`, another process may listen at the same address. Throws boost::system::system_error.
+  void listen(const boost::asio::ip::tcp::endpoint& address, bool shared);
   boost::asio::ip::tcp::endpoint localEndpoint() const { return listener_.localEndpoint(); }
   bool isListening() const { return listener_.isOpen(); }
   int listenerHandle() { return listener_.nativeHandle(); }
   /// Sets the limit on connections; if more are open, some are evicted.
   void setConnectionLimit(std::size_t connections);
 
-  /// Does nothing if the client has left.
+  /// Sends the response of a request. Does nothing if the client has disconnected.
   void respond(DownstreamRequestId id, HttpResponse response, ResponseCallback onSent);
-  /// With a streamed body, in chunks if its length is not known.
+  /// Sends a response with a streamed body, chunked if its length is not known.
   void respond(DownstreamRequestId id, HttpResponse head, std::shared_ptr<BodyStream> body,
                std::optional<std::uint64_t> length, ResponseCallback onSent);
-  /// Whether the client that waits for this response is still there, asked of its socket: an end that the
-  /// event loop has not reported yet counts, too. For a client that left, disconnectClient() is due.
+  /// Whether the client that waits for this response is still connected. Queries the socket, so that it
+  /// detects a close that the event loop has not reported yet. If it returns false, the caller has to call
+  /// disconnectClient().
   bool isClientPresent(DownstreamRequestId id) const;
-  /// The client left: closes its connection and reports it.
+  /// Closes the connection of a client that has disconnected and notifies the observer.
   void disconnectClient(DownstreamRequestId id);
 
-  /// From now on every response is the last one on its connection.
+  /// Makes every further response the last one on its connection.
   void closeAfterResponses();
-  /// Accepts what is pending, then closes the listener and the idle connections. The observer's onDrained()
-  /// follows.
+  /// Accepts the pending connections, then closes the listener and the idle connections. The observer's
+  /// onDrained() is called once no connection is left.
   void stopAccepting();
   std::size_t connections() const { return connections_.size(); }
-  /// Closed connections so far, by reason.
+  /// The number of connections closed so far, by reason.
   const CloseCounts& closeCounts() const { return closed_; }
 
  private:
-  friend class DownstreamConnection;  // it enters and removes itself in the members below
+  friend class DownstreamConnection;  // It adds itself to and removes itself from the members below.
 
   bool isAtLimit() const override { return countedConnections() >= limits_.connections; }
   bool isOverLimit() const override { return countedConnections() > limits_.connections; }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -14,14 +14,14 @@
 using balancer::EndpointListKind;
 using Sharing = ProcessLifecycle::AddressSharing;
 
-/// Buffered bodies may hold a quarter of the process's memory.
-std::size_t bodyBytesOf(const Config& config) {
+/// The limit on the memory of buffered bodies: a quarter of the process's memory.
+std::size_t maxBodyBytes(const Config& config) {
   return config.memoryBytes / 4;
 }
 
 UpstreamPool::Limits upstreamLimits(const Config& config) {
-  constexpr std::size_t unlimited = std::numeric_limits<std::size_t>::max();
-  const auto connections = partitionDescriptors(config.sockets, unlimited, ServingProcesses::one);
+  constexpr std::size_t kUnlimited = std::numeric_limits<std::size_t>::max();
+  const auto connections = partitionDescriptors(config.sockets, kUnlimited, ServingProcesses::one);
   return {connections.upstream, config.connectTimeout, config.module.idleTimeout};
 }
 
@@ -33,7 +33,7 @@
 
 ProcessLifecycle::Resources resourcesOf(const Config& config, const DownstreamServer::Limits& limits) {
   return {
-      .descriptors = config.sockets, .maxDownstream = limits.connections, .bodyBytes = bodyBytesOf(config)};
+      .descriptors = config.sockets, .maxDownstream = limits.connections, .bodyBytes = maxBodyBytes(config)};
 }
 
 }  // namespace
@@ -42,7 +42,7 @@
     : io_(io),
       log_(log),
       state_(config.module, log, options.abortOnViolation ? ViolationPolicy::abort : ViolationPolicy::log),
-      memory_(std::make_shared<MemoryBudget>(bodyBytesOf(config))),
+      memory_(std::make_shared<MemoryBudget>(maxBodyBytes(config))),
       upstream_(io, upstreamLimits(config), *this, memory_),
       endpoints_(state_, upstream_),
       discovery_(io, config.discovery, discoveryCallbacks(), options.discovery),
@@ -134,12 +134,12 @@
   actions_.executePending();
 }
 
-// The balancer polls discovery once it was given a list, an empty one too.
+// The balancer begins to poll discovery when it receives its first list, even an empty one.
 void Gateway::applyCachedEndpoints(const Config& config) {
   if (config.cachedEndpoints)
     discovery_.setKnownVersion(config.cachedEndpoints->version);
-  const EndpointList none{.version = 0, .snapshot = true, .endpoints = {}};
-  applyEndpointList(config.cachedEndpoints ? *config.cachedEndpoints : none, EndpointListKind::cached);
+  const EndpointList empty{.version = 0, .snapshot = true, .endpoints = {}};
+  applyEndpointList(config.cachedEndpoints ? *config.cachedEndpoints : empty, EndpointListKind::cached);
 }
 
 // --- Settings and fleet ---------------------------------------------------------------------------------
@@ -160,7 +160,8 @@
   actions_.executePending();
 }
 
-// Membership as configured. If its address has changed, the old one is left and the new one joined.
+// Applies the configured membership. If its address has changed, leaves the fleet under the old address and
+// joins under the new one.
 void Gateway::joinFleet(const Config& config) {
   configuredReplicaCount_ = config.module.replicaCount;
   if (process_.isShuttingDown())
@@ -177,20 +178,20 @@
   repartitionFleetLimits();
 }
 
-// Limits of the whole fleet are divided by the number of quota holders, and never by fewer than are
-// configured: else the two sides of a network partition would hold more than the whole.
+// Divides fleet-wide limits by the number of quota holders, but never by fewer than the configured number of
+// replicas: otherwise the two sides of a network partition would together exceed the limits.
 void Gateway::repartitionFleetLimits() {
   const std::uint32_t replicas = std::max(configuredReplicaCount_, fleet_ ? fleet_->quotaHolders() : 1);
   if (replicas == state_.settings.replicaCount)
     return;
   state_.settings.replicaCount = replicas;
   state_.balancer.onSettings(state_.clock.now(), state_.settings);
-  log_.write(LogLevel::info, "fleet", "limits of the fleet are repartitioned",
+  log_.write(LogLevel::info, "fleet", "fleet-wide limits are divided by a new number of replicas",
              {{"by", std::to_string(replicas)}});
   actions_.executePending();
 }
 
-// --- Figures --------------------------------------------------------------------------------------------
+// --- Metrics --------------------------------------------------------------------------------------------
 
 bool Gateway::isAcceptingClients() const {
   return endpoints_.isReady() && !process_.isShuttingDown() && downstream_.isListening();
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -1,5 +1,5 @@
-/// One gateway: the parts that serve requests, and the wiring between them. The parts give the balancer the
-/// events of the sockets and carry out its actions.
+/// One gateway: owns the components that serve requests and connects them. The components report socket
+/// events to the balancer and execute its actions.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -30,30 +30,31 @@
 
 class Gateway : private DownstreamObserver, private UpstreamObserver {
  public:
-  /// Other than the defaults in tests only.
+  /// Only tests change the defaults of `clients` and `discovery`.
   struct Options {
     DownstreamServer::Limits clients;
     Discovery::Timeouts discovery;
-    /// A broken rule ends the process, so that a test or a soak finds it; in service it is counted and
-    /// logged.
+    /// Whether a broken rule aborts the process, so that a test or a soak detects it. In production it is
+    /// counted and logged.
     bool abortOnViolation = false;
   };
 
-  /// Polls discovery at once. Listens at once, too, unless another process serves the address: then as soon
-  /// as it can take over. Throws boost::system::system_error if it can't listen. The log has to outlive it.
+  /// Starts to poll discovery at once. Starts to listen at once, or, if another process serves the address,
+  /// as soon as this one can take over. Throws boost::system::system_error if it cannot listen. `log` has to
+  /// outlive the gateway.
   Gateway(boost::asio::io_context& io, const Config& config, Options options, Log& log);
   ~Gateway() override;
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
   boost::asio::ip::tcp::endpoint listening() const { return downstream_.localEndpoint(); }
-  /// Where the management endpoint listens; none if it is off.
+  /// The address at which the management endpoint listens, if it is enabled.
   std::optional<boost::asio::ip::tcp::endpoint> management() const;
-  /// Null if membership is off.
+  /// Null if membership is disabled.
   const MembershipTransport* fleet() const { return fleet_ ? &*fleet_ : nullptr; }
 
-  /// New requests are bound to the new settings. If discovery has a new address, the current endpoint list
-  /// stays in effect until that one answers.
+  /// Applies a new configuration; its settings are in effect for new requests. If the address of discovery
+  /// has changed, the current endpoint list stays in effect until the new server responds.
   void reload(const Config& config);
   /// Counts a reload whose configuration was rejected.
   void reloadFailed() { state_.statistics.recordReload(Statistics::ReloadResult::rejected); }
@@ -99,7 +100,7 @@
   std::uint32_t configuredReplicaCount_ = 1;
   std::optional<MembershipTransport> fleet_;
   std::optional<Management> management_;
-  // Declared last, so that it is destroyed first: until then it may report requests to the other parts.
+  // Declared last, so that it is destroyed first: until then it may report requests to the other components.
   DownstreamServer downstream_;
 };
 
--- a/src/gateway/gateway_state.hpp
+++ b/src/gateway/gateway_state.hpp
@@ -1,4 +1,5 @@
-/// What the parts of a gateway share: settings in effect, the balancer, the requests under way, and counters.
+/// The state that the components of a gateway share: the settings in effect, the balancer, the requests in
+/// progress, and counters.
 #pragma once
 
 #include "gateway/balancer_clock.hpp"
@@ -10,7 +11,7 @@
 
 namespace hollyrun::gateway {
 
-/// Owned by the Gateway, which outlives the parts that refer to it.
+/// Owned by the Gateway, which outlives the components that refer to it.
 struct GatewayState {
   GatewayState(const balancer::Settings& initialSettings, Log& log, ViolationPolicy violationPolicy)
       : settings(initialSettings),
