--- a/tests/connection_observers.hpp
+++ b/tests/connection_observers.hpp
@@ -1,4 +1,4 @@
-// Observers for tests that use one side of the gateway alone: they keep what is reported to them.
+// Observers that record the events of one side of the gateway, for tests that use that side alone.
 #pragma once
 
 #include <functional>
@@ -28,7 +28,7 @@
   std::function<void()> beforeListenerCloses;
 };
 
-// Admits every step and sets no deadline.
+// Admits every step of every attempt and sets no deadline.
 struct RecordingUpstreamObserver : UpstreamObserver {
   void onAttemptComplete(AttemptCompletion completion) override {
     completions.push_back(std::move(completion));
--- a/tests/crossing_fixture.hpp
+++ b/tests/crossing_fixture.hpp
@@ -1,6 +1,7 @@
-// The fixture of the tests in which two events cross: each crossing is forced, by peers that act once the
-// other side was seen to act, or in one turn of the loop that they share with the gateway.
-// docs/connections.md names the cells they stand for.
+// Fixture of the tests in which two events race, such as a disconnect of the client and a connect to a host.
+// The order of the events is forced: a peer acts once it has observed an action of the other side, or both
+// events are handled in one iteration of the event loop that the peers share with the gateway.
+// docs/connections.md names the cells of its table that the tests cover.
 #pragma once
 
 #include <chrono>
@@ -14,54 +15,63 @@
 using namespace std::chrono_literals;
 using Clock = std::chrono::steady_clock;
 
-class Crossings : public GatewayTest {
+class EventRaceTest : public GatewayTest {
  protected:
-  ::testing::AssertionResult runPast(Clock::time_point at) {
-    return until([&] { return Clock::now() > at; });
+  // Runs the event loop until `time` has passed.
+  ::testing::AssertionResult runUntil(Clock::time_point time) {
+    return until([&] { return Clock::now() > time; });
   }
-  std::shared_ptr<Client> servedClient() {  // connected, and answered once
-    auto c = client();
-    c->send(text("read"));
-    EXPECT_TRUE(until([&] { return c->answers.size() == 1; }));
-    return c;
+  // Returns a connected client that has received one response.
+  std::shared_ptr<Client> servedClient() {
+    auto downstream = client();
+    downstream->send(text("read"));
+    EXPECT_TRUE(until([&] { return downstream->answers.size() == 1; }));
+    return downstream;
   }
-  static void spinPast(Clock::time_point at) {  // the loop does not run meanwhile
-    while (Clock::now() <= at) {
+  // Blocks the event loop until `time` has passed.
+  static void blockUntil(Clock::time_point time) {
+    while (Clock::now() <= time) {
     }
   }
-  void keepTurns(std::size_t cls) { config["settings"]["grades"][cls]["inTurn"] = true; }
-  void waitLong() {  // no time limit ends what a test waits for
-    for (auto& grade : config["settings"]["grades"])
-      grade["giveUpNs"] = grade["aimNs"] = 600'000'000'000;
+  // Makes the requests of a class that have the same key run one after another.
+  void sequenceByKey(std::size_t classIndex) { config["settings"]["grades"][classIndex]["inTurn"] = true; }
+  // Sets the time limits of all classes beyond the duration of a test.
+  void disableTimeLimits() {
+    for (auto& requestClass : config["settings"]["grades"])
+      requestClass["giveUpNs"] = requestClass["aimNs"] = 600'000'000'000;
   }
-  // The second of a key waits for its turn while its client leaves, and may not be sent on any more.
-  void leaveInTurn(const std::string& kind, const std::string& body, const std::string& ahead, Leaving how) {
-    waitLong();
-    keepTurns(kind == "read" ? 0 : 1);
-    std::shared_ptr<PeerConnection> held;
-    addHost("a", [&](PeerConnection& c, std::size_t n) {
-      if (n == 0)
-        held = c.shared_from_this();
+  // Two clients send a request with the same key. The second request is queued until the first one completes;
+  // its client disconnects meanwhile, so the request must not be sent to the host.
+  void disconnectWhileQueuedForKey(const std::string& className, const std::string& body,
+                                   const std::string& pipelined, DisconnectKind kind) {
+    disableTimeLimits();
+    sequenceByKey(className == "read" ? 0 : 1);
+    std::shared_ptr<PeerConnection> firstAttempt;
+    addHost("a", [&](PeerConnection& connection, std::size_t attempt) {
+      if (attempt == 0)
+        firstAttempt = connection.shared_from_this();
       else
-        c.reply(ok());
+        connection.reply(ok());
     });
     start();
     const std::string key = "Cookie: obj=1\r\n";
     auto first = client(), second = client();
-    first->send(text(kind, key));
-    ASSERT_TRUE(until([&] { return held != nullptr; }));
-    second->send(text(kind, key, body) + ahead);
-    const auto sent = Clock::now();
-    ASSERT_TRUE(runPast(sent + 100ms));
-    leave(*second, how);
-    const auto left = Clock::now();
-    ASSERT_TRUE(runPast(left + 300ms));  // the operators' term
-    held->reply(ok());
+    first->send(text(className, key));
+    ASSERT_TRUE(until([&] { return firstAttempt != nullptr; }));
+    second->send(text(className, key, body) + pipelined);
+    const auto sentAt = Clock::now();
+    ASSERT_TRUE(runUntil(sentAt + 100ms));
+    disconnect(*second, kind);
+    const auto disconnectedAt = Clock::now();
+    // A disconnect has to take effect within 300 ms, as the operators require.
+    ASSERT_TRUE(runUntil(disconnectedAt + 300ms));
+    firstAttempt->reply(ok());
     ASSERT_TRUE(until([&] { return first->answers.size() == 1; }));
-    EXPECT_EQ(ask(text(kind, key)).result_int(), 200u);
-    EXPECT_EQ(reached.size(), 2u) << "the first and the last";
-    EXPECT_EQ(hosts[0]->connections.size(), 1u)
-        << "nothing of it was sent, or its connection had been closed";
+    EXPECT_EQ(ask(text(className, key)).result_int(), 200u);
+    EXPECT_EQ(reached.size(), 2u) << "expected only the first and the last request to be sent";
+    EXPECT_EQ(hosts[0]->connections.size(), 1u) << "expected no further connection: one that had sent a part "
+                                                   "of the abandoned request would have been "
+                                                   "closed";
   }
   std::string ok(const std::string& body = "ok") { return answerText(200, "", body); }
 };
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,4 +1,4 @@
-// Events of a client's connection that cross: departures, closes, the drain and floods.
+// Races between events of a downstream connection: disconnects, closes, shutdowns and floods.
 #include <poll.h>
 #include <sys/socket.h>
 
@@ -10,250 +10,258 @@
 namespace hollyrun::gateway::testing {
 namespace {
 
-enum class Ahead { nothing, request, much };
-std::string nameOf(Ahead a) {
-  return a == Ahead::nothing ? "" : a == Ahead::request ? "WithARequestAhead" : "WithMuchAhead";
+// What a client sends behind its first request, before the response.
+enum class PipelinedInput { none, oneRequest, manyRequests };
+std::string nameOf(PipelinedInput input) {
+  return input == PipelinedInput::none         ? ""
+         : input == PipelinedInput::oneRequest ? "WithPipelinedRequest"
+                                               : "WithManyPipelinedRequests";
 }
 
-// --- A client leaves while its request waits ------------------------------------------------------------
+// --- A client disconnects while its request waits for a response ----------------------------------------
 
-class Leavings : public Crossings, public ::testing::WithParamInterface<std::tuple<Leaving, Ahead>> {
+class DisconnectRaceTest : public EventRaceTest,
+                           public ::testing::WithParamInterface<std::tuple<DisconnectKind, PipelinedInput>> {
  protected:
-  std::string ahead() {
+  std::string pipelinedText() {
     switch (std::get<1>(GetParam())) {
-      case Ahead::nothing:
+      case PipelinedInput::none:
         return "";
-      case Ahead::request:
+      case PipelinedInput::oneRequest:
         return text("read");
-      case Ahead::much:
+      case PipelinedInput::manyRequests:
         break;
     }
-    std::string all;
-    // More than is taken in ahead. Past what the socket takes the end of the client's side does not even
-    // come.
-    while (all.size() < (40 << 10))
-      all += text("read");
-    return all;
+    std::string requests;
+    // More than the gateway reads ahead, but not more than the socket buffers: beyond that, the end of the
+    // client's side would not even arrive.
+    while (requests.size() < (40 << 10))
+      requests += text("read");
+    return requests;
   }
 };
 
-TEST_P(Leavings, AreSeenWhileAnAttemptIsOut) {
-  waitLong();
+TEST_P(DisconnectRaceTest, CancelsAttemptInProgress) {
+  disableTimeLimits();
   addHost("a", [](PeerConnection&, std::size_t) {});
   start();
-  auto c = client();
-  c->send(text("read") + ahead());
+  auto downstream = client();
+  downstream->send(text("read") + pipelinedText());
   ASSERT_TRUE(until([&] { return reached.size() == 1; }));
-  leave(*c, std::get<0>(GetParam()));
+  disconnect(*downstream, std::get<0>(GetParam()));
   EXPECT_TRUE(until([&] { return hosts[0]->connections[0]->closedByPeer; }));
-  EXPECT_EQ(reached.size(), 1u) << "what was sent ahead went with its client";
+  EXPECT_EQ(reached.size(), 1u) << "expected the pipelined requests to be discarded";
 }
 
-TEST_P(Leavings, KeepAWaitingRequestFromBeingSent) {
-  leaveInTurn("read", "", ahead(), std::get<0>(GetParam()));
+TEST_P(DisconnectRaceTest, DiscardsRequestQueuedForItsKey) {
+  disconnectWhileQueuedForKey("read", "", pipelinedText(), std::get<0>(GetParam()));
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Crossings, Leavings,
-    ::testing::Combine(::testing::Values(Leaving::close, Leaving::halfClose, Leaving::reset),
-                       ::testing::Values(Ahead::nothing, Ahead::request, Ahead::much)),
+    EventRaces, DisconnectRaceTest,
+    ::testing::Combine(
+        ::testing::Values(DisconnectKind::close, DisconnectKind::halfClose, DisconnectKind::reset),
+        ::testing::Values(PipelinedInput::none, PipelinedInput::oneRequest, PipelinedInput::manyRequests)),
     [](const auto& tested) { return nameOf(std::get<0>(tested.param)) + nameOf(std::get<1>(tested.param)); });
 
-class PausedUploads : public Crossings, public ::testing::WithParamInterface<Leaving> {};
+class PausedUploadTest : public EventRaceTest, public ::testing::WithParamInterface<DisconnectKind> {};
 
-// Its body waits for its turn, too: a part of it here, the rest in the socket, and the client's end behind
-// that.
-TEST_P(PausedUploads, AreNotSentOnceTheirClientHasLeft) {
-  leaveInTurn("write", std::string(kBufferedBodyLimit + 32'000, 'x'), "", GetParam());
+// The upload is paused while its request is queued: the gateway has buffered a part of the body, and the
+// socket contains the rest with the end of the client's side behind it.
+TEST_P(PausedUploadTest, IsNotSentAfterClientDisconnects) {
+  disconnectWhileQueuedForKey("write", std::string(kBufferedBodyLimit + 32'000, 'x'), "", GetParam());
 }
 
-INSTANTIATE_TEST_SUITE_P(Crossings, PausedUploads,
-                         ::testing::Values(Leaving::close, Leaving::halfClose, Leaving::reset),
+INSTANTIATE_TEST_SUITE_P(EventRaces, PausedUploadTest,
+                         ::testing::Values(DisconnectKind::close, DisconnectKind::halfClose,
+                                           DisconnectKind::reset),
                          [](const auto& tested) { return nameOf(tested.param); });
 
-TEST_F(Crossings, AClientThatLeavesWhileItsConnectionComesUpIsNotSentOn) {
+TEST_F(EventRaceTest, RequestIsNotSentIfClientDisconnectsDuringConnectToHost) {
   config["settings"]["ceilings"]["cancel"] = false;
   addHost("a", always(ok()));
   start();
   hosts[0]->pause();
-  auto c = client();
-  c->send(text("read"));
-  const auto sent = Clock::now();
-  ASSERT_TRUE(runPast(sent + 50ms));
-  c->close();
-  ASSERT_TRUE(runPast(sent + 100ms));
+  auto downstream = client();
+  downstream->send(text("read"));
+  const auto sentAt = Clock::now();
+  ASSERT_TRUE(runUntil(sentAt + 50ms));
+  downstream->close();
+  ASSERT_TRUE(runUntil(sentAt + 100ms));
   hosts[0]->resume();
-  ASSERT_TRUE(runPast(sent + 1500ms));  // it would have come up after 1 s
+  ASSERT_TRUE(runUntil(sentAt + 1500ms));  // The kernel would repeat the connect, with success, after 1 s.
   EXPECT_TRUE(reached.empty());
 }
 
-// --- A close meets a request ----------------------------------------------------------------------------
+// --- The gateway closes a connection while a request is in transit --------------------------------------
 
-class Closes : public Crossings {
+class ConnectionCloseTest : public EventRaceTest {
  protected:
-  // After the gateway's end of the connection: a request that was on its way is read out, not sent on.
-  void meet(PlainClient& c) {
-    ASSERT_TRUE(until([&] { return !c.open(); }));
-    EXPECT_FALSE(c.reset);
-    const std::size_t before = reached.size();
-    c.send(text("read"));
-    c.send(text("read"));
-    EXPECT_FALSE(c.open());
-    EXPECT_FALSE(c.reset) << "a reset would overtake what the client has not read yet";
-    const auto at = Clock::now();
-    ASSERT_TRUE(runPast(at + 20ms));
-    EXPECT_FALSE(c.open());
-    EXPECT_FALSE(c.reset);
-    EXPECT_EQ(reached.size(), before);
-    c.halfClose();
+  // Waits until the gateway has half-closed the connection and expects it to discard the requests that were
+  // in transit then, without a reset.
+  void expectRequestsAfterHalfCloseDiscarded(SynchronousClient& downstream) {
+    ASSERT_TRUE(until([&] { return !downstream.readAvailable(); }));
+    EXPECT_FALSE(downstream.wasReset);
+    const std::size_t reachedBefore = reached.size();
+    downstream.send(text("read"));
+    downstream.send(text("read"));
+    EXPECT_FALSE(downstream.readAvailable());
+    EXPECT_FALSE(downstream.wasReset) << "a reset would overtake the bytes that the client has not read yet";
+    const auto sentAt = Clock::now();
+    ASSERT_TRUE(runUntil(sentAt + 20ms));
+    EXPECT_FALSE(downstream.readAvailable());
+    EXPECT_FALSE(downstream.wasReset);
+    EXPECT_EQ(reached.size(), reachedBefore);
+    downstream.halfClose();
   }
-  void serveOnce(PlainClient& c) {
-    c.send(text("read"));
-    ASSERT_TRUE(until([&] { return c.got("\r\n\r\nok"); }));
+  void serveOnce(SynchronousClient& downstream) {
+    downstream.send(text("read"));
+    ASSERT_TRUE(until([&] { return downstream.hasReceived("\r\n\r\nok"); }));
   }
 };
 
-TEST_F(Closes, OfAnIdleConnectionPastItsTimeAreNoReset) {
+TEST_F(ConnectionCloseTest, IdleTimeoutDoesNotReset) {
   waits.clients.idleTimeout = 10ms;
   addHost("a", always(ok()));
   start();
-  PlainClient c(io, gateway->listening());
-  serveOnce(c);
-  meet(c);
+  SynchronousClient downstream(io, gateway->listening());
+  serveOnce(downstream);
+  expectRequestsAfterHalfCloseDiscarded(downstream);
 }
 
-TEST_F(Closes, ThatMakeRoomAreNoReset) {
+TEST_F(ConnectionCloseTest, EvictionDoesNotReset) {
   waits.clients.connections = 1;
   addHost("a", always(ok()));
   start();
-  PlainClient c(io, gateway->listening());
-  serveOnce(c);
+  SynchronousClient downstream(io, gateway->listening());
+  serveOnce(downstream);
   auto other = client();
-  meet(c);
+  expectRequestsAfterHalfCloseDiscarded(downstream);
   other->send(text("read"));
   EXPECT_TRUE(until([&] { return other->answers.size() == 1; }));
 }
 
-TEST_F(Closes, AtTheStopAreNoReset) {
+TEST_F(ConnectionCloseTest, ShutdownDoesNotReset) {
   addHost("a", always(ok()));
   start();
-  PlainClient c(io, gateway->listening());
-  serveOnce(c);
-  bool done = false;
-  gateway->shutDown([&] { done = true; });
-  meet(c);
-  EXPECT_TRUE(until([&] { return done; }));
+  SynchronousClient downstream(io, gateway->listening());
+  serveOnce(downstream);
+  bool drained = false;
+  gateway->shutDown([&] { drained = true; });
+  expectRequestsAfterHalfCloseDiscarded(downstream);
+  EXPECT_TRUE(until([&] { return drained; }));
 }
 
-TEST_F(Closes, OfAConnectionWithAPartOfARequestAreNoReset) {
+TEST_F(ConnectionCloseTest, IncompleteRequestTimeoutDoesNotReset) {
   waits.clients.requestTimeout = 10ms;
   addHost("a", always(ok()));
   start();
-  PlainClient c(io, gateway->listening());
-  serveOnce(c);
-  c.send("GET /read HTTP/1.1\r\n");
-  meet(c);
+  SynchronousClient downstream(io, gateway->listening());
+  serveOnce(downstream);
+  downstream.send("GET /read HTTP/1.1\r\n");
+  expectRequestsAfterHalfCloseDiscarded(downstream);
 }
 
-TEST_F(Closes, AfterAnAnswerForItsFormAreNoReset) {
+TEST_F(ConnectionCloseTest, RejectionOfMalformedRequestDoesNotReset) {
   addHost("a", always(ok()));
   start();
-  PlainClient c(io, gateway->listening());
-  c.send("NONSENSE\r\n\r\n");
-  ASSERT_TRUE(until([&] { return !c.open(); }));
-  EXPECT_NE(c.come.find(" 400 "), std::string::npos);
-  const auto answered = Clock::now();
-  ASSERT_TRUE(runPast(answered + 500ms));
-  meet(c);  // it was still writing
+  SynchronousClient downstream(io, gateway->listening());
+  downstream.send("NONSENSE\r\n\r\n");
+  ASSERT_TRUE(until([&] { return !downstream.readAvailable(); }));
+  EXPECT_NE(downstream.received.find(" 400 "), std::string::npos);
+  const auto respondedAt = Clock::now();
+  ASSERT_TRUE(runUntil(respondedAt + 500ms));
+  expectRequestsAfterHalfCloseDiscarded(downstream);  // The client continues to send.
 }
 
-TEST_F(Closes, TheDescriptorsOfThoseThatMadeRoomAreBounded) {
+TEST_F(ConnectionCloseTest, OpenEvictedConnectionsAreBounded) {
   waits.clients.connections = 4;
   addHost("a", always(ok()));
   start();
-  std::vector<std::unique_ptr<PlainClient>> all;  // none ends its side
+  std::vector<std::unique_ptr<SynchronousClient>> clients;  // No client closes its side.
   for (int i = 0; i < 60; ++i) {
-    all.push_back(std::make_unique<PlainClient>(io, gateway->listening()));
-    serveOnce(*all.back());
+    clients.push_back(std::make_unique<SynchronousClient>(io, gateway->listening()));
+    serveOnce(*clients.back());
   }
   std::size_t open = 0;
-  for (const auto& c : all)
-    open += c->open();
+  for (const auto& downstream : clients)
+    open += downstream->readAvailable();
   EXPECT_LE(open, 5u);
 }
 
-// --- The stop -------------------------------------------------------------------------------------------
+// --- Shutdown -------------------------------------------------------------------------------------------
 
-TEST_F(Crossings, AnAnswerUnderWayAtTheStopIsItsConnectionsLast) {
-  const std::string body(8 << 20, 'x');  // more than the way holds
+TEST_F(EventRaceTest, ResponseInProgressAtShutdownIsLastOnItsConnection) {
+  const std::string body(8 << 20, 'x');  // More than the buffers between host and client contain.
   addHost("a", always(ok(body)));
   start();
-  PlainClient c(io, gateway->listening());
-  c.send(text("read"));
-  ASSERT_TRUE(until([&] { return c.got("200 "); }));
-  bool done = false;
-  gateway->shutDown([&] { done = true; });
-  const auto asked = Clock::now();
-  ASSERT_TRUE(runPast(asked + kAcceptOn + 100ms));
-  EXPECT_FALSE(done);
-  ASSERT_TRUE(until([&] { return !c.open(); }));
-  EXPECT_FALSE(c.reset);
-  EXPECT_EQ(c.come.size() - c.come.find("\r\n\r\n") - 4, body.size());
-  c.halfClose();
-  EXPECT_TRUE(until([&] { return done; }));
+  SynchronousClient downstream(io, gateway->listening());
+  downstream.send(text("read"));
+  ASSERT_TRUE(until([&] { return downstream.hasReceived("200 "); }));
+  bool drained = false;
+  gateway->shutDown([&] { drained = true; });
+  const auto shutDownAt = Clock::now();
+  ASSERT_TRUE(runUntil(shutDownAt + kAcceptOn + 100ms));
+  EXPECT_FALSE(drained);
+  ASSERT_TRUE(until([&] { return !downstream.readAvailable(); }));
+  EXPECT_FALSE(downstream.wasReset);
+  EXPECT_EQ(downstream.received.size() - downstream.received.find("\r\n\r\n") - 4, body.size());
+  downstream.halfClose();
+  EXPECT_TRUE(until([&] { return drained; }));
 }
 
-TEST_F(Crossings, AClientThatGoesOnSendingIsAnsweredUntilItsConnectionEnds) {
+TEST_F(EventRaceTest, ClientThatSendsDuringShutdownIsServedUntilItsConnectionCloses) {
   addHost("a", always(ok()));
   start();
-  auto c = servedClient();
-  bool done = false;
-  gateway->shutDown([&] { done = true; });
-  c->send(text("read"));
-  ASSERT_TRUE(until([&] { return c->closedByPeer; }));
-  ASSERT_EQ(c->answers.size(), 2u);
-  EXPECT_FALSE(c->answers[1].keep_alive());
-  c->send(text("read"));  // met the end of the connection
-  EXPECT_TRUE(until([&] { return done; }));
+  auto downstream = servedClient();
+  bool drained = false;
+  gateway->shutDown([&] { drained = true; });
+  downstream->send(text("read"));
+  ASSERT_TRUE(until([&] { return downstream->closedByPeer; }));
+  ASSERT_EQ(downstream->answers.size(), 2u);
+  EXPECT_FALSE(downstream->answers[1].keep_alive());
+  downstream->send(text("read"));  // Arrives after the half-close and is discarded.
+  EXPECT_TRUE(until([&] { return drained; }));
   EXPECT_EQ(reached.size(), 2u);
 }
 
-TEST_F(Crossings, AHangingHostUnderARequestAtTheStopCostsOneAnswer) {
+TEST_F(EventRaceTest, HostThatHangsDuringShutdownFailsOnlyItsRequest) {
   shorten(1);
   addHost("a", [](PeerConnection&, std::size_t) {});
   start();
-  auto c = client();
-  c->send(text("write"));
+  auto downstream = client();
+  downstream->send(text("write"));
   ASSERT_TRUE(until([&] { return reached.size() == 1; }));
-  bool done = false;
-  gateway->shutDown([&] { done = true; });
-  gateway->shutDown([&] { ADD_FAILURE() << "a second stop is no other"; });
-  ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
-  EXPECT_EQ(c->answers[0].result_int(), 502u);
-  EXPECT_TRUE(until([&] { return done; }));
+  bool drained = false;
+  gateway->shutDown([&] { drained = true; });
+  gateway->shutDown([&] { ADD_FAILURE() << "expected the second shutdown to be ignored"; });
+  ASSERT_TRUE(until([&] { return downstream->answers.size() == 1; }));
+  EXPECT_EQ(downstream->answers[0].result_int(), 502u);
+  EXPECT_TRUE(until([&] { return drained; }));
 }
 
-TEST_F(Crossings, AStopBeforeTheFirstListEnds) {
+TEST_F(EventRaceTest, ShutdownBeforeFirstEndpointListCompletes) {
   config["known"] = nullptr;
   start();
-  bool done = false;
-  gateway->shutDown([&] { done = true; });
-  EXPECT_TRUE(until([&] { return done; }));
+  bool drained = false;
+  gateway->shutDown([&] { drained = true; });
+  EXPECT_TRUE(until([&] { return drained; }));
 }
 
-TEST_F(Crossings, ASettingsChangeDuringTheStopDisturbsNothing) {
+TEST_F(EventRaceTest, ReloadDuringShutdownDoesNotDisturbIt) {
   addHost("a", always(ok()));
   start();
-  auto c = servedClient();
-  bool done = false;
-  gateway->shutDown([&] { done = true; });
+  auto downstream = servedClient();
+  bool drained = false;
+  gateway->shutDown([&] { drained = true; });
   reload();
-  c->send(text("read"));
-  ASSERT_TRUE(until([&] { return c->answers.size() == 2; }));
-  EXPECT_TRUE(until([&] { return done; }));
+  downstream->send(text("read"));
+  ASSERT_TRUE(until([&] { return downstream->answers.size() == 2; }));
+  EXPECT_TRUE(until([&] { return drained; }));
 }
 
-class Listening : public ::testing::Test {  // the clients' side alone
+// Uses a DownstreamServer without the rest of the gateway.
+class ListenerDrainTest : public ::testing::Test {
  protected:
   asio::io_context io;
   RecordingDownstreamObserver observer;
@@ -271,121 +279,124 @@
   void SetUp() override { server.listen(loopback(), false); }
 };
 
-TEST_F(Listening, AConnectionThatWaitsAtTheStopMaySendItsRequest) {
-  const auto at = server.localEndpoint();
-  PlainClient c(io, at);  // not accepted yet: the loop has not run
+TEST_F(ListenerDrainTest, PendingConnectionIsServedDuringDrain) {
+  const auto address = server.localEndpoint();
+  SynchronousClient downstream(io, address);  // Not accepted yet: the event loop has not run.
   server.closeAfterResponses();
   server.stopAccepting();
-  c.send("GET /read HTTP/1.1\r\nHost: x\r\n\r\n");
-  ASSERT_TRUE(until([&] { return requests.size() == 1 || !c.open(); }));
+  downstream.send("GET /read HTTP/1.1\r\nHost: x\r\n\r\n");
+  ASSERT_TRUE(until([&] { return requests.size() == 1 || !downstream.readAvailable(); }));
   ASSERT_EQ(requests.size(), 1u);
   server.respond(requests[0].id, HttpResponse{}, nullptr);
-  EXPECT_TRUE(until([&] { return !c.open(); }));
-  EXPECT_NE(c.come.find("200 OK"), std::string::npos);
-  EXPECT_FALSE(c.reset);
+  EXPECT_TRUE(until([&] { return !downstream.readAvailable(); }));
+  EXPECT_NE(downstream.received.find("200 OK"), std::string::npos);
+  EXPECT_FALSE(downstream.wasReset);
 }
 
-TEST_F(Listening, AConnectionThatSendsNothingDoesNotHoldUpTheStop) {
-  PlainClient c(io, server.localEndpoint());
+TEST_F(ListenerDrainTest, SilentConnectionDoesNotPreventDrain) {
+  SynchronousClient downstream(io, server.localEndpoint());
   server.closeAfterResponses();
   server.stopAccepting();
-  EXPECT_TRUE(until([&] { return !c.open(); }));
-  c.halfClose();
+  EXPECT_TRUE(until([&] { return !downstream.readAvailable(); }));
+  downstream.halfClose();
   EXPECT_TRUE(until([&] { return observer.drained; }));
 }
 
-TEST_F(Listening, NoConnectionCompletesBetweenTheLastAcceptAndTheClose) {
-  const auto at = server.localEndpoint();
-  bool came = false;
+TEST_F(ListenerDrainTest, NoConnectionIsEstablishedBetweenLastAcceptAndClose) {
+  const auto address = server.localEndpoint();
+  bool established = false;
   observer.beforeListenerCloses = [&] {
     tcp::socket late(io, tcp::v4());
     late.native_non_blocking(true);
-    const bool up = ::connect(late.native_handle(), at.data(), static_cast<socklen_t>(at.size())) == 0;
-    pollfd look{late.native_handle(), POLLOUT, 0};
-    came = up || ::poll(&look, 1, 0) > 0;
+    const bool connected =
+        ::connect(late.native_handle(), address.data(), static_cast<socklen_t>(address.size())) == 0;
+    pollfd descriptor{late.native_handle(), POLLOUT, 0};
+    established = connected || ::poll(&descriptor, 1, 0) > 0;
   };
   server.closeAfterResponses();
   server.stopAccepting();
-  EXPECT_FALSE(came) << "it would be reset with its request";
+  EXPECT_FALSE(established) << "the close of the listener would reset the connection and its request";
 }
 
 // --- Floods ---------------------------------------------------------------------------------------------
 
-std::size_t openFiles() {
-  std::size_t n = 0;
+std::size_t countOpenFiles() {
+  std::size_t count = 0;
   for (const auto& entry : std::filesystem::directory_iterator("/proc/self/fd"))
-    n += entry.exists() || true;
-  return n;
+    count += entry.exists() || true;
+  return count;
 }
 
-TEST_F(Crossings, ThousandsOfRequestsSentAheadStarveNobody) {
+TEST_F(EventRaceTest, ThousandsOfPipelinedRequestsDoNotStarveOtherClients) {
   addHost("a", always(ok()));
   start();
   std::string flood;
   for (int i = 0; i < 3000; ++i)
     flood += text("read");
-  auto greedy = client(), modest = client();
-  greedy->send(flood);
-  ASSERT_TRUE(until([&] { return !greedy->answers.empty(); }));
-  modest->send(text("read"));
-  ASSERT_TRUE(until([&] { return modest->answers.size() == 1; }));
-  EXPECT_LT(greedy->answers.size(), 1000u);
-  EXPECT_TRUE(until([&] { return greedy->answers.size() == 3000; }));
+  auto flooding = client(), other = client();
+  flooding->send(flood);
+  ASSERT_TRUE(until([&] { return !flooding->answers.empty(); }));
+  other->send(text("read"));
+  ASSERT_TRUE(until([&] { return other->answers.size() == 1; }));
+  EXPECT_LT(flooding->answers.size(), 1000u);
+  EXPECT_TRUE(until([&] { return flooding->answers.size() == 3000; }));
 }
 
-TEST_F(Crossings, MuchSentAtOnceAndGoneLeavesNothingBehind) {
+TEST_F(EventRaceTest, LargeInputFollowedByResetLeaksNothing) {
   addHost("a", always(ok()));
   start();
   EXPECT_EQ(ask(text("read")).result_int(), 200u);
-  const std::size_t files = openFiles(), before = reached.size();
+  const std::size_t filesBefore = countOpenFiles(), reachedBefore = reached.size();
   for (int round = 0; round < 20; ++round)
-    for (const std::string& what :
+    for (const std::string& input :
          {std::string(200'000, 'x'), "POST /write HTTP/1.1\r\n" + std::string(60'000, 'a'),
           "POST /write HTTP/1.1\r\nHost: x\r\nX-Request-Id: f\r\nContent-Length: 60000\r\n\r\n" +
               std::string(50'000, 'b')}) {
-      auto c = client();
-      c->send(what);
-      c->reset();
+      auto downstream = client();
+      downstream->send(input);
+      downstream->reset();
     }
   EXPECT_EQ(ask(text("read")).result_int(), 200u);
-  EXPECT_TRUE(until([&] { return openFiles() <= files + 2; }));
-  EXPECT_EQ(reached.size(), before + 1) << "nothing of it reached a host";
+  EXPECT_TRUE(until([&] { return countOpenFiles() <= filesBefore + 2; }));
+  EXPECT_EQ(reached.size(), reachedBefore + 1)
+      << "expected no input of the reset clients to be sent to a host";
 }
 
-TEST_F(Crossings, TenThousandConnectsWithNothingSentLeaveRoomForOthers) {
+TEST_F(EventRaceTest, TenThousandSilentConnectionsDoNotBlockOtherClients) {
   config["limits"]["sockets"] = 128;
   addHost("a", always(ok()));
   start();
   EXPECT_EQ(ask(text("read")).result_int(), 200u);
-  const std::size_t files = openFiles();
+  const std::size_t filesBefore = countOpenFiles();
   for (int round = 0; round < 100; ++round) {
-    std::vector<std::unique_ptr<PlainClient>> strangers;
+    std::vector<std::unique_ptr<SynchronousClient>> silentClients;
     for (int i = 0; i < 100; ++i)
-      strangers.push_back(std::make_unique<PlainClient>(io, gateway->listening()));
+      silentClients.push_back(std::make_unique<SynchronousClient>(io, gateway->listening()));
     ASSERT_EQ(ask(text("read")).result_int(), 200u) << round;
   }
-  EXPECT_TRUE(until([&] { return openFiles() <= files + 2; }));
+  EXPECT_TRUE(until([&] { return countOpenFiles() <= filesBefore + 2; }));
 }
 
-TEST_F(Crossings, BytesOneAtATimeByHundredsAreAnswered) {
+TEST_F(EventRaceTest, HundredsOfClientsThatSendSingleBytesAreServed) {
   addHost("a", always(ok()));
   config["limits"]["sockets"] = 1024;
   start();
-  std::vector<std::unique_ptr<PlainClient>> slow;
-  std::vector<std::string> what;
+  std::vector<std::unique_ptr<SynchronousClient>> clients;
+  std::vector<std::string> requests;
   for (int i = 0; i < 200; ++i) {
-    slow.push_back(std::make_unique<PlainClient>(io, gateway->listening()));
-    what.push_back(text("read"));
+    clients.push_back(std::make_unique<SynchronousClient>(io, gateway->listening()));
+    requests.push_back(text("read"));
   }
-  for (std::size_t at = 0; at < 200; ++at) {
-    for (std::size_t i = 0; i < slow.size(); ++i)
-      if (at < what[i].size())
-        slow[i]->send(what[i].substr(at, 1));
+  for (std::size_t offset = 0; offset < 200; ++offset) {
+    for (std::size_t i = 0; i < clients.size(); ++i)
+      if (offset < requests[i].size())
+        clients[i]->send(requests[i].substr(offset, 1));
     io.restart();
     io.poll();
   }
   EXPECT_TRUE(until([&] {
-    return std::all_of(slow.begin(), slow.end(), [](const auto& c) { return c->got("\r\n\r\n"); });
+    return std::all_of(clients.begin(), clients.end(),
+                       [](const auto& downstream) { return downstream->hasReceived("\r\n\r\n"); });
   }));
 }
 
--- a/tests/departures_test.cpp
+++ b/tests/departures_test.cpp
@@ -1,6 +1,6 @@
-// A client that leaves is gone at once: whatever the event loop has come to, no attempt of its request begins
-// from then on. Each departure is forced at one moment of a request, with a table of connections that has
-// room and with one that is full.
+// Once a client has disconnected, no attempt of its request may begin, even if the event loop has not
+// reported the disconnect yet. Each test forces the disconnect at one stage of a request, with a connection
+// limit that leaves room and with one that is reached.
 #include <sys/socket.h>
 
 #include "connection_observers.hpp"
@@ -10,183 +10,187 @@
 namespace hollyrun::gateway::testing {
 namespace {
 
-enum class Table { roomy, full };
-enum class Turns { one, several };
+enum class ConnectionLimit { hasRoom, reached };
+// Whether the events of a test are handled in one iteration of the event loop or in several.
+enum class Iterations { one, several };
 
-std::string nameOf(Table table) {
-  return table == Table::full ? "AtAFullTable" : "";
+std::string nameOf(ConnectionLimit limit) {
+  return limit == ConnectionLimit::reached ? "AtConnectionLimit" : "";
 }
-std::string nameOf(Turns turns) {
-  return turns == Turns::one ? "InOneTurn" : "InSeveralTurns";
+std::string nameOf(Iterations iterations) {
+  return iterations == Iterations::one ? "InOneIteration" : "InSeveralIterations";
 }
 
-class Departures : public GatewayTest,
-                   public ::testing::WithParamInterface<std::tuple<Leaving, Table, Turns>> {
+class ClientDisconnectTest
+    : public GatewayTest,
+      public ::testing::WithParamInterface<std::tuple<DisconnectKind, ConnectionLimit, Iterations>> {
  protected:
-  static Leaving how() { return std::get<0>(GetParam()); }
-  static bool full() { return std::get<1>(GetParam()) == Table::full; }
-  static bool severalTurns() { return std::get<2>(GetParam()) == Turns::several; }
+  static DisconnectKind disconnectKind() { return std::get<0>(GetParam()); }
+  static bool isAtLimit() { return std::get<1>(GetParam()) == ConnectionLimit::reached; }
+  static bool inSeveralIterations() { return std::get<2>(GetParam()) == Iterations::several; }
 
   std::string ok() { return answerText(200, "", "ok"); }
 
-  // Starts with one host by this script. In a full table one connection, whose request that host holds, is
-  // all that is accepted; beyond it the gateway takes one more.
+  // Starts the gateway with one host that runs `script`. At the connection limit, only one connection, whose
+  // request the host does not answer, is accepted regularly; the gateway accepts one more beyond the limit.
   void startWith(Script script) {
-    if (full())
+    if (isAtLimit())
       waits.clients.connections = 1;
-    addHost("a", [this, script](PeerConnection& c, std::size_t n) {
-      if (c.request["X-Request-Id"] == kHolder)
-        held_ = c.shared_from_this();
+    addHost("a", [this, script](PeerConnection& connection, std::size_t attempt) {
+      if (connection.request["X-Request-Id"] == kBlockingRequestId)
+        blockedAttempt_ = connection.shared_from_this();
       else
-        script(c, n);
+        script(connection, attempt);
     });
     start();
-    if (!full())
+    if (!isAtLimit())
       return;
     for (int i = 0; i < 2; ++i)
-      holders_.push_back(client());
-    holders_[0]->send(holdersText());
-    ASSERT_TRUE(until([&] { return held_ != nullptr; }));
+      blockingClients_.push_back(client());
+    blockingClients_[0]->send(blockingRequestText());
+    ASSERT_TRUE(until([&] { return blockedAttempt_ != nullptr; }));
     reached.clear();
   }
 
-  // The host answers the connection that startWith() filled the table with, and it ends.
-  void makeRoom() {
-    if (!held_)
+  // Completes the blocked request of startWith() and closes the connections that fill the limit.
+  void freeConnections() {
+    if (!blockedAttempt_)
       return;
-    held_->reply(ok());
-    ASSERT_TRUE(until([&] { return holders_[0]->answers.size() == 1; }));
-    for (auto& holder : holders_)
-      holder->close();
+    blockedAttempt_->reply(ok());
+    ASSERT_TRUE(until([&] { return blockingClients_[0]->answers.size() == 1; }));
+    for (auto& blocking : blockingClients_)
+      blocking->close();
   }
 
-  // Lets the loop do all that is due; what it has left to do then needs an event from outside.
-  void runAllDue() {
+  // Runs the event loop until it needs an external event to proceed.
+  void runReadyHandlers() {
     io.restart();
     while (io.poll() > 0)
       io.restart();
   }
 
-  // A later request shows that the gateway had its turn with all that came before.
-  void expectOnlyALaterRequestIsSent() {
-    makeRoom();
+  // The response to a later request shows that the gateway has handled all earlier events.
+  void expectOnlyLaterRequestIsSent() {
+    freeConnections();
     EXPECT_EQ(ask(text("read")).result_int(), 200u);
-    EXPECT_EQ(reached.size(), 1u) << "the request of the client that left was sent on";
+    EXPECT_EQ(reached.size(), 1u) << "the request of the disconnected client was sent to a host";
   }
 
-  static constexpr const char* kHolder = "holder";
+  static constexpr const char* kBlockingRequestId = "holder";
 
  private:
-  static std::string holdersText() {
-    return std::string("GET /read HTTP/1.1\r\nHost: x\r\nX-Class: read\r\nX-Request-Id: ") + kHolder +
-           "\r\n\r\n";
+  static std::string blockingRequestText() {
+    return std::string("GET /read HTTP/1.1\r\nHost: x\r\nX-Class: read\r\nX-Request-Id: ") +
+           kBlockingRequestId + "\r\n\r\n";
   }
 
-  std::vector<std::shared_ptr<Client>> holders_;
-  std::shared_ptr<PeerConnection> held_;
+  std::vector<std::shared_ptr<Client>> blockingClients_;
+  std::shared_ptr<PeerConnection> blockedAttempt_;
 };
 
-TEST_P(Departures, BeforeTheConnectionIsAcceptedSendNothing) {
+TEST_P(ClientDisconnectTest, BeforeAcceptSendsNothing) {
   startWith(always(ok()));
-  auto c = client();
-  c->send(text("read"));
-  if (severalTurns() && full())
-    runAllDue();  // with room, a turn would accept it
-  leave(*c, how());
-  expectOnlyALaterRequestIsSent();
+  auto downstream = client();
+  downstream->send(text("read"));
+  if (inSeveralIterations() && isAtLimit())
+    runReadyHandlers();  // Below the limit, this would accept the connection.
+  disconnect(*downstream, disconnectKind());
+  expectOnlyLaterRequestIsSent();
 }
 
-TEST_P(Departures, BetweenAcceptAndReadSendNothing) {
-  if (full())
+TEST_P(ClientDisconnectTest, BetweenAcceptAndReadSendsNothing) {
+  if (isAtLimit())
     waits.clients.connections = 1;
   addHost("a", always(ok()));
   start();
-  auto c = client();
-  c->send(text("read"));
-  ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));  // it is accepted, and its connection is kept
+  auto downstream = client();
+  downstream->send(text("read"));
+  // After the response, the connection is accepted and kept alive.
+  ASSERT_TRUE(until([&] { return downstream->answers.size() == 1; }));
   reached.clear();
   const std::string request = text("read");
-  c->send(request.substr(0, 20));
-  if (severalTurns())
-    runAllDue();
-  c->send(request.substr(20));
-  leave(*c, how());
-  expectOnlyALaterRequestIsSent();
+  downstream->send(request.substr(0, 20));
+  if (inSeveralIterations())
+    runReadyHandlers();
+  downstream->send(request.substr(20));
+  disconnect(*downstream, disconnectKind());
+  expectOnlyLaterRequestIsSent();
 }
 
-TEST_P(Departures, AsTheConnectionToTheHostComesUpSendNothing) {
-  config["settings"]["ceilings"]["cancel"] = severalTurns();
-  if (full())
+TEST_P(ClientDisconnectTest, DuringConnectToHostSendsNothing) {
+  config["settings"]["ceilings"]["cancel"] = inSeveralIterations();
+  if (isAtLimit())
     waits.clients.connections = 1;
   addHost("a", always(ok()));
   start();
   ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
-  auto c = client();
-  c->send(text("read"));
-  ASSERT_TRUE(until([&] { return hosts[0]->dialled(); }));  // and the gateway has not seen it come up
-  leave(*c, how());
-  if (severalTurns())
-    runAllDue();
-  expectOnlyALaterRequestIsSent();
+  auto downstream = client();
+  downstream->send(text("read"));
+  // The connection is established, but the gateway has not handled that event yet.
+  ASSERT_TRUE(until([&] { return hosts[0]->dialled(); }));
+  disconnect(*downstream, disconnectKind());
+  if (inSeveralIterations())
+    runReadyHandlers();
+  expectOnlyLaterRequestIsSent();
 }
 
-TEST_P(Departures, BetweenAnAttemptAndItsRepeatSendNoRepeat) {
-  if (full())
+TEST_P(ClientDisconnectTest, BetweenAttemptAndRetrySendsNoRetry) {
+  if (isAtLimit())
     waits.clients.connections = 1;
-  std::shared_ptr<Client> c;
-  std::shared_ptr<PeerConnection> attempt;
-  config["settings"]["ceilings"]["cancel"] = !severalTurns();
-  twoHosts([&](PeerConnection& connection, std::size_t n) {
-    if (n > 0)
+  std::shared_ptr<Client> downstream;
+  std::shared_ptr<PeerConnection> firstAttempt;
+  config["settings"]["ceilings"]["cancel"] = !inSeveralIterations();
+  twoHosts([&](PeerConnection& connection, std::size_t attempt) {
+    if (attempt > 0)
       return connection.reply(ok());
-    attempt = connection.shared_from_this();
-    leave(*c, how());
-    if (!severalTurns())
+    firstAttempt = connection.shared_from_this();
+    disconnect(*downstream, disconnectKind());
+    if (!inSeveralIterations())
       connection.reset();
   });
-  c = client();
-  c->send(text("read"));
-  ASSERT_TRUE(until([&] { return attempt != nullptr; }));
-  if (severalTurns()) {
-    runAllDue();
-    attempt->reset();
+  downstream = client();
+  downstream->send(text("read"));
+  ASSERT_TRUE(until([&] { return firstAttempt != nullptr; }));
+  if (inSeveralIterations()) {
+    runReadyHandlers();
+    firstAttempt->reset();
   }
-  runAllDue();
-  const std::size_t before = reached.size();
-  EXPECT_EQ(before, 1u) << "it was sent again for a client that had left";
+  runReadyHandlers();
+  const std::size_t reachedBefore = reached.size();
+  EXPECT_EQ(reachedBefore, 1u) << "the request of a disconnected client was retried";
   EXPECT_EQ(ask(text("read")).result_int(), 200u);
-  EXPECT_EQ(reached.size(), before + 1);
+  EXPECT_EQ(reached.size(), reachedBefore + 1);
 }
 
-INSTANTIATE_TEST_SUITE_P(Clients, Departures,
-                         ::testing::Combine(::testing::Values(Leaving::close, Leaving::halfClose,
-                                                              Leaving::reset),
-                                            ::testing::Values(Table::roomy, Table::full),
-                                            ::testing::Values(Turns::one, Turns::several)),
-                         [](const auto& tested) {
-                           return nameOf(std::get<0>(tested.param)) + nameOf(std::get<1>(tested.param)) +
-                                  nameOf(std::get<2>(tested.param));
-                         });
-
-// The listener of a server whose loop has other work, too.
-class AcceptQueue : public ::testing::Test {
+INSTANTIATE_TEST_SUITE_P(
+    Clients, ClientDisconnectTest,
+    ::testing::Combine(::testing::Values(DisconnectKind::close, DisconnectKind::halfClose,
+                                         DisconnectKind::reset),
+                       ::testing::Values(ConnectionLimit::hasRoom, ConnectionLimit::reached),
+                       ::testing::Values(Iterations::one, Iterations::several)),
+    [](const auto& tested) {
+      return nameOf(std::get<0>(tested.param)) + nameOf(std::get<1>(tested.param)) +
+             nameOf(std::get<2>(tested.param));
+    });
+
+class AcceptQueueTest : public ::testing::Test {
  protected:
   asio::io_context io;
   RecordingDownstreamObserver observer;
   DownstreamServer server{io, {}, observer, std::make_shared<MemoryBudget>(1 << 20)};
 };
 
-TEST_F(AcceptQueue, IsTakenInBatchesSoThatOtherEventsComeBetween) {
-  constexpr std::size_t kWaiting = 200, kMostInOneTurn = 64;
+TEST_F(AcceptQueueTest, IsAcceptedInBatchesSoThatOtherEventsAreHandledInBetween) {
+  constexpr std::size_t kPendingConnections = 200, kMaxAcceptedPerIteration = 64;
   server.listen(loopback(), false);
-  std::vector<std::unique_ptr<PlainClient>> clients;
-  for (std::size_t i = 0; i < kWaiting; ++i)
-    clients.push_back(std::make_unique<PlainClient>(io, server.localEndpoint()));
-  std::size_t before = 0;
-  while (server.connections() < kWaiting) {
+  std::vector<std::unique_ptr<SynchronousClient>> clients;
+  for (std::size_t i = 0; i < kPendingConnections; ++i)
+    clients.push_back(std::make_unique<SynchronousClient>(io, server.localEndpoint()));
+  std::size_t acceptedBefore = 0;
+  while (server.connections() < kPendingConnections) {
     ASSERT_GT(io.run_one_for(kPatience), 0u);
-    EXPECT_LE(server.connections() - before, kMostInOneTurn);
-    before = server.connections();
+    EXPECT_LE(server.connections() - acceptedBefore, kMaxAcceptedPerIteration);
+    acceptedBefore = server.connections();
   }
 }
 
--- a/tests/discovery_crossings_test.cpp
+++ b/tests/discovery_crossings_test.cpp
@@ -1,4 +1,4 @@
-// Events of the watch on discovery that cross.
+// Races between events of a discovery watch.
 #include "crossing_fixture.hpp"
 
 namespace hollyrun::gateway::testing {
@@ -6,14 +6,16 @@
 
 // --- Discovery ------------------------------------------------------------------------------------------
 
-TEST_F(Crossings, AMovedDiscoveryIsAskedForTheWholeList) {
+TEST_F(EventRaceTest, SnapshotIsRequestedFromNewDiscoveryServer) {
   FakeDiscovery other{io};
   twoHosts(always(ok()));
   ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
-  other.list = json::array({discovery.list[0]});  // of the same version, and never told of the second
+  // The new server's list has the same version, but has never contained the second host.
+  other.list = json::array({discovery.list[0]});
   config["discovery"] = textOf(other.peer.endpoint);
   reload();
-  EXPECT_EQ(ask(text("read")).result_int(), 200u) << "the list held stays until then";
+  EXPECT_EQ(ask(text("read")).result_int(), 200u)
+      << "expected the current list to stay in effect until the new server responds";
   ASSERT_TRUE(until([&] { return other.held.size() == 1; }));
   reached.clear();
   for (int i = 0; i < 20; ++i)
@@ -21,7 +23,7 @@
   EXPECT_EQ(std::set<std::string>(reached.begin(), reached.end()), std::set<std::string>{"s-0"});
 }
 
-TEST_F(Crossings, AListOnItsWayWhileDiscoveryMovesCountsForNothing) {
+TEST_F(EventRaceTest, ListInTransitFromFormerDiscoveryServerIsIgnored) {
   FakeDiscovery other{io};
   twoHosts(always(ok()));
   ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
@@ -34,55 +36,57 @@
     EXPECT_EQ(ask(text("read")).result_int(), 200u);
 }
 
-TEST_F(Crossings, AWatchWhoseAnswerAndTimerComeInOneTurnIsEndedOnce) {
+TEST_F(EventRaceTest, PollWhoseResponseAndTimeoutRaceIsCompletedOnce) {
   waits.discovery = {100ms, 100ms};
   twoHosts(always(ok()));
   const auto script = discovery.peer.script;
-  std::size_t asked = 0;
-  discovery.peer.script = [&](PeerConnection& c) {
-    if (c.request.target().to_string().find("timeout_ms=100") == std::string::npos)
-      return script(c);
-    if (asked++ > 0)
+  std::size_t polls = 0;
+  discovery.peer.script = [&](PeerConnection& connection) {
+    if (connection.request.target().to_string().find("timeout_ms=100") == std::string::npos)
+      return script(connection);
+    if (polls++ > 0)
       return;
-    c.reply(answerText(
+    connection.reply(answerText(
         200, "",
         json{{"rev", 2}, {"all", false}, {"targets", {target("s-0", hosts[0]->endpoint, "a", "DRAINING")}}}
             .dump()));
     discovery.version = 2;
     discovery.list[0]["state"] = "DRAINING";
-    spinPast(Clock::now() + 250ms);
+    blockUntil(Clock::now() + 250ms);
   };
-  ASSERT_TRUE(until([&] { return asked >= 3; }));
+  ASSERT_TRUE(until([&] { return polls >= 3; }));
   reached.clear();
   for (int i = 0; i < 20; ++i)
     EXPECT_EQ(ask(text("read")).result_int(), 200u);
-  EXPECT_EQ(std::count(reached.begin(), reached.end(), "s-0"), 0) << "the answer was there first";
+  EXPECT_EQ(std::count(reached.begin(), reached.end(), "s-0"), 0)
+      << "expected the response to be applied, because it arrived before the timeout";
 }
 
-TEST_F(Crossings, AListHalfReadWhenItsWatchFallsSilentCountsForNothing) {
+TEST_F(EventRaceTest, ListThatIsIncompleteAtPollTimeoutIsIgnored) {
   waits.discovery = {50ms, 50ms};
   twoHosts(always(ok()));
   const auto script = discovery.peer.script;
-  bool cut = false;
-  discovery.peer.script = [&](PeerConnection& c) {
-    if (c.request.target().to_string().find("timeout_ms=50") == std::string::npos)
-      return script(c);
-    if (std::exchange(cut, true))
+  bool hasTruncated = false;
+  discovery.peer.script = [&](PeerConnection& connection) {
+    if (connection.request.target().to_string().find("timeout_ms=50") == std::string::npos)
+      return script(connection);
+    if (std::exchange(hasTruncated, true))
       return;
-    const std::string whole =
+    const std::string response =
         answerText(200, "", json{{"rev", 7}, {"all", true}, {"targets", json::array()}}.dump());
-    c.reply(whole.substr(0, whole.size() - 1));
+    connection.reply(response.substr(0, response.size() - 1));
   };
-  const auto looks = [&] {
-    return std::count_if(discovery.targets.begin(), discovery.targets.end(),
-                         [](const std::string& t) { return t.find("timeout_ms=1") != std::string::npos; });
+  const auto countFirstPolls = [&] {
+    return std::count_if(discovery.targets.begin(), discovery.targets.end(), [](const std::string& path) {
+      return path.find("timeout_ms=1") != std::string::npos;
+    });
   };
-  ASSERT_TRUE(until([&] { return looks() >= 2; }));
+  ASSERT_TRUE(until([&] { return countFirstPolls() >= 2; }));
   EXPECT_NE(discovery.targets.back().find("since=1&"), std::string::npos);
   EXPECT_EQ(ask(text("read")).result_int(), 200u);
 }
 
-TEST_F(Crossings, DiscoveryBackWithAnOlderVersionIsAskedForTheWholeList) {
+TEST_F(EventRaceTest, SnapshotIsRequestedAfterDiscoveryReturnsWithOlderVersion) {
   discovery.version = 9;
   addHost("a", always(ok()));
   addHost("a", always(ok()));
@@ -90,7 +94,7 @@
   start();
   ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
   discovery.list.erase(1);
-  discovery.version = 2;  // it was set up anew
+  discovery.version = 2;  // The server was set up anew.
   discovery.push({{"all", false}, {"targets", json::array()}});
   ASSERT_TRUE(
       until([&] { return discovery.targets.back().find("since=3&timeout_ms=20000") != std::string::npos; }));
@@ -100,10 +104,11 @@
   EXPECT_EQ(std::set<std::string>(reached.begin(), reached.end()), std::set<std::string>{"s-0"});
 }
 
-// Discovery fails for a while, and a host drains meanwhile or soon after.
-class DiscoveryOutage : public Crossings {
+// Discovery is unavailable for a while, and a host starts to drain during the outage or soon after.
+class DiscoveryOutageTest : public EventRaceTest {
  protected:
-  // Two hosts, a watch that is on, and a discovery that then fails every call until returnWithADrain().
+  // Starts with two hosts and an active watch; then discovery fails every request until
+  // recoverWithDrainingHost().
   void startAndLoseDiscovery() {
     twoHosts(always(ok()));
     ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
@@ -111,19 +116,19 @@
     discovery.held[0]->reset();
     discovery.held.clear();
   }
-  void returnWithADrain() {
+  void recoverWithDrainingHost() {
     const auto script = discovery.peer.script;
-    discovery.peer.script = [this, script](PeerConnection& c) {
-      if (std::exchange(told_, true))
-        return script(c);
+    discovery.peer.script = [this, script](PeerConnection& connection) {
+      if (std::exchange(hasSentDrain_, true))
+        return script(connection);
       discovery.failing = false;
       discovery.version = 2;
       const json drained = target("s-0", hosts[0]->endpoint, "a", "DRAINING");
-      c.reply(answerText(200, "", json{{"rev", 2}, {"all", false}, {"targets", {drained}}}.dump()));
+      connection.reply(answerText(200, "", json{{"rev", 2}, {"all", false}, {"targets", {drained}}}.dump()));
     };
-    ASSERT_TRUE(until([&] { return told_ && discovery.held.size() == 1; }));
+    ASSERT_TRUE(until([&] { return hasSentDrain_ && discovery.held.size() == 1; }));
   }
-  void expectNothingNewAtTheDrainingHost() {
+  void expectNoRequestAtDrainingHost() {
     reached.clear();
     for (int i = 0; i < 20; ++i)
       EXPECT_EQ(ask(text("read")).result_int(), 200u);
@@ -131,29 +136,29 @@
   }
 
  private:
-  bool told_ = false;
+  bool hasSentDrain_ = false;
 };
 
-TEST_F(DiscoveryOutage, ADrainToldWhileDiscoveryWasAwayIsHeardAtItsReturn) {
+TEST_F(DiscoveryOutageTest, DrainDuringOutageIsAppliedAfterRecovery) {
   startAndLoseDiscovery();
   ASSERT_TRUE(until([&] { return discovery.targets.size() >= 4; }));
-  returnWithADrain();
-  expectNothingNewAtTheDrainingHost();
+  recoverWithDrainingHost();
+  expectNoRequestAtDrainingHost();
 }
 
-TEST_F(DiscoveryOutage, IdleClientsThatFillTheTableMeanwhileHoldUpNeitherRequestsNorADrain) {
+TEST_F(DiscoveryOutageTest, IdleClientsAtConnectionLimitDelayNeitherRequestsNorDrain) {
   config["limits"]["sockets"] = 128;
   startAndLoseDiscovery();
-  std::vector<std::shared_ptr<Client>> idle;
+  std::vector<std::shared_ptr<Client>> idleClients;
   for (int i = 0; i < 300; ++i)
-    idle.push_back(client());
+    idleClients.push_back(client());
   for (int i = 0; i < 5; ++i)
     EXPECT_EQ(ask(text("read")).result_int(), 200u);
-  returnWithADrain();
-  expectNothingNewAtTheDrainingHost();
+  recoverWithDrainingHost();
+  expectNoRequestAtDrainingHost();
 }
 
-TEST_F(DiscoveryOutage, AReloadToAnotherDiscoveryFollowedByADrainIsHeard) {
+TEST_F(DiscoveryOutageTest, DrainFromNewDiscoveryServerIsAppliedAfterReload) {
   FakeDiscovery other{io};
   startAndLoseDiscovery();
   other.list = discovery.list;
@@ -162,38 +167,39 @@
   ASSERT_TRUE(until([&] { return other.held.size() == 1; }));
   other.push({{"all", false}, {"targets", {target("s-0", hosts[0]->endpoint, "a", "DRAINING")}}});
   ASSERT_TRUE(until([&] { return other.held.size() == 1; }));
-  expectNothingNewAtTheDrainingHost();
+  expectNoRequestAtDrainingHost();
 }
 
-TEST_F(DiscoveryOutage, AWatchThatFallsSilentLateIsOpenedAnewAndTellsTheDrain) {
+TEST_F(DiscoveryOutageTest, WatchThatBecomesSilentIsRestartedAndDeliversDrain) {
   waits.discovery = {100ms, 100ms};
   twoHosts(always(ok()));
   const auto script = discovery.peer.script;
-  const auto isWatch = [](PeerConnection& c) {
-    return c.request.target().to_string().find("timeout_ms=100") != std::string::npos;
+  const auto isLongPoll = [](PeerConnection& connection) {
+    return connection.request.target().to_string().find("timeout_ms=100") != std::string::npos;
   };
-  std::size_t watches = 0;
-  discovery.peer.script = [&](PeerConnection& c) {
-    if (!isWatch(c))
-      return script(c);
-    if (++watches < 4)  // three that end with nothing new, then silence
-      c.reply(answerText(200, "", json{{"rev", 1}, {"all", false}, {"targets", json::array()}}.dump()));
+  std::size_t longPolls = 0;
+  discovery.peer.script = [&](PeerConnection& connection) {
+    if (!isLongPoll(connection))
+      return script(connection);
+    if (++longPolls < 4)  // Three polls end without a change; the fourth gets no response.
+      connection.reply(
+          answerText(200, "", json{{"rev", 1}, {"all", false}, {"targets", json::array()}}.dump()));
   };
-  ASSERT_TRUE(until([&] { return watches == 4; }));
-  bool toldAfterSilence = false;
-  discovery.peer.script = [&](PeerConnection& c) {
-    if (isWatch(c))
+  ASSERT_TRUE(until([&] { return longPolls == 4; }));
+  bool hasSentDrain = false;
+  discovery.peer.script = [&](PeerConnection& connection) {
+    if (isLongPoll(connection))
       return;
     discovery.version = 2;
-    toldAfterSilence = true;
+    hasSentDrain = true;
     const json drained = target("s-0", hosts[0]->endpoint, "a", "DRAINING");
-    c.reply(answerText(200, "", json{{"rev", 2}, {"all", false}, {"targets", {drained}}}.dump()));
+    connection.reply(answerText(200, "", json{{"rev", 2}, {"all", false}, {"targets", {drained}}}.dump()));
   };
-  ASSERT_TRUE(until([&] { return toldAfterSilence && discovery.targets.size() > 0; }));
+  ASSERT_TRUE(until([&] { return hasSentDrain && discovery.targets.size() > 0; }));
   ASSERT_TRUE(until([&] { return ask(text("read")).result_int() == 200u && reached.back() == "s-1"; }));
   const auto now = Clock::now();
-  ASSERT_TRUE(runPast(now + 20ms));
-  expectNothingNewAtTheDrainingHost();
+  ASSERT_TRUE(runUntil(now + 20ms));
+  expectNoRequestAtDrainingHost();
 }
 
 }  // namespace
--- a/tests/leaving_clients.hpp
+++ b/tests/leaving_clients.hpp
@@ -1,5 +1,5 @@
-// Clients of the gateway's tests that leave in one of the ways that TCP has, and one that needs no event
-// loop.
+// Downstream clients for tests of disconnects: the kinds of disconnect that TCP has, and a client that works
+// without an event loop.
 #pragma once
 
 #include <string>
@@ -8,70 +8,71 @@
 
 namespace hollyrun::gateway::testing {
 
-// A client's socket without a loop: what it writes is at the gateway's machine when the call returns.
-class PlainClient {
+// A client that reads and writes its socket directly. Without an event loop, the bytes that it sends have
+// been passed to the gateway's socket when send() returns.
+class SynchronousClient {
  public:
-  PlainClient(asio::io_context& io, const tcp::endpoint& to) : socket_(io) {
-    socket_.connect(to);
+  SynchronousClient(asio::io_context& io, const tcp::endpoint& server) : socket_(io) {
+    socket_.connect(server);
     socket_.non_blocking(true);
   }
   void send(const std::string& text) {
     error_code ec;
     asio::write(socket_, asio::buffer(text), ec);
-    reset = reset || (ec && ec != asio::error::would_block);
+    wasReset = wasReset || (ec && ec != asio::error::would_block);
   }
-  // Reads what is there; true while the connection is open.
-  bool open() {
+  // Reads all available bytes and returns whether the connection is still open.
+  bool readAvailable() {
     char bytes[16384];
     for (;;) {
       error_code ec;
-      const std::size_t n = socket_.read_some(asio::buffer(bytes), ec);
-      come.append(bytes, n);
+      const std::size_t size = socket_.read_some(asio::buffer(bytes), ec);
+      received.append(bytes, size);
       if (ec == asio::error::would_block)
         return true;
-      reset = reset || ec == asio::error::connection_reset || ec == asio::error::broken_pipe;
+      wasReset = wasReset || ec == asio::error::connection_reset || ec == asio::error::broken_pipe;
       if (ec)
         return false;
     }
   }
-  bool got(const std::string& text) {
-    open();
-    return come.find(text) != std::string::npos;
+  bool hasReceived(const std::string& text) {
+    readAvailable();
+    return received.find(text) != std::string::npos;
   }
   void halfClose() {
     error_code ec;
     socket_.shutdown(tcp::socket::shutdown_send, ec);
   }
 
-  std::string come;
-  bool reset = false;
+  std::string received;
+  bool wasReset = false;
 
  private:
   tcp::socket socket_;
 };
 
-// How a client ends its side; over HTTP/1.1 a cancelled request is the close or reset of its connection.
-enum class Leaving { close, halfClose, reset };
+// How a client disconnects. An HTTP/1.1 client cancels a request by closing or resetting its connection.
+enum class DisconnectKind { close, halfClose, reset };
 
-inline std::string nameOf(Leaving how) {
-  switch (how) {
-    case Leaving::close:
+inline std::string nameOf(DisconnectKind kind) {
+  switch (kind) {
+    case DisconnectKind::close:
       return "ByClose";
-    case Leaving::halfClose:
+    case DisconnectKind::halfClose:
       return "ByHalfClose";
-    case Leaving::reset:
+    case DisconnectKind::reset:
       return "ByReset";
   }
   return "";
 }
 
-inline void leave(Client& client, Leaving how) {
-  switch (how) {
-    case Leaving::close:
+inline void disconnect(Client& client, DisconnectKind kind) {
+  switch (kind) {
+    case DisconnectKind::close:
       return client.close();
-    case Leaving::halfClose:
+    case DisconnectKind::halfClose:
       return client.halfClose();
-    case Leaving::reset:
+    case DisconnectKind::reset:
       return client.reset();
   }
 }
