--- a/src/gateway/hop_by_hop_headers.hpp
+++ b/src/gateway/hop_by_hop_headers.hpp
@@ -1,4 +1,5 @@
-/// Header fields that concern one connection only and are not forwarded (RFC 9110, 7.6.1).
+/// Removal of hop-by-hop header fields, which apply to a single connection and must not be forwarded
+/// (RFC 9110, section 7.6.1).
 #pragma once
 
 #include <boost/beast/http/field.hpp>
@@ -8,14 +9,14 @@
 
 namespace hollyrun::gateway {
 
-/// Removes the hop-by-hop fields, also those that `Connection` names, from a request or response.
+/// Removes the standard hop-by-hop fields and all fields that `Connection` lists from a request or response.
 template <class Message>
 void removeHopByHopHeaders(Message& message) {
   namespace http = boost::beast::http;
-  std::vector<std::string> named;
+  std::vector<std::string> listedNames;
   for (const auto& token : http::token_list(message[http::field::connection]))
-    named.push_back(token.to_string());
-  for (const std::string& name : named)
+    listedNames.push_back(token.to_string());
+  for (const std::string& name : listedNames)
     message.erase(name);
   for (const http::field field :
        {http::field::connection, http::field::keep_alive, http::field::proxy_connection, http::field::te,
--- a/src/gateway/hot_restart.cpp
+++ b/src/gateway/hot_restart.cpp
@@ -16,8 +16,8 @@
 
 constexpr auto kScanInterval = std::chrono::milliseconds(100);
 
-// Non-blocking: of a new file nobody else can hold the lock, and an interrupted call is retried at the next
-// scan.
+// Does not wait for the lock: nobody else is expected to hold the lock of a newly created file, and an
+// interrupted call is retried at the next scan.
 bool tryLock(int file) {
   return ::flock(file, LOCK_EX | LOCK_NB) == 0;
 }
@@ -31,12 +31,12 @@
       onChange_(std::move(onChange)),
       timer_(io) {
   announce();
-  isOtherPresent_ = scanForOthers();
+  isOtherProcessPresent_ = scanForOthers();
   scheduleScan();
 }
 
-// May fail when the disk is full or a call is interrupted; it is retried at each scan, because a process that
-// stays unannounced divides its limits with nobody.
+// Fails if the disk is full or a call is interrupted, for example. The announcement is retried at each scan,
+// because other processes do not divide the limits with a process that they cannot detect.
 void HotRestart::announce() {
   std::string path = directory_ + "/" + filePrefix_ + "XXXXXX";
   const int file = ::mkostemp(path.data(), O_CLOEXEC);
@@ -47,51 +47,52 @@
     ::close(file);
     return;
   }
-  file_ = file;
-  ownPath_ = std::move(path);
+  lockFile_ = file;
+  lockFilePath_ = std::move(path);
 }
 
 HotRestart::~HotRestart() {
   if (!isAnnounced())
     return;
-  ::unlink(ownPath_.c_str());
-  ::close(file_);
+  ::unlink(lockFilePath_.c_str());
+  ::close(lockFile_);
 }
 
-// A file that another process removed before we had locked it is made again.
+// Creates the file again if another process removed it before this one had locked it.
 void HotRestart::restoreAnnouncement() {
   if (!isAnnounced())
     announce();
-  if (isAnnounced() && ::access(ownPath_.c_str(), F_OK) != 0) {
-    const int again = ::open(ownPath_.c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0600);
-    if (again >= 0 && tryLock(again))
-      ::close(std::exchange(file_, again));
-    else if (again >= 0)
-      ::close(again);
+  if (isAnnounced() && ::access(lockFilePath_.c_str(), F_OK) != 0) {
+    const int recreated = ::open(lockFilePath_.c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0600);
+    if (recreated >= 0 && tryLock(recreated))
+      ::close(std::exchange(lockFile_, recreated));
+    else if (recreated >= 0)
+      ::close(recreated);
   }
 }
 
-// A killed process leaves its file but not its lock, so whoever gets the lock removes the file. One that a
-// process has created and not locked yet may be removed too; restoreAnnouncement() of that process repairs
-// it.
+// Returns whether another process holds the lock of its file. A killed process leaves its file behind, but
+// the kernel releases the lock, so a file that can be locked is stale and is removed. This may also remove a
+// file that its process has created but not locked yet; restoreAnnouncement() in that process creates it
+// again.
 bool HotRestart::scanForOthers() {
   restoreAnnouncement();
-  bool other = false;
+  bool isOtherFound = false;
   std::error_code ec;
   for (std::filesystem::directory_iterator it(directory_, ec), end; !ec && it != end; it.increment(ec)) {
     const std::string path = it->path().string(), name = it->path().filename().string();
-    if (name.rfind(filePrefix_, 0) != 0 || name == std::filesystem::path(ownPath_).filename().string())
+    if (name.rfind(filePrefix_, 0) != 0 || name == std::filesystem::path(lockFilePath_).filename().string())
       continue;
     const int file = ::open(path.c_str(), O_RDWR | O_CLOEXEC);
     if (file < 0)
       continue;
     if (tryLock(file))
       ::unlink(path.c_str());
-    else  // an interrupted call leaves the last result in effect
-      other = other || errno == EWOULDBLOCK || isOtherPresent_;
+    else  // after an interrupted call the result of the last scan remains in effect
+      isOtherFound = isOtherFound || errno == EWOULDBLOCK || isOtherProcessPresent_;
     ::close(file);
   }
-  return other;
+  return isOtherFound;
 }
 
 void HotRestart::scheduleScan() {
@@ -99,16 +100,16 @@
   timer_.async_wait([this](boost::system::error_code ec) {
     if (ec)
       return;
-    const bool before = std::exchange(isOtherPresent_, scanForOthers());
-    if (isOtherPresent_ != before)
+    const bool wasOtherPresent = std::exchange(isOtherProcessPresent_, scanForOthers());
+    if (isOtherProcessPresent_ != wasOtherPresent)
       onChange_();
     scheduleScan();
   });
 }
 
-// The sockets of a group are ordered as they joined it, and one that leaves is followed by the
-// last: of two, the later one has index 1. An index that does not exist leaves the choice to the kernel's
-// hash.
+// The kernel indexes the sockets of a group in the order in which they joined, and moves the last socket into
+// the place of one that leaves. Of two sockets, the later one therefore has index 1. If a group has no socket
+// with that index, the kernel selects by its hash.
 void HotRestart::steerToLatestListener(int listener) {
   sock_filter selectSecond[] = {{BPF_RET | BPF_K, 0, 0, 1}};
   const sock_fprog program{1, selectSecond};
--- a/src/gateway/hot_restart.hpp
+++ b/src/gateway/hot_restart.hpp
@@ -1,5 +1,5 @@
-/// Hot restart: detects the other process of an upgrade. Both serve one address for a while and divide its
-/// descriptors and memory between them.
+/// Hot restart: detects the other process of an upgrade. For a while the old and the new process serve the
+/// same address and share its file descriptors and memory.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,20 +10,23 @@
 
 namespace hollyrun::gateway {
 
+/// Tells whether another process serves the same address. Each process announces itself by a locked file in a
+/// common directory and scans the directory periodically for the files of others.
 class HotRestart {
  public:
-  /// Announces this process to the others that serve `address` by a locked file in `directory`. `onChange` is
-  /// called when another process appears or the last one ends. A failed announcement is retried at each scan.
+  /// Announces this process as serving `address` by a locked file in `directory`. `onChange` is called when
+  /// another process appears and when the last other process has exited. A failed announcement is retried at
+  /// each scan.
   HotRestart(boost::asio::io_context& io, const std::string& directory,
              const boost::asio::ip::tcp::endpoint& address, std::function<void()> onChange);
   ~HotRestart();
   HotRestart(const HotRestart&) = delete;
   HotRestart& operator=(const HotRestart&) = delete;
 
-  bool isOtherPresent() const { return isOtherPresent_; }
-  bool isAnnounced() const { return file_ >= 0; }
+  bool isOtherProcessPresent() const { return isOtherProcessPresent_; }
+  bool isAnnounced() const { return lockFile_ >= 0; }
 
-  /// Directs every new connection to the listener that joined the SO_REUSEPORT group of the address last.
+  /// Directs every new connection to the listener that joined the address's SO_REUSEPORT group last.
   static void steerToLatestListener(int listener);
 
  private:
@@ -33,11 +36,11 @@
   void scheduleScan();
 
   std::string directory_, filePrefix_;
-  std::string ownPath_;  // of this process's file, once it is announced
+  std::string lockFilePath_;  // empty until this process is announced
   std::function<void()> onChange_;
   boost::asio::steady_timer timer_;
-  int file_ = -1;
-  bool isOtherPresent_ = false;
+  int lockFile_ = -1;  // descriptor that holds the lock
+  bool isOtherProcessPresent_ = false;
 };
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/http_message.hpp
+++ b/src/gateway/http_message.hpp
@@ -1,4 +1,4 @@
-/// The types of HTTP messages that both sides of the gateway work with.
+/// HTTP message types shared by the downstream and the upstream side of the gateway.
 #pragma once
 
 #include <boost/beast/http/message.hpp>
@@ -10,7 +10,7 @@
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
-/// Largest head of a message in bytes; a longer one is rejected.
+/// Maximum size of a message head in bytes; a message with a larger one is rejected.
 inline constexpr std::uint32_t kHeaderLimit = 16 << 10;
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/incremental_body.hpp
+++ b/src/gateway/incremental_body.hpp
@@ -8,11 +8,12 @@
 
 namespace hollyrun::gateway {
 
-/// The parser appends, and its owner moves the string out in between. Beast's own string_body would reserve
-/// all the bytes that a peer announces, so that a peer could exhaust the memory by its head alone.
+/// The parser appends to the string, and the parser's owner moves the string out between reads. Beast's own
+/// string_body reserves as many bytes as Content-Length announces, so that a peer could exhaust the memory by
+/// sending only a head.
 struct IncrementalBody {
   using value_type = std::string;
-  class reader {  // NOLINT(readability-identifier-naming): the name that Beast looks for
+  class reader {  // NOLINT(readability-identifier-naming): Beast requires this name
    public:
     template <bool request, class Fields>
     reader(boost::beast::http::header<request, Fields>&, value_type& body) : body_(body) {}
--- a/src/gateway/log.cpp
+++ b/src/gateway/log.cpp
@@ -17,7 +17,7 @@
 
 constexpr auto kRateWindow = std::chrono::seconds(1);
 
-// %v is the line as writeLine makes it: of JSON the fields without the braces.
+// %v is the line that writeLine() builds; for JSON, the object's members without the braces.
 constexpr const char* kJsonPattern = R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})";
 constexpr const char* kTextPattern = "%Y-%m-%dT%H:%M:%S.%eZ %l %v";
 
@@ -41,18 +41,18 @@
   return nlohmann::json(text).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-// A value of a text line: as it is, or quoted where it would not read as one token.
+// Returns the value for a text line, quoted if it would not read as one token.
 std::string quotedIfNeeded(std::string_view text) {
   const bool isToken = !text.empty() && text.find_first_of(" \"=\n\r\t") == std::string_view::npos;
   return isToken ? std::string(text) : jsonText(text);
 }
 
-// Messages may quote input from outside: without its control characters a line stays one line.
+// Messages may quote external input; replacing its control characters keeps each message on one line.
 std::string withoutControlCharacters(std::string_view text) {
-  std::string out(text);
+  std::string result(text);
   std::replace_if(
-      out.begin(), out.end(), [](unsigned char c) { return c < 0x20; }, ' ');
-  return out;
+      result.begin(), result.end(), [](unsigned char c) { return c < 0x20; }, ' ');
+  return result;
 }
 
 std::string millisecondsText(double milliseconds) {
@@ -72,8 +72,8 @@
   std::uint64_t dropped() const { return dropped_; }
 
  protected:
-  // A write into a pipe that nobody reads would block the event loop, and every request with it. A pipe that
-  // polls as writable accepts PIPE_BUF bytes whole and at once; a longer line is cut.
+  // Writing to a full pipe would block the event loop and thereby all requests. A pipe that polls as writable
+  // accepts up to PIPE_BUF bytes at once and as a whole, so longer lines are truncated.
   void sink_it_(const spdlog::details::log_msg& message) override {
     spdlog::memory_buf_t line;
     formatter_->format(message, line);
--- a/src/gateway/log.hpp
+++ b/src/gateway/log.hpp
@@ -1,5 +1,5 @@
-/// The gateway's log on standard error: lines as text or JSON with fields, rate limits by message kind, and
-/// no blocking. What a full pipe does not accept is dropped and counted.
+/// The gateway's log on standard error: text or JSON lines with fields, rate-limited by message kind. Writing
+/// never blocks: lines that a full pipe does not accept are dropped and counted.
 #pragma once
 
 #include <chrono>
@@ -17,7 +17,7 @@
 
 namespace hollyrun::gateway {
 
-/// In order of severity. As a setting the least severe level that is written; `off` writes nothing.
+/// In order of severity. As a setting, the lowest severity that is written; `off` disables the log.
 enum class LogLevel { debug, info, warning, error, off };
 
 enum class LogFormat { text, json };
@@ -25,18 +25,18 @@
 struct LogSettings {
   LogLevel level = LogLevel::info;
   LogFormat format = LogFormat::text;
-  bool accessLog = false;           ///< a line for each response
-  unsigned maxLinesPerSecond = 20;  ///< of one message kind; access and trace lines are exempt; 0: no limit
+  bool accessLog = false;           ///< write a line for each response
+  unsigned maxLinesPerSecond = 20;  ///< per message kind; access and trace lines are exempt; 0: no limit
 };
 
-/// Not thread-safe: one thread writes.
+/// Not thread-safe: all calls must come from one thread.
 class Log {
  public:
   using Clock = std::chrono::steady_clock;
   using Fields = std::initializer_list<std::pair<std::string_view, std::string>>;
 
-  /// `name` of the gateway stands in every line. Lines go to `descriptor`, which stays open and keeps its
-  /// flags.
+  /// Every line contains `name`, the gateway's name. Lines are written to `descriptor`, which the log neither
+  /// closes nor sets flags on.
   Log(std::string name, const LogSettings& settings, int descriptor = 2);
   ~Log();
   Log(const Log&) = delete;
@@ -44,24 +44,24 @@
 
   void applySettings(const LogSettings& settings);
 
-  /// `kind` is one word that all messages of the same kind share; the rate limit goes by it. The first line
-  /// after suppressed ones has their number (`left_out`), and the first that passes after lines were dropped
-  /// at a full pipe has theirs (`dropped`).
+  /// `kind` is one word that classifies the message; each kind has a rate limit of its own. The next line of
+  /// a kind after suppressed ones reports their number in the field `left_out`, and the first line written
+  /// after a full pipe reports the number of dropped lines in the field `dropped`.
   void write(LogLevel level, std::string_view kind, std::string_view text, Fields fields = {});
 
-  /// Whether writeAccess writes anything.
+  /// Whether writeAccess() writes lines.
   bool accessLogEnabled() const { return settings_.accessLog && settings_.level != LogLevel::off; }
-  /// A line for one response. `outcome` is the field `end`; `milliseconds` since the request's arrival, below
-  /// 0: unknown.
+  /// Writes the line for one response. `outcome` becomes the field `end`; `milliseconds` is the time since
+  /// the request's arrival, negative if it is unknown.
   void writeAccess(std::string_view requestId, std::string_view className, std::string_view outcome,
                    double milliseconds);
 
-  /// Whether trace writes anything. Callers check it first, so that the fields cost nothing otherwise.
+  /// Whether trace() writes lines. Callers check this first, to avoid building fields that are not written.
   bool tracing() const { return settings_.level == LogLevel::debug; }
-  /// A step of one request, without a rate limit.
+  /// Writes a line for one step of a request, without a rate limit.
   void trace(std::string_view step, Fields fields);
 
-  /// Lines since the start that a full or closed pipe did not accept.
+  /// Number of lines that a full or closed pipe did not accept since the start.
   std::uint64_t dropped() const;
 
  private:
@@ -69,7 +69,7 @@
   struct RateWindow {
     Clock::time_point start{};
     unsigned written = 0;
-    unsigned suppressed = 0;  // since the last line that was written
+    unsigned suppressed = 0;  // lines since the last written one
   };
 
   RateWindow& rateWindowOf(std::string_view kind);
--- a/src/gateway/management.cpp
+++ b/src/gateway/management.cpp
@@ -19,9 +19,9 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr std::uint32_t kMaxHeaderBytes = 8 << 10;
-constexpr std::uint64_t kMaxBodyBytes = 4 << 10;  // no request needs one
+constexpr std::uint64_t kMaxBodyBytes = 4 << 10;  // no request needs a body
 constexpr auto kSweepInterval = std::chrono::milliseconds(100);
-constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);  // while no descriptor is free
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);
 
 using Response = http::response<http::string_body>;
 
@@ -46,7 +46,7 @@
     http::async_read(socket_, buffer_, parser_, [self = shared_from_this()](error_code ec, std::size_t) {
       if (!self->owner_)
         return;
-      // A client that left gets no response.
+      // The client has disconnected and gets no response.
       if (ec == http::error::end_of_stream || (ec && ec.category() == asio::error::get_system_category()))
         return self->close();
       self->respond(ec ? textResponse(http::status::bad_request, "no proper HTTP/1.1 call\n")
@@ -71,12 +71,12 @@
     if (request.version() != 11 || request.count(http::field::host) != 1)
       return textResponse(http::status::bad_request, "no proper HTTP/1.1 call\n");
     const auto target = request.target().substr(0, request.target().find('?'));
-    const bool readiness = target == "/ops/readiness";
-    const bool metrics = target == "/metrics";
+    const bool isReadiness = target == "/ops/readiness";
+    const bool isMetrics = target == "/metrics";
     std::string fleet;
     if (target == "/ops/fleet" && owner_->callbacks_.renderFleet)
       fleet = owner_->callbacks_.renderFleet();
-    if (!readiness && !metrics && fleet.empty() && target != "/ops/stats")
+    if (!isReadiness && !isMetrics && fleet.empty() && target != "/ops/stats")
       return textResponse(http::status::not_found, "no such call\n");
     if (request.method() != http::verb::get) {
       Response response = textResponse(http::status::method_not_allowed, "only GET\n");
@@ -88,12 +88,12 @@
       response.set(http::field::content_type, "application/json");
       return response;
     }
-    if (metrics) {
+    if (isMetrics) {
       Response response = textResponse(http::status::ok, owner_->callbacks_.renderMetrics());
       response.set(http::field::content_type, "text/plain; version=0.0.4; charset=utf-8");
       return response;
     }
-    if (!readiness)
+    if (!isReadiness)
       return textResponse(http::status::ok, owner_->callbacks_.renderStatistics());
     return owner_->callbacks_.isReady() ? textResponse(http::status::ok, "ready\n")
                                         : textResponse(http::status::service_unavailable, "not ready\n");
@@ -109,7 +109,8 @@
         return;
       if (ec)
         return self->close();
-      // A connection closed with unread bytes is reset, and the reset may overtake the response.
+      // Closing a socket with unread bytes resets the connection, and the reset may overtake the response.
+      // The rest of the input is therefore read and discarded until the client closes.
       error_code ignored;
       self->socket_.shutdown(tcp::socket::shutdown_send, ignored);
       self->discard();
@@ -129,7 +130,7 @@
                             });
   }
 
-  Management* owner_;  // null once closed
+  Management* owner_;  // null after close()
   tcp::socket socket_;
   boost::beast::flat_buffer buffer_{kMaxHeaderBytes + kMaxBodyBytes};
   http::request_parser<http::string_body> parser_;
@@ -147,7 +148,7 @@
       sweepTimer_(io),
       acceptRetryTimer_(io) {
   acceptor_.non_blocking(true);
-  // Without it Asio treats an aborted connection as a reason to block in accept() until the next one.
+  // Without this option Asio skips an aborted connection and blocks in accept() until the next one arrives.
   acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
   accept();
   closeOverdue();
@@ -174,7 +175,7 @@
     if (wouldBlock(ec))
       return accept();
     if (ec && !isLocalShortage(ec))
-      return accept();  // the error concerns the first pending connection, which is closed
+      return accept();  // the error concerns only the pending connection, which the kernel has dropped
     if (ec)
       return retryAcceptLater();
     if (connections_.size() >= kMaxConnections) {
@@ -186,7 +187,8 @@
   }
 }
 
-// With no descriptor free the listener stays readable, so accepting again at once would spin.
+// While no file descriptor is free the listener stays readable, so accepting again at once would be a busy
+// loop.
 void Management::retryAcceptLater() {
   if (!connections_.empty())
     closeOldest();
@@ -198,7 +200,7 @@
 }
 
 void Management::closeOldest() {
-  const auto oldest = connections_.front();  // close() removes it from the list
+  const auto oldest = connections_.front();  // a copy, since close() removes it from the list
   oldest->close();
 }
 
--- a/src/gateway/management.hpp
+++ b/src/gateway/management.hpp
@@ -1,5 +1,5 @@
-/// The management endpoint for operators: a second listener that serves one request per connection. It only
-/// reads figures.
+/// The management endpoint for operators: a second, read-only HTTP listener that serves one request per
+/// connection.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,14 +16,15 @@
 
 class Management {
  public:
-  static constexpr std::size_t kMaxConnections = 8;  ///< beyond it the oldest is closed
+  static constexpr std::size_t kMaxConnections = 8;  ///< a further connection closes the oldest one
   struct Callbacks {
     std::function<bool()> isReady;
     std::function<std::string()> renderStatistics, renderMetrics;
-    std::function<std::string()> renderFleet = {};  ///< empty text while membership is off
+    std::function<std::string()> renderFleet = {};  ///< returns an empty string while membership is off
   };
 
-  /// Starts listening. Throws boost::system::system_error. `connectionLifetime` bounds each connection.
+  /// Starts listening. Throws boost::system::system_error if that fails. A connection older than
+  /// `connectionLifetime` is closed.
   Management(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen, Callbacks callbacks,
              std::chrono::milliseconds connectionLifetime = std::chrono::milliseconds(2500));
   ~Management();
@@ -46,7 +47,7 @@
   Callbacks callbacks_;
   std::chrono::milliseconds connectionLifetime_;
   boost::asio::steady_timer sweepTimer_, acceptRetryTimer_;
-  std::list<std::shared_ptr<Connection>> connections_;  // the oldest first
+  std::list<std::shared_ptr<Connection>> connections_;  // oldest first
 };
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/membership_report.cpp
+++ b/src/gateway/membership_report.cpp
@@ -30,10 +30,10 @@
   return document.dump(2, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
-json recordJson(const MemberRecord& record, membership::Duration inState) {
+json recordJson(const MemberRecord& record, membership::Duration timeInState) {
   return {{"name", record.name},
           {"state", nameOf(record.state)},
-          {"since_s", secondsOf(inState)},
+          {"since_s", secondsOf(timeInState)},
           {"incarnation", record.incarnation},
           {"address", textOf(record.address)},
           {"zone", record.zone},
@@ -67,7 +67,7 @@
   return members;
 }
 
-std::size_t countOtherSettings(const Membership& membership) {
+std::size_t countDifferentSettings(const Membership& membership) {
   std::size_t count = 0;
   for (const auto& [name, member] : membership.others())
     count +=
@@ -98,7 +98,7 @@
   return document;
 }
 
-// Collects metric families whose names share a prefix.
+// Collects metric families, whose names all begin with hollyrun_fleet_.
 class MetricWriter {
  public:
   void beginFamily(const std::string& name, const char* help, prometheus::MetricType type) {
@@ -152,7 +152,7 @@
 
 }  // namespace
 
-std::string membershipText(const MembershipStatus& status) {
+std::string renderMembershipJson(const MembershipStatus& status) {
   json document{{"fleet", status.fleet}, {"name", status.name}, {"state", "waiting"}};
   if (!status.membership)
     return formatted(document);
@@ -164,13 +164,13 @@
   document["health"] = membership.healthScore();
   document["zones"] = membership.presentByZone();
   document["members"] = membersJson(status);
-  document["other_settings"] = countOtherSettings(membership);
+  document["other_settings"] = countDifferentSettings(membership);
   document["disagree"] = membership.disagreeing();
   document["counters"] = countersJson(status);
   return formatted(document);
 }
 
-std::vector<prometheus::MetricFamily> membershipMetrics(const MembershipStatus& status) {
+std::vector<prometheus::MetricFamily> collectMembershipMetrics(const MembershipStatus& status) {
   if (!status.membership)
     return {};
   const Membership& membership = *status.membership;
--- a/src/gateway/membership_report.hpp
+++ b/src/gateway/membership_report.hpp
@@ -1,4 +1,4 @@
-/// What operators see of the fleet: the text of GET /ops/fleet and the metrics hollyrun_fleet_*.
+/// Reports of the fleet for operators: the JSON body of GET /ops/fleet and the metrics hollyrun_fleet_*.
 #pragma once
 
 #include <prometheus/metric_family.h>
@@ -11,18 +11,18 @@
 
 namespace hollyrun::gateway {
 
-/// A membership instance and what its transport adds.
+/// A membership instance with its transport's data.
 struct MembershipStatus {
   const membership::Membership* membership = nullptr;  ///< null while the address cannot be bound
   std::string fleet, name;
-  membership::Time now{}, startedAt{};  ///< of the clock that membership runs by
-  std::uint64_t flooded = 0;            ///< datagrams dropped above the rate that is read
-  std::uint64_t unsent = 0;             ///< datagrams that the system did not accept
+  membership::Time now{}, startedAt{};  ///< on the clock of `membership`
+  std::uint64_t flooded = 0;            ///< datagrams dropped above the limit per second
+  std::uint64_t unsent = 0;             ///< datagrams that the operating system refused to send
 };
 
-/// JSON, indented, with a newline at the end.
-std::string membershipText(const MembershipStatus& status);
-/// Empty while the address cannot be bound.
-std::vector<prometheus::MetricFamily> membershipMetrics(const MembershipStatus& status);
+/// Returns indented JSON with a trailing newline.
+std::string renderMembershipJson(const MembershipStatus& status);
+/// Returns an empty list while the address cannot be bound.
+std::vector<prometheus::MetricFamily> collectMembershipMetrics(const MembershipStatus& status);
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/membership_transport.cpp
+++ b/src/gateway/membership_transport.cpp
@@ -28,14 +28,14 @@
 using nlohmann::json;
 using Clock = std::chrono::steady_clock;
 
-// Far below a probe interval, so that the place is taken over soon.
+// Far below a probe interval, so that a new process takes over the address soon after its release.
 constexpr auto kBindRetryInterval = std::chrono::milliseconds(50);
-// Datagrams read in one pass, before the event loop runs its other work.
+// Datagrams read in one pass before the event loop runs other work.
 constexpr int kDatagramsPerPass = 64;
-// Datagrams processed in a second; a fleet of a thousand sends a member some ten. A flood costs no more than
-// its reading.
+// Datagrams processed per second. In a fleet of a thousand, a member receives about ten. Datagrams above the
+// limit are read and dropped, so that a flood costs no more than reading it.
 constexpr unsigned kMaxDatagramsPerSecond = 4000;
-// Above membership::kMaxDatagramBytes, so that a datagram that is too long is recognized.
+// Above membership::kMaxDatagramBytes, so that oversized datagrams are detected.
 constexpr std::size_t kBufferBytes = 2048;
 
 Address addressOf(const udp::endpoint& endpoint) {
@@ -80,8 +80,8 @@
 
 std::uint64_t digestOf(const Config& config) {
   json settings = config.source->value("settings", json::object());
-  for (const char* ownKey : {"myNumber", "zone"})
-    settings.erase(ownKey);
+  for (const char* perGatewayKey : {"myNumber", "zone"})
+    settings.erase(perGatewayKey);
   const std::string text = settings.dump();
   return XXH3_64bits(text.data(), text.size());
 }
@@ -101,7 +101,7 @@
   void startListening();
   void reload(const Config& config);
   bool serves(const Config& config) const;
-  void leave(bool successor);
+  void leave(bool hasSuccessor);
 
   std::uint32_t quotaHolders() const {
     return membership_ ? static_cast<std::uint32_t>(membership_->quotaHolders()) : 1;
@@ -136,19 +136,19 @@
   udp::socket socket_;
   asio::steady_timer timer_;
   MembershipConfig config_;
-  MemberRecord self_;  // without the address, which is known once the socket is bound
+  MemberRecord self_;  // without the address, which is known only after the socket is bound
   std::uint64_t seed_ = 0;
   membership::Time startedAt_;
-  std::optional<Membership> membership_;  // once the socket is bound
+  std::optional<Membership> membership_;  // empty until the socket is bound
   std::array<char, kBufferBytes> buffer_{};
   std::int64_t currentSecond_ = 0;
   unsigned datagramsThisSecond_ = 0;
   std::uint64_t flooded_ = 0, unsent_ = 0;
   std::uint32_t lastQuotaHolders_ = 1;
-  bool isRetrying_ = false, closed_ = false;
+  bool isRetrying_ = false, isClosed_ = false;
 };
 
-// --- Configuration and the socket's life ---------------------------------------------------------------
+// --- Configuration and socket lifecycle ----------------------------------------------------------------
 
 void MembershipTransport::Impl::applyConfig(const Config& config) {
   config_ = *config.membership;
@@ -183,7 +183,7 @@
   MemberRecord self = self_;
   self.address = addressOf(config_.advertise ? *config_.advertise : socket_.local_endpoint());
   membership_.emplace(settingsOf(config_), self, std::random_device{}() ^ seed_, now());
-  log_.write(LogLevel::info, "fleet", "membership begins",
+  log_.write(LogLevel::info, "fleet", "membership started",
              {{"address", textOf(self.address)}, {"fleet", config_.fleet}});
   waitForDatagrams();
   applyOutput();
@@ -204,20 +204,21 @@
   socket_.close(ignored);
   if (!isRetrying_)
     log_.write(LogLevel::warning, "fleet",
-               "the membership address is not to be had and is tried again: " + reason.message());
+               "cannot bind membership address " + textOf(addressOf(config_.listen)) +
+                   ", retrying: " + reason.message());
   isRetrying_ = true;
   timer_.expires_after(kBindRetryInterval);
   timer_.async_wait([self = shared_from_this()](error_code failure) {
-    if (!failure && !self->closed_)
+    if (!failure && !self->isClosed_)
       self->startListening();
   });
 }
 
-void MembershipTransport::Impl::leave(bool successor) {
-  if (closed_)
+void MembershipTransport::Impl::leave(bool hasSuccessor) {
+  if (isClosed_)
     return;
-  closed_ = true;
-  if (membership_ && !successor) {
+  isClosed_ = true;
+  if (membership_ && !hasSuccessor) {
     membership_->leave(now());
     sendDatagrams();
   }
@@ -230,7 +231,7 @@
 
 void MembershipTransport::Impl::waitForDatagrams() {
   socket_.async_wait(udp::socket::wait_read, [self = shared_from_this()](error_code failure) {
-    if (failure || self->closed_)
+    if (failure || self->isClosed_)
       return;
     self->receiveDatagrams();
     self->waitForDatagrams();
@@ -245,7 +246,8 @@
     const std::size_t size = socket_.receive_from(asio::buffer(buffer_), from, 0, failure);
     if (failure == asio::error::would_block || failure == asio::error::try_again)
       break;
-    // A peer whose port is closed is reported as an error here; the next datagram may well be there.
+    // An error may report that a peer's port was closed when an earlier datagram reached it. Further
+    // datagrams may be waiting.
     if (failure)
       continue;
     if (++datagramsThisSecond_ > kMaxDatagramsPerSecond)
@@ -256,7 +258,7 @@
   applyOutput();
 }
 
-// Begins a new count of datagrams with each second.
+// Resets the count of datagrams at the start of each second.
 void MembershipTransport::Impl::updateCurrentSecond() {
   const std::int64_t second = std::chrono::duration_cast<std::chrono::seconds>(now()).count();
   if (second == currentSecond_)
@@ -273,7 +275,7 @@
   }
 }
 
-// --- Output of membership ------------------------------------------------------------------------------
+// --- Membership output ---------------------------------------------------------------------------------
 
 void MembershipTransport::Impl::applyOutput() {
   sendDatagrams();
@@ -290,7 +292,7 @@
 void MembershipTransport::Impl::scheduleWake() {
   timer_.expires_at(Clock::time_point(membership_->wakeAt()));
   timer_.async_wait([self = shared_from_this()](error_code failure) {
-    if (failure || self->closed_)
+    if (failure || self->isClosed_)
       return;
     self->membership_->onWake(now());
     self->applyOutput();
@@ -301,11 +303,13 @@
   const MemberRecord& member = event.member;
   const LogLevel level = levelOf(event.type);
   if (event.type == EventType::stalled)
-    return log_.write(level, "fleet", "held up; what others did meanwhile is open");
+    return log_.write(level, "fleet",
+                      "this process was stalled: pending probes are dropped and suspicions extended");
   if (event.type == EventType::nameConflict)
     log_.write(level, "fleet",
-               membership_->conceded() ? "another process has our name; this one is no member"
-                                       : "another process has our name; it has to give way");
+               "another process uses the member name " + self_.name +
+                   (membership_->conceded() ? "; this process concedes it and is not a member"
+                                            : "; the other process has to concede it"));
   log_.write(level, "fleet", std::string("member ") + nameOf(event.type),
              {{"member", member.name},
               {"zone", member.zone},
@@ -314,7 +318,7 @@
               {"present", std::to_string(membership_->presentCount())}});
 }
 
-// --- Interface -----------------------------------------------------------------------------------------
+// --- Public interface ----------------------------------------------------------------------------------
 
 MembershipTransport::MembershipTransport(asio::io_context& io, const Config& config, Log& log,
                                          std::function<void()> onQuotaHoldersChanged)
@@ -330,8 +334,8 @@
 void MembershipTransport::reload(const Config& config) {
   impl_->reload(config);
 }
-void MembershipTransport::leave(bool successor) {
-  impl_->leave(successor);
+void MembershipTransport::leave(bool hasSuccessor) {
+  impl_->leave(hasSuccessor);
 }
 std::uint32_t MembershipTransport::quotaHolders() const {
   return impl_->quotaHolders();
@@ -340,10 +344,10 @@
   return impl_->listening();
 }
 std::string MembershipTransport::text() const {
-  return membershipText(impl_->status());
+  return renderMembershipJson(impl_->status());
 }
 std::vector<prometheus::MetricFamily> MembershipTransport::metrics() const {
-  return membershipMetrics(impl_->status());
+  return collectMembershipMetrics(impl_->status());
 }
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/membership_transport.hpp
+++ b/src/gateway/membership_transport.hpp
@@ -1,5 +1,5 @@
-/// The gateway's membership of its fleet (src/membership) on a UDP socket and a timer. It exists only where
-/// the configuration names an address for it.
+/// Runs fleet membership (src/membership) over a UDP socket and a timer. It is created only if the
+/// configuration sets a membership address.
 #pragma once
 
 #include <prometheus/metric_family.h>
@@ -18,27 +18,29 @@
 
 class MembershipTransport {
  public:
-  /// Binds its address, or retries while another process holds it: the older one of a hot restart, whose
-  /// place it then takes over. `onQuotaHoldersChanged` is called after each change of quotaHolders(). The log
-  /// has to outlive this object.
+  /// Binds the membership address. While that fails it is retried: during a hot restart the older process
+  /// still has the address, and this one takes over its membership when the address is released.
+  /// `onQuotaHoldersChanged` is called after each change of quotaHolders(). The log must outlive this object.
   MembershipTransport(boost::asio::io_context& io, const Config& config, Log& log,
                       std::function<void()> onQuotaHoldersChanged);
   ~MembershipTransport();
   MembershipTransport(const MembershipTransport&) = delete;
   MembershipTransport& operator=(const MembershipTransport&) = delete;
 
-  /// Whether these settings are for the same member of the same fleet; else it has to be created anew.
+  /// Whether the configuration is for the same member of the same fleet, so that reload() can apply it.
+  /// Otherwise a new transport has to be created.
   bool serves(const Config& config) const;
   void reload(const Config& config);
-  /// Announces the departure and closes; with a successor, a process that takes the place at once, it only
-  /// closes.
-  void leave(bool successor);
+  /// Announces the departure and closes the socket. With a successor, a process that takes over this
+  /// membership at once, it only closes the socket.
+  void leave(bool hasSuccessor);
 
-  /// What the limits of the whole fleet are divided by: all that may hold a part of them, ourselves included.
+  /// Number by which fleet-wide limits are divided: all members that may use a part of them, this one
+  /// included.
   std::uint32_t quotaHolders() const;
-  /// Where it is reached; port 0 while it has no address.
+  /// The address that other members send to; port 0 until the socket is bound.
   udp::endpoint listening() const;
-  /// The body of GET /ops/fleet.
+  /// The JSON body of GET /ops/fleet.
   std::string text() const;
   std::vector<prometheus::MetricFamily> metrics() const;
 
@@ -47,8 +49,8 @@
   std::shared_ptr<Impl> impl_;
 };
 
-/// Digest of the settings that a gateway serves by: equal files give equal digests at all gateways of a
-/// fleet.
+/// Digest of the settings that the gateways of a fleet share, that is, without a gateway's own number and
+/// zone. Equal configuration files have equal digests at all gateways.
 std::uint64_t digestOf(const Config& config);
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/memory_budget.hpp
+++ b/src/gateway/memory_budget.hpp
@@ -1,4 +1,4 @@
-/// The memory that message bodies may occupy, accounted over the whole process.
+/// Process-wide accounting of the memory that message bodies occupy.
 #pragma once
 
 #include <cstddef>
@@ -7,32 +7,32 @@
 
 namespace hollyrun::gateway {
 
-/// Counts the bytes that all bodies hold together. It refuses nothing by itself: hasCapacity() is asked
-/// first.
+/// Counts the bytes occupied by all bodies together. acquire() does not enforce the limit: callers check
+/// hasCapacity() first.
 class MemoryBudget {
  public:
   explicit MemoryBudget(std::size_t limit) : limit_(limit) {}
 
-  void limit(std::size_t bytes) { limit_ = bytes; }
+  void setLimit(std::size_t bytes) { limit_ = bytes; }
   void acquire(std::size_t bytes) { used_ += bytes; }
   void release(std::size_t bytes) { used_ -= bytes; }
   bool hasCapacity(std::size_t bytes) const { return used_ + bytes <= limit_; }
 
-  /// Bytes that one stream may buffer: fewer when all together hold much, but never none, or no stream would
-  /// make progress.
+  /// Maximum number of bytes that one stream may buffer. It is lower while at least half of the budget is in
+  /// use, but never 0, so that every stream can make progress.
   std::size_t streamBufferLimit() const {
-    return used_ < limit_ / 2 ? kStreamBuffer : kStreamBufferUnderPressure;
+    return used_ < limit_ / 2 ? kStreamBufferBytes : kStreamBufferBytesUnderPressure;
   }
 
  private:
-  static constexpr std::size_t kStreamBuffer = 32 << 10;
-  static constexpr std::size_t kStreamBufferUnderPressure = 4 << 10;
+  static constexpr std::size_t kStreamBufferBytes = 32 << 10;
+  static constexpr std::size_t kStreamBufferBytesUnderPressure = 4 << 10;
 
   std::size_t limit_;
   std::size_t used_ = 0;
 };
 
-/// Bytes acquired from the budget, released by the destructor.
+/// Bytes acquired from the budget; the destructor releases them.
 class MemoryReservation {
  public:
   MemoryReservation() = default;
--- a/src/gateway/message_text.hpp
+++ b/src/gateway/message_text.hpp
@@ -1,4 +1,4 @@
-/// Serializes a complete HTTP message.
+/// Serialization of complete HTTP messages.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -10,7 +10,8 @@
 
 namespace hollyrun::gateway {
 
-/// Head and body as sent. The message has to be prepared: its length or its transfer coding is set.
+/// Returns head and body as sent on the wire. The message must already state its length or its transfer
+/// coding, as prepare_payload() sets them.
 template <bool isRequest, class Body>
 std::string serialized(const boost::beast::http::message<isRequest, Body>& message) {
   boost::beast::http::serializer<isRequest, Body> serializer(message);
--- a/src/gateway/number_text.hpp
+++ b/src/gateway/number_text.hpp
@@ -1,4 +1,4 @@
-/// Numbers as configuration files and messages show them.
+/// Formatting of numbers for configuration files and messages.
 #pragma once
 
 #include <sstream>
@@ -6,13 +6,13 @@
 
 namespace hollyrun::gateway {
 
-/// The shortest form with up to 15 significant digits: "5", "0.25", "1e+12".
+/// Returns the shortest form with up to 15 significant digits, such as "5", "0.25" or "1e+15".
 inline std::string numberText(double value) {
   constexpr int kSignificantDigits = 15;
-  std::ostringstream out;
-  out.precision(kSignificantDigits);
-  out << value;
-  return out.str();
+  std::ostringstream stream;
+  stream.precision(kSignificantDigits);
+  stream << value;
+  return stream.str();
 }
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/ops_client.cpp
+++ b/src/gateway/ops_client.cpp
@@ -28,7 +28,7 @@
     "seen by          member           state     since s  inc.  zone           version  settings         "
     "view\n";
 
-/// One GET, from connecting to the response.
+/// One GET request on a connection of its own.
 class Query {
  public:
   Query(asio::io_context& io, const std::string& target) : stream_(io) {
@@ -68,7 +68,7 @@
   error_code result_ = asio::error::timed_out;
 };
 
-// `key` of an object as a text, "-" where it is absent.
+// Returns the string at `key`, or "-" if it is absent.
 std::string textField(const json& object, const char* key) {
   return object.value(key, std::string("-"));
 }
@@ -89,24 +89,24 @@
   return row + "\n";
 }
 
-/// Compares the views that gateways have of the fleet.
+/// Compares the gateways' views of the fleet.
 class FleetComparison {
  public:
-  /// `view` is the body of /ops/fleet of one gateway.
+  /// Adds the view of one gateway, the body of its /ops/fleet.
   void add(const json& view);
 
   FleetReport report() const;
 
  private:
   void addMember(const std::string& observer, const json& member);
-  void noteDisagreements(const std::string& observer, const json& view);
+  void addReportedDisagreements(const std::string& observer, const json& view);
   std::string membershipDifferences() const;
 
   std::string rows_;
-  std::string differences_;  // that the gateways report themselves
+  std::string differences_;  // as reported by the gateways
   std::set<std::string> viewDigests_;
-  std::set<std::string> settingDigests_;                         // of members that are present
-  std::map<std::string, std::set<std::string>> presentMembers_;  // by the gateway that sees them
+  std::set<std::string> settingDigests_;                         // of present members
+  std::map<std::string, std::set<std::string>> presentMembers_;  // by the observing gateway
 };
 
 void FleetComparison::add(const json& view) {
@@ -114,9 +114,9 @@
   viewDigests_.insert(textField(view, "view"));
   for (const json& member : view.value("members", json::array()))
     addMember(observer, member);
-  noteDisagreements(observer, view);
+  addReportedDisagreements(observer, view);
   if (view.value("state", std::string()) != "alive")
-    differences_ += observer + ": is itself " + view.value("state", std::string("unknown")) + "\n";
+    differences_ += observer + ": its own state is " + view.value("state", std::string("unknown")) + "\n";
 }
 
 void FleetComparison::addMember(const std::string& observer, const json& member) {
@@ -128,12 +128,12 @@
   presentMembers_[observer].insert(member.value("name", std::string()));
 }
 
-void FleetComparison::noteDisagreements(const std::string& observer, const json& view) {
+void FleetComparison::addReportedDisagreements(const std::string& observer, const json& view) {
   for (const json& other : view.value("disagree", json::array())) {
-    differences_ += observer + ": " + other.get<std::string>() + " sees another fleet";
+    differences_ += observer + ": the view of " + other.get<std::string>() + " differs";
     for (const json& member : view.value("members", json::array()))
       if (member.value("name", std::string()) == other && member.contains("differs_about"))
-        differences_ += ", it may be about " + member.at("differs_about").dump();
+        differences_ += ", possibly about " + member.at("differs_about").dump();
     differences_ += "\n";
   }
 }
@@ -158,7 +158,7 @@
   if (viewDigests_.size() > 1)
     differences += "the views differ\n";
   if (settingDigests_.size() > 1)
-    differences += "the members serve by different settings\n";
+    differences += "the members run with different settings\n";
   const bool consistent = differences.empty();
   return {kTableHeader + rows_ + (consistent ? "all agree\n" : differences), consistent};
 }
@@ -177,8 +177,9 @@
   const auto& response = query.response();
   if (response.result() == http::status::ok)
     return response.body();
-  const char* explanation = response.result() == http::status::not_found ? ", membership is off there" : "";
-  throw OpsError(OpsErrorCode::unexpectedStatus, addressText + ": " + target + " answered " +
+  const char* explanation =
+      response.result() == http::status::not_found ? ", membership is off at this gateway" : "";
+  throw OpsError(OpsErrorCode::unexpectedStatus, addressText + ": GET " + target + " returned " +
                                                      std::to_string(response.result_int()) + explanation);
 }
 
--- a/src/gateway/process_lifecycle.cpp
+++ b/src/gateway/process_lifecycle.cpp
@@ -8,12 +8,12 @@
 
 using boost::system::error_code;
 
-// Descriptors for the listener, discovery, event loop, standard streams, what the libraries open, and the few
-// connections that linger beyond their limit.
+// Descriptors for the listener, discovery, the event loop, standard streams, files that libraries open, and
+// the few connections that exceed their limit while they close.
 constexpr std::size_t kReservedDescriptors = 32;
-// Beside another process, discovery's first answer is awaited at most this long.
+// Longest wait for discovery's first answer before listening while another process serves the address.
 constexpr auto kMaxListenDelay = std::chrono::milliseconds(2000);
-// The other process needs this long to detect this one and to reduce its own limits.
+// Time that the other process needs to detect this one and to reduce its own limits.
 constexpr auto kMinListenDelay = std::chrono::milliseconds(300);
 
 }  // namespace
@@ -46,14 +46,14 @@
   hotRestart_.emplace(io_, directory, address_, [this] { partitionResources(); });
   if (!hotRestart_->isAnnounced())
     log_.write(LogLevel::warning, "hot_restart",
-               "cannot announce this process in " + directory + " for now; it will be retried");
+               "cannot create the hot restart lock file in " + directory + ", retrying");
 }
 
 void ProcessLifecycle::start() {
   if (!isOtherProcessPresent())
     return startListening();
   partitionResources();
-  listenTimer_.expires_after(kMaxListenDelay);  // discovery's first answer brings it forward
+  listenTimer_.expires_after(kMaxListenDelay);  // shortened by discovery's first answer
   startListeningAtTimer();
 }
 
@@ -85,11 +85,11 @@
       partitionDescriptors(resources_.descriptors, resources_.maxDownstream, processes);
   downstream_.setConnectionLimit(limits.downstream);
   upstream_.setConnectionLimit(limits.upstream);
-  memory_->limit(processes == ServingProcesses::two ? resources_.bodyBytes / 2 : resources_.bodyBytes);
+  memory_->setLimit(processes == ServingProcesses::two ? resources_.bodyBytes / 2 : resources_.bodyBytes);
   log_.write(LogLevel::info, "hot_restart",
              processes == ServingProcesses::two
-                 ? "another process serves the address: descriptors and memory are divided"
-                 : "no other process serves the address");
+                 ? "another process serves the address: file descriptors and memory are divided"
+                 : "no other process serves the address: file descriptors and memory are not divided");
 }
 
 void ProcessLifecycle::beginShutdown(std::function<void()> onDrained) {
--- a/src/gateway/process_lifecycle.hpp
+++ b/src/gateway/process_lifecycle.hpp
@@ -1,4 +1,4 @@
-/// The life of the serving process: start of listening, hot restart, partition of descriptors and memory
+/// Lifecycle of the serving process: start of listening, hot restart, division of file descriptors and memory
 /// between two processes, and drain.
 #pragma once
 
@@ -20,50 +20,53 @@
 
 namespace hollyrun::gateway {
 
-/// Connections are still accepted this long after a shutdown was requested, since clients learn of it late.
+/// Connections are still accepted for this long after a shutdown was requested, because clients learn of it
+/// late.
 inline constexpr std::chrono::milliseconds kAcceptOn{700};
 
-/// How many processes serve the address and so divide the resources of one.
+/// Number of processes that serve the address and share the resources of one.
 enum class ServingProcesses { one, two };
 
 struct ConnectionLimits {
   std::size_t downstream, upstream;
 };
 
-/// The connections of each side that one process may hold, of the file descriptors that all serving processes
-/// may hold together.
+/// Returns how many connections one process may open on each side. `descriptors` is the limit of file
+/// descriptors for all serving processes together.
 ConnectionLimits partitionDescriptors(std::size_t descriptors, std::size_t maxDownstream,
                                       ServingProcesses processes);
 
 class ProcessLifecycle {
  public:
   struct Resources {
-    std::size_t descriptors = 0;    ///< that the serving processes may hold together
-    std::size_t maxDownstream = 0;  ///< client connections, also if there are descriptors for more
-    std::size_t bodyBytes = 0;      ///< that the buffered bodies of the serving processes may hold together
+    std::size_t descriptors = 0;    ///< file descriptors of all serving processes together
+    std::size_t maxDownstream = 0;  ///< client connections per process, even if descriptors allow more
+    std::size_t bodyBytes = 0;      ///< memory for buffered bodies of all serving processes together
   };
-  /// Whether another process may listen at the address, too.
+  /// Whether other processes may listen at the same address.
   enum class AddressSharing { exclusive, shared };
 
   ProcessLifecycle(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint address,
                    AddressSharing sharing, const Resources& resources, std::shared_ptr<MemoryBudget> memory,
                    DownstreamServer& downstream, UpstreamPool& upstream, Log& log);
 
-  /// Announces this process in `directory`, unless the kernel picks its port: that one is shared with nobody.
+  /// Announces this process in `directory`. Has no effect if the kernel picks the port, because no other
+  /// process listens at it.
   void enableHotRestart(const std::string& directory);
-  /// Listens at once, or, beside another process, once discovery has answered. Throws
-  /// boost::system::system_error if it can't listen.
+  /// Starts listening at once, or, if another process serves the address, after discovery's first answer or a
+  /// timeout. Throws boost::system::system_error if listening fails.
   void start();
   void onDiscoveryAnswer();
 
-  /// Step 1 of a shutdown: no listening is started any more. `onDrained` is called at its end.
+  /// Step 1 of a shutdown: prevents a pending start of listening. `onDrained` is called when the drain is
+  /// complete.
   void beginShutdown(std::function<void()> onDrained);
-  /// Step 2: every response closes its connection, and after kAcceptOn the listener is closed.
+  /// Step 2: closes each connection after its response, and the listener after kAcceptOn.
   void drainClients();
   void onDrained() { onDrained_(); }
 
   bool isShuttingDown() const { return isShuttingDown_; }
-  bool isOtherProcessPresent() const { return hotRestart_ && hotRestart_->isOtherPresent(); }
+  bool isOtherProcessPresent() const { return hotRestart_ && hotRestart_->isOtherProcessPresent(); }
 
  private:
   void startListening();
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,7 +1,7 @@
-/// The gateway as a program: command line, configuration, signals, exit codes.
+/// The gateway program: command line, configuration, signals and exit codes.
 ///
-/// Exit codes: 0 shut down as requested, or the check passed; 1 failed while it ran; 2 invalid arguments or
-/// configuration. Without arguments it serves, as the platform starts it.
+/// Exit codes: 0 success or requested shutdown; 1 failure at run time; 2 invalid arguments or configuration.
+/// The platform starts the program without arguments, which runs the command `serve`.
 #include <CLI/CLI.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -31,7 +31,7 @@
     log.write(LogLevel::warning, "configuration", warning);
 }
 
-// An invalid file must not end a gateway that serves; it continues with the settings in effect.
+// An invalid file must not end a running gateway: it keeps the settings in effect.
 void reload(Gateway& gateway, Config& running, const Environment& environment, Log& log) {
   try {
     Config config = readConfig(environment, &running);
@@ -40,9 +40,9 @@
     log.applySettings(running.log);
     logWarnings(running, log);
     log.write(LogLevel::info, "configuration", "configuration reloaded");
-  } catch (const std::exception& bad) {  // ConfigError, or what the system refuses
+  } catch (const std::exception& error) {  // ConfigError, or an error of the operating system
     gateway.reloadFailed();
-    log.write(LogLevel::error, "configuration", std::string("configuration not reloaded: ") + bad.what());
+    log.write(LogLevel::error, "configuration", std::string("configuration not reloaded: ") + error.what());
   }
 }
 
@@ -58,14 +58,14 @@
 
 int serve(const Environment& environment) {
   boost::asio::io_context io(1);
-  // Registered before the configuration is read: a signal during that time would end the process. It stays
-  // pending until the gateway exists and handles it.
+  // Registered before the configuration is read, because an unhandled signal would end the process. A signal
+  // that arrives before the gateway is created stays pending until io.run().
   boost::asio::signal_set hangups(io, SIGHUP), stops(io, SIGTERM, SIGINT);
   Config config = readConfig(environment);
   Log log(config.name, config.log);
   logWarnings(config, log);
   Gateway::Options options;
-  options.abortOnViolation = environment("HOLLYRUN_ABORT_ON_VIOLATION") != nullptr;  // for soaks
+  options.abortOnViolation = environment("HOLLYRUN_ABORT_ON_VIOLATION") != nullptr;  // set by soak tests
   Gateway gateway(io, config, options, log);
   reloadOnHangup(hangups, gateway, config, environment, log);
   stops.async_wait([&](boost::system::error_code ec, int) {
@@ -76,12 +76,13 @@
   return 0;
 }
 
-/// Reads the file that GW_CONFIG names and prints its warnings and errors. Whether there are no errors.
+/// Reads the file that GW_CONFIG names and prints its warnings and errors. Returns whether there are no
+/// errors.
 bool readAndReport(const Environment& environment, ParsedConfigFile& file) {
   const char* path = environment("GW_CONFIG");
   if (!path)
     throw ConfigError(ConfigErrorCode::missingKey, "GW_CONFIG",
-                      "no file: name one with --config or GW_CONFIG");
+                      "no configuration file: set --config or GW_CONFIG");
   file = readConfigFile(path);
   for (const auto& [key, variable] :
        {std::pair("listen", "GW_LISTEN"), std::pair("discovery", "GW_DISCOVERY")})
@@ -90,13 +91,13 @@
   if (file.errors.empty())
     try {
       parseConfig(file.json, environment);
-    } catch (const ConfigError& bad) {
-      file.errors.push_back({path, "configuration", bad.what()});
+    } catch (const ConfigError& error) {
+      file.errors.push_back({path, "configuration", error.what()});
     }
   for (const Diagnostic& warning : file.warnings)
     std::cerr << "warning: " << warning.text() << '\n';
-  for (const Diagnostic& fault : file.errors)
-    std::cerr << fault.text() << '\n';
+  for (const Diagnostic& error : file.errors)
+    std::cerr << error.text() << '\n';
   return file.errors.empty();
 }
 
@@ -104,7 +105,7 @@
   ParsedConfigFile file;
   if (!readAndReport(environment, file))
     return kExitInvalidInput;
-  std::cout << environment("GW_CONFIG") << ": good\n";
+  std::cout << environment("GW_CONFIG") << ": valid\n";
   return 0;
 }
 
@@ -116,11 +117,11 @@
   return 0;
 }
 
-// Arguments of commands that query running gateways.
-std::vector<std::string> addresses;
+// Management addresses given to the command `fleet`.
+std::vector<std::string> managementAddresses;
 
 int showFleet(const Environment&) {
-  const FleetReport report = queryFleet(addresses);
+  const FleetReport report = queryFleet(managementAddresses);
   std::cout << report.text;
   return report.consistent ? 0 : kExitFailure;
 }
@@ -132,10 +133,10 @@
 
 using Command = int (*)(const Environment&);
 
-/// What the command line says: the command, and values that override variables of the environment.
+/// The parsed command line: the command, and values that override environment variables.
 struct CommandLine {
   Command command = serve;
-  std::map<std::string, std::string> overrides;
+  std::map<std::string, std::string> overrides;  // by variable
 };
 
 void addConfigOptions(CLI::App& subcommand, CommandLine& line) {
@@ -161,27 +162,29 @@
 void addCommands(CLI::App& app, CommandLine& line) {
   app.require_subcommand(0, 1);
   app.footer(
-      "Without a command it serves. Exit codes: 0 success, 1 failed while it ran, 2 invalid arguments or\n"
-      "configuration. The file may be TOML (see deploy/hollyrun.toml) or the platform's JSON.");
-  addConfigOptions(*addCommand(app, line, "serve", "serve until SIGTERM; SIGHUP reads the file again", serve),
-                   line);
-  addConfigOptions(*addCommand(app, line, "check",
-                               "name every error of the configuration, with file, line and key", checkConfig),
+      "The default command is serve. Exit codes: 0 success, 1 failure at run time, 2 invalid arguments or\n"
+      "configuration. The configuration file may be TOML (see deploy/hollyrun.toml) or the platform's JSON.");
+  addConfigOptions(*addCommand(app, line, "serve",
+                               "serve requests until SIGTERM; SIGHUP reloads the configuration file", serve),
                    line);
+  addConfigOptions(
+      *addCommand(app, line, "check", "report every error of the configuration with file, line and key",
+                  checkConfig),
+      line);
   addConfigOptions(*addCommand(app, line, "show",
-                               "print the settings in effect as TOML, and where each came from", showConfig),
+                               "print the effective settings as TOML with the source of each", showConfig),
                    line);
-  addCommand(app, line, "fleet", "show the members that gateways see; ends with 1 where their views differ",
-             showFleet)
-      ->add_option("address", addresses, "management address, host:port")
+  addCommand(app, line, "fleet",
+             "show the fleet members as each gateway sees them; exits with 1 if the views differ", showFleet)
+      ->add_option("address", managementAddresses, "management address, host:port")
       ->required();
   addCommand(app, line, "version", "print the version", showVersion);
 }
 
-/// Runs the command, and serves if there is none. Precedence: command line, environment, file.
+/// Runs the command, `serve` by default. Precedence of settings: command line, environment, file.
 int run(int argc, char** argv) {
   CommandLine line;
-  if (argc > 1) {  // the platform starts it without arguments
+  if (argc > 1) {
     CLI::App app{"hollyrun: the HTTP/1.1 gateway of the record platform"};
     addCommands(app, line);
     try {
@@ -201,15 +204,15 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  std::signal(SIGPIPE, SIG_IGN);  // a disconnected peer shows as an error of the write
-  std::signal(SIGHUP, SIG_IGN);   // until there is a handler: the configuration is still to be read then
+  std::signal(SIGPIPE, SIG_IGN);  // writing to a disconnected peer returns an error instead
+  std::signal(SIGHUP, SIG_IGN);   // until a handler is registered; the configuration is read after that
   try {
     return run(argc, argv);
-  } catch (const ConfigError& bad) {
-    std::cerr << "hollyrun: " << bad.what() << '\n';
+  } catch (const ConfigError& error) {
+    std::cerr << "hollyrun: " << error.what() << '\n';
     return kExitInvalidInput;
-  } catch (const std::exception& bad) {
-    std::cerr << "hollyrun: " << bad.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "hollyrun: " << error.what() << '\n';
     return kExitFailure;
   }
 }
