--- a/src/gateway/process_lifecycle.cpp
+++ b/src/gateway/process_lifecycle.cpp
@@ -100,7 +100,7 @@
 
 void ProcessLifecycle::drainClients() {
   downstream_.closeAfterResponses();
-  stopAcceptingTimer_.expires_after(kAcceptOn);
+  stopAcceptingTimer_.expires_after(kStopAcceptingDelay);
   stopAcceptingTimer_.async_wait([this](error_code ec) {
     if (!ec)
       downstream_.stopAccepting();
--- a/src/gateway/process_lifecycle.hpp
+++ b/src/gateway/process_lifecycle.hpp
@@ -22,7 +22,7 @@
 
 /// Connections are still accepted for this long after a shutdown was requested, because clients learn of it
 /// late.
-inline constexpr std::chrono::milliseconds kAcceptOn{700};
+inline constexpr std::chrono::milliseconds kStopAcceptingDelay{700};
 
 /// Number of processes that serve the address and share the resources of one.
 enum class ServingProcesses { one, two };
@@ -61,7 +61,7 @@
   /// Step 1 of a shutdown: prevents a pending start of listening. `onDrained` is called when the drain is
   /// complete.
   void beginShutdown(std::function<void()> onDrained);
-  /// Step 2: closes each connection after its response, and the listener after kAcceptOn.
+  /// Step 2: closes each connection after its response, and the listener after kStopAcceptingDelay.
   void drainClients();
   void onDrained() { onDrained_(); }
 
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -194,7 +194,7 @@
   bool done = false;
   gateway->shutDown([&] { done = true; });
   const auto asked = Clock::now();
-  ASSERT_TRUE(runPast(asked + kAcceptOn + 100ms));
+  ASSERT_TRUE(runPast(asked + kStopAcceptingDelay + 100ms));
   EXPECT_FALSE(done);
   ASSERT_TRUE(until([&] { return !c.open(); }));
   EXPECT_FALSE(c.reset);
