--- a/tests/management_test.cpp
+++ b/tests/management_test.cpp
@@ -1,4 +1,4 @@
-// The operators' side: the management address, its figures, and what they count.
+// The management endpoint (readiness, statistics, metrics) and configuration reloads.
 #include "gateway_fixture.hpp"
 
 namespace hollyrun::gateway::testing {
@@ -8,15 +8,18 @@
  protected:
   ManagementTest() { config["management"] = "127.0.0.1:0"; }
 
-  std::shared_ptr<Client> caller() { return Client::connect(io, gateway->management().value()); }
-  Response call(const std::string& text) {
-    auto c = caller();
-    c->send(text);
-    EXPECT_TRUE(until([&] { return !c->answers.empty() && c->closedByPeer; }));
-    return c->answers.empty() ? Response{} : c->answers.front();
+  std::shared_ptr<Client> connectToManagement() { return Client::connect(io, gateway->management().value()); }
+  // Sends the text on a new connection and returns the response. The gateway has to close the connection.
+  Response exchange(const std::string& text) {
+    auto connection = connectToManagement();
+    connection->send(text);
+    EXPECT_TRUE(until([&] { return !connection->answers.empty() && connection->closedByPeer; }));
+    return connection->answers.empty() ? Response{} : connection->answers.front();
   }
-  Response get(const std::string& target) { return call("GET " + target + " HTTP/1.1\r\nHost: x\r\n\r\n"); }
-  // The value of one figure; -1 if it is not shown.
+  Response get(const std::string& target) {
+    return exchange("GET " + target + " HTTP/1.1\r\nHost: x\r\n\r\n");
+  }
+  // Returns the value of a figure of /ops/stats, or -1 if it is missing.
   long figure(const std::string& name) {
     const std::string text = "\n" + get("/ops/stats").body(), line = "\napp." + name + "=";
     const auto at = text.find(line);
@@ -24,14 +27,14 @@
   }
 };
 
-TEST_F(ManagementTest, IsOffWithoutAnAddress) {
+TEST_F(ManagementTest, IsDisabledWithoutAnAddress) {
   config.erase("management");
   addHost("a", always(answerText(200, "", "")));
   start();
   EXPECT_FALSE(gateway->management());
 }
 
-TEST_F(ManagementTest, IsReadyWhileItAcceptsClients) {
+TEST_F(ManagementTest, IsReadyUntilTheShutdown) {
   addHost("a", always(answerText(200, "", "")));
   start();
   EXPECT_EQ(get("/ops/readiness").result_int(), 200u);
@@ -41,16 +44,17 @@
   EXPECT_TRUE(until([&] { return drained; }));
 }
 
-TEST_F(ManagementTest, ServesFiguresAndDurationsAsPrometheusText) {
+TEST_F(ManagementTest, ServesCountersAndHistogramsAsPrometheusText) {
   addHost("a", always(answerText(200, "", "served")));
   start();
   for (int i = 0; i < 3; ++i)
     EXPECT_EQ(ask(text("read")).result_int(), 200u);
-  EXPECT_EQ(ask("GET /read HTTP/1.1\r\nHost: x\r\n\r\n").result_int(), 400u) << "no id";
-  const Response answer = get("/metrics");
-  EXPECT_EQ(answer.result_int(), 200u);
-  EXPECT_EQ(answer["Content-Type"], "text/plain; version=0.0.4; charset=utf-8");
-  const std::string& text = answer.body();
+  EXPECT_EQ(ask("GET /read HTTP/1.1\r\nHost: x\r\n\r\n").result_int(), 400u)
+      << "a request without X-Request-Id is rejected";
+  const Response response = get("/metrics");
+  EXPECT_EQ(response.result_int(), 200u);
+  EXPECT_EQ(response["Content-Type"], "text/plain; version=0.0.4; charset=utf-8");
+  const std::string& text = response.body();
   const auto has = [&](const std::string& line) {
     return ("\n" + text).find("\n" + line + "\n") != std::string::npos;
   };
@@ -58,7 +62,8 @@
   EXPECT_TRUE(has("hollyrun_requests_total{class=\"read\",outcome=\"success\"} 3")) << text;
   EXPECT_TRUE(has("hollyrun_requests_total{class=\"read\",outcome=\"failure\"} 1"));
   EXPECT_TRUE(has("hollyrun_request_seconds_count{class=\"read\",outcome=\"success\"} 3"));
-  EXPECT_TRUE(has("hollyrun_request_seconds_count{class=\"read\",outcome=\"failure\"} 0")) << "it never ran";
+  EXPECT_TRUE(has("hollyrun_request_seconds_count{class=\"read\",outcome=\"failure\"} 0"))
+      << "the rejected request has no duration";
   EXPECT_TRUE(has("hollyrun_request_seconds_bucket{class=\"read\",outcome=\"success\",le=\"+Inf\"} 3"));
   EXPECT_TRUE(has("hollyrun_backend_calls_total 3"));
   EXPECT_TRUE(has("hollyrun_inflight 0"));
@@ -69,65 +74,66 @@
   addHost("a", always(answerText(200, "", "")));
   start();
   EXPECT_EQ(get("/ops/other").result_int(), 404u);
-  const Response post = call("POST /ops/stats HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
+  const Response post = exchange("POST /ops/stats HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
   EXPECT_EQ(post.result_int(), 405u);
   EXPECT_EQ(post["Allow"], "GET");
-  EXPECT_EQ(call("nonsense\r\n\r\n").result_int(), 400u);
-  EXPECT_EQ(call("GET /ops/stats HTTP/1.1\r\nX: " + std::string(20000, 'x') + "\r\n\r\n").result_int(), 400u);
+  EXPECT_EQ(exchange("nonsense\r\n\r\n").result_int(), 400u);
+  EXPECT_EQ(exchange("GET /ops/stats HTTP/1.1\r\nX: " + std::string(20000, 'x') + "\r\n\r\n").result_int(),
+            400u);
   EXPECT_EQ(ask("GET /ops/stats HTTP/1.1\r\nHost: x\r\nX-Request-Id: 1\r\n\r\n").result_int(), 404u)
-      << "not served at the clients' address";
+      << "not served at the address for clients";
   EXPECT_TRUE(hosts[0]->requests.empty());
 }
 
-TEST_F(ManagementTest, AnswersWhileOtherClientsHoldTheirConnections) {
+TEST_F(ManagementTest, RespondsWhileIdleConnectionsExceedTheLimit) {
   addHost("a", always(answerText(200, "", "")));
   start();
-  std::vector<std::shared_ptr<Client>> silent;
+  std::vector<std::shared_ptr<Client>> idle;
   for (std::size_t i = 0; i < 3 * Management::kMaxConnections; ++i) {
-    silent.push_back(caller());
+    idle.push_back(connectToManagement());
     if (i % 2)
-      silent.back()->send("GET /ops/st");
+      idle.back()->send("GET /ops/st");
     EXPECT_EQ(get("/ops/readiness").result_int(), 200u) << i;
   }
-  EXPECT_TRUE(silent.front()->closedByPeer) << "the oldest made room";
+  EXPECT_TRUE(idle.front()->closedByPeer) << "the oldest connection should be closed beyond the limit";
 }
 
-TEST_F(ManagementTest, AConnectionWithoutACompleteRequestIsClosedInTime) {
+TEST_F(ManagementTest, ClosesAConnectionWithAnIncompleteRequestAfterItsLifetime) {
   addHost("a", always(answerText(200, "", "")));
   start();
-  Management short_lived(io, loopback(),
-                         {[] { return true; }, [] { return std::string(); }, [] { return std::string(); }},
-                         std::chrono::milliseconds(50));
-  auto c = Client::connect(io, short_lived.listening());
-  c->send("GET /ops/stats HT");
-  EXPECT_TRUE(until([&] { return c->closedByPeer; }));
+  Management management(io, loopback(),
+                        {[] { return true; }, [] { return std::string(); }, [] { return std::string(); }},
+                        std::chrono::milliseconds(50));
+  auto connection = Client::connect(io, management.listening());
+  connection->send("GET /ops/stats HT");
+  EXPECT_TRUE(until([&] { return connection->closedByPeer; }));
 }
 
-TEST_F(ManagementTest, EveryFigureIsReportedFromTheStart) {
+TEST_F(ManagementTest, ReportsEveryFigureFromTheStart) {
   addHost("a", always(answerText(200, "", "")));
   start();
-  for (const std::string cls : {"read", "write", "put"})
-    for (const std::string name : {"success.", "busy.", "failure."})
-      EXPECT_EQ(figure(name + cls), 0);
+  for (const std::string className : {"read", "write", "put"})
+    for (const std::string outcome : {"success.", "busy.", "failure."})
+      EXPECT_EQ(figure(outcome + className), 0);
   for (const std::string name : {"backend_calls", "inflight", "hosts_down", "reconfig_ok", "reconfig_failed"})
     EXPECT_EQ(figure(name), 0) << name;
   EXPECT_EQ(figure("hosts_listed"), 1);
   EXPECT_EQ(get("/ops/stats")["Content-Type"].substr(0, 10), "text/plain");
 }
 
-TEST_F(ManagementTest, FiguresMatchWhatThePeersSaw) {
-  addHost("a", [](PeerConnection& c, std::size_t n) {
-    if (n == 0)
-      c.reply(answerText(200, "", "x"));
-    else if (n == 1)
-      c.reply(answerText(500, "", ""));
-    else if (c.request.target() == "/write")
-      c.reply(answerText(503, kNotRun, ""));
+TEST_F(ManagementTest, FiguresMatchTheRequestsAndResponsesOfThePeers) {
+  addHost("a", [](PeerConnection& connection, std::size_t attempt) {
+    if (attempt == 0)
+      connection.reply(answerText(200, "", "x"));
+    else if (attempt == 1)
+      connection.reply(answerText(500, "", ""));
+    else if (connection.request.target() == "/write")
+      connection.reply(answerText(503, kNotRun, ""));
   });
   start();
   EXPECT_EQ(ask(text("read")).result_int(), 200u);
   EXPECT_EQ(ask(text("write")).result_int(), 502u);
-  EXPECT_EQ(ask(text("write")).result_int(), 503u);  // full, and there is no other host
+  EXPECT_EQ(ask(text("write")).result_int(), 503u);  // the only host is full
   EXPECT_EQ(ask("GET /put HTTP/1.1\r\nHost: x\r\nX-Request-Id: 1\r\n\r\n").result_int(), 405u);
   EXPECT_EQ(ask("GET /none HTTP/1.1\r\nHost: x\r\nX-Request-Id: 1\r\n\r\n").result_int(), 404u);
   EXPECT_EQ(figure("success.read"), 1);
@@ -138,47 +144,47 @@
   EXPECT_EQ(figure("backend_calls"), static_cast<long>(reached.size()));
   EXPECT_EQ(figure("inflight"), 0);
 
-  auto c = client();
-  c->send(text("read"));  // the host holds it
-  const std::size_t before = reached.size();
-  ASSERT_TRUE(until([&] { return reached.size() > before; }));
+  auto connection = client();
+  connection->send(text("read"));  // the host does not respond
+  const std::size_t attemptsBefore = reached.size();
+  ASSERT_TRUE(until([&] { return reached.size() > attemptsBefore; }));
   EXPECT_EQ(figure("inflight"), 1);
-  c->close();
+  connection->close();
   ASSERT_TRUE(until([&] { return figure("inflight") == 0; }));
 }
 
-TEST_F(ManagementTest, HostsDownCountsTheUnavailableOnes) {
-  const auto gone = addHost("a", always(answerText(200, "", "")));
+TEST_F(ManagementTest, CountsAHostThatRefusesConnectionsAsDown) {
+  const auto refusing = addHost("a", always(answerText(200, "", "")));
   addHost("a", always(answerText(200, "", "")));
   hosts[0]->stopListening();
   start();
   EXPECT_EQ(figure("hosts_down"), 0);
-  // Asked until the one that refuses connections was met.
+  // Requests are sent until one attempt goes to the host that refuses connections.
   ASSERT_TRUE(until([&] {
     EXPECT_EQ(ask(text("read")).result_int(), 200u);
     return figure("hosts_down") == 1;
   }));
   EXPECT_EQ(figure("hosts_listed"), 2);
-  discovery.push({{"all", false}, {"targets", {target("s-0", gone, "a", "DELETED")}}});
+  discovery.push({{"all", false}, {"targets", {target("s-0", refusing, "a", "DELETED")}}});
   EXPECT_TRUE(until([&] { return figure("hosts_listed") == 1 && figure("hosts_down") == 0; }));
 }
 
-// --- Settings that change -------------------------------------------------------------------------------
+// --- Configuration reloads ------------------------------------------------------------------------------
 
-TEST_F(ManagementTest, AReloadAddsAndRemovesClassesAndRequestsInFlightKeepTheirs) {
-  std::vector<std::shared_ptr<PeerConnection>> held;
-  const auto script = [&](PeerConnection& c, std::size_t) {
-    if (c.request.target() == "/read")
-      return held.push_back(c.shared_from_this());
-    c.reply(answerText(200, "", "x"));
+TEST_F(ManagementTest, ReloadChangesClassesAndRequestsInFlightKeepTheirOldSettings) {
+  std::vector<std::shared_ptr<PeerConnection>> pending;
+  const auto script = [&](PeerConnection& connection, std::size_t) {
+    if (connection.request.target() == "/read")
+      return pending.push_back(connection.shared_from_this());
+    connection.reply(answerText(200, "", "x"));
   };
   addHost("a", script);
   addHost("a", script);
   start();
   auto before = client();
   before->send(text("read"));
-  ASSERT_TRUE(until([&] { return held.size() == 1; }));
-  // The class comes back with a stricter effect, another one is new, a third is gone.
+  ASSERT_TRUE(until([&] { return pending.size() == 1; }));
+  // The class `read` gets a stricter effect, `extra` is added and `write` is removed.
   config["settings"]["grades"] =
       json::array({classJson("read", "fragile"), classJson("extra", "fragile"), classJson("put", "dedup")});
   reload();
@@ -186,23 +192,24 @@
   EXPECT_EQ(ask(text("extra")).result_int(), 200u);
   EXPECT_EQ(ask(text("write")).result_int(), 404u);
   EXPECT_EQ(figure("success.extra"), 1);
-  EXPECT_EQ(figure("failure.write"), 1) << "a vanished class shows on";
-  // A new one of the class is treated by its new effect, the one under way by the old: it may run again.
+  EXPECT_EQ(figure("failure.write"), 1) << "a removed class should remain in the figures";
+  // A new request of the class has the new effect, which forbids a retry. The request in flight has the old
+  // one, so that it is retried.
   auto after = client();
   after->send("POST /read HTTP/1.1\r\nHost: x\r\nX-Request-Id: n\r\nContent-Length: 0\r\n\r\n");
-  ASSERT_TRUE(until([&] { return held.size() == 2; }));
-  held[1]->reset();
+  ASSERT_TRUE(until([&] { return pending.size() == 2; }));
+  pending[1]->reset();
   ASSERT_TRUE(until([&] { return after->answers.size() == 1; }));
   EXPECT_EQ(after->answers[0].result_int(), 502u);
-  held[0]->reset();
-  ASSERT_TRUE(until([&] { return held.size() == 3; }));
-  held[2]->reply(answerText(200, "", "again"));
+  pending[0]->reset();
+  ASSERT_TRUE(until([&] { return pending.size() == 3; }));
+  pending[2]->reply(answerText(200, "", "again"));
   ASSERT_TRUE(until([&] { return before->answers.size() == 1; }));
   EXPECT_EQ(before->answers[0].body(), "again");
 }
 
-TEST_F(ManagementTest, FewerAttemptsApplyFromTheReloadOn) {
-  twoHosts([](PeerConnection& c, std::size_t) { c.reply(answerText(500, "", "")); });
+TEST_F(ManagementTest, ReloadLowersTheMaximumNumberOfAttempts) {
+  twoHosts([](PeerConnection& connection, std::size_t) { connection.reply(answerText(500, "", "")); });
   EXPECT_NE(ask(text("read")).result_int(), 200u);
   EXPECT_GT(reached.size(), 1u);
   config["settings"]["ceilings"]["maxAttempts"] = 1;
@@ -212,7 +219,7 @@
   EXPECT_EQ(reached.size(), 1u);
 }
 
-TEST_F(ManagementTest, ServesThroughAThousandReloads) {
+TEST_F(ManagementTest, ServesRequestsAfterAThousandReloads) {
   twoHosts(always(answerText(200, "", "x")));
   for (int i = 0; i < 1000; ++i) {
     config["settings"]["grades"][0]["points"] = 1 + i % 7;
@@ -222,27 +229,27 @@
   EXPECT_EQ(figure("reconfig_ok"), 1000);
 }
 
-TEST_F(ManagementTest, NothingIsAppliedFromAnInvalidFile) {
+TEST_F(ManagementTest, ReloadRejectsAnInvalidFile) {
   addHost("a", always(answerText(200, "", "x")));
   start();
   const Config running = parsed(config);
-  const auto broken = [&](const char* why, auto change) {
+  const auto expectRejected = [&](const char* why, auto change) {
     json file = config;
     change(file);
     EXPECT_THROW(parseConfig(file, noVariables, &running), ConfigError) << why;
   };
-  broken("no deadline", [](json& f) { f["settings"]["grades"][1].erase("giveUpNs"); });
-  broken("no class", [](json& f) { f["settings"]["grades"] = json::array(); });
-  broken("no attempts", [](json& f) { f["settings"]["ceilings"].erase("maxAttempts"); });
-  broken("no rules", [](json& f) { f["settings"].erase("rules"); });
-  broken("no discovery", [](json& f) { f.erase("discovery"); });
+  expectRejected("no deadline", [](json& f) { f["settings"]["grades"][1].erase("giveUpNs"); });
+  expectRejected("no class", [](json& f) { f["settings"]["grades"] = json::array(); });
+  expectRejected("no attempts", [](json& f) { f["settings"]["ceilings"].erase("maxAttempts"); });
+  expectRejected("no rules", [](json& f) { f["settings"].erase("rules"); });
+  expectRejected("no discovery", [](json& f) { f.erase("discovery"); });
   for (const json& bad : {json(0), json(-1), json("soon"), json(nullptr), json(true), json(0.5)}) {
-    broken("deadline", [&](json& f) { f["settings"]["grades"][0]["giveUpNs"] = bad; });
-    broken("aim", [&](json& f) { f["settings"]["grades"][0]["aimNs"] = bad; });
-    broken("attempts", [&](json& f) { f["settings"]["ceilings"]["maxAttempts"] = bad; });
+    expectRejected("deadline", [&](json& f) { f["settings"]["grades"][0]["giveUpNs"] = bad; });
+    expectRejected("aim", [&](json& f) { f["settings"]["grades"][0]["aimNs"] = bad; });
+    expectRejected("attempts", [&](json& f) { f["settings"]["ceilings"]["maxAttempts"] = bad; });
   }
   json whole = config;
-  whole.erase("known");  // needed at a start only
+  whole.erase("known");  // required only at the start
   EXPECT_NO_THROW(parseConfig(whole, noVariables, &running));
 }
 
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -1,4 +1,5 @@
-// The program itself: exit codes and SIGTERM. Its path is the first argument.
+// The gateway program as a process: exit codes, signals, reloads and upgrades. The first argument is the path
+// of the program.
 #include <signal.h>
 #include <spawn.h>
 #include <sys/wait.h>
@@ -14,26 +15,26 @@
 namespace hollyrun::gateway::testing {
 namespace {
 
-std::string program;  // set once, by main
+std::string programPath;  // set by main()
 
-pid_t run(std::vector<std::string> variables, std::vector<std::string> arguments = {}) {
-  std::vector<char*> argv{program.data()}, env;
+pid_t startProgram(std::vector<std::string> variables, std::vector<std::string> arguments = {}) {
+  std::vector<char*> argv{programPath.data()}, environment;
   for (std::string& argument : arguments)
     argv.push_back(argument.data());
   argv.push_back(nullptr);
   for (std::string& variable : variables)
-    env.push_back(variable.data());
-  env.push_back(nullptr);
+    environment.push_back(variable.data());
+  environment.push_back(nullptr);
   pid_t pid = 0;
-  EXPECT_EQ(posix_spawn(&pid, program.c_str(), nullptr, nullptr, argv.data(), env.data()), 0);
+  EXPECT_EQ(posix_spawn(&pid, programPath.c_str(), nullptr, nullptr, argv.data(), environment.data()), 0);
   return pid;
 }
 
 template <class Predicate>
 bool runUntil(asio::io_context& io, const Predicate& predicate) {
-  const auto end = std::chrono::steady_clock::now() + kPatience;
+  const auto deadline = std::chrono::steady_clock::now() + kPatience;
   while (!predicate()) {
-    if (std::chrono::steady_clock::now() > end)
+    if (std::chrono::steady_clock::now() > deadline)
       return false;
     io.restart();
     io.run_one_for(std::chrono::milliseconds(50));
@@ -47,150 +48,156 @@
   return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-TEST(Program, BadConfigurationEndsIt) {
-  EXPECT_EQ(exitCode(run({"GW_CONFIG=/nonexistent"})), 2);
+TEST(Program, ExitsWith2OnInvalidConfiguration) {
+  EXPECT_EQ(exitCode(startProgram({"GW_CONFIG=/nonexistent"})), 2);
   const std::string path = ::testing::TempDir() + "bad_config_" + std::to_string(getpid()) + ".json";
   json config = configJson();
   config["limits"]["sockets"] = -1;
   std::ofstream(path) << config;
-  EXPECT_EQ(exitCode(run({"GW_CONFIG=" + path})), 2);
+  EXPECT_EQ(exitCode(startProgram({"GW_CONFIG=" + path})), 2);
   std::remove(path.c_str());
 }
 
-TEST(Program, ItsCommandsEndWithTheDocumentedCodes) {
+TEST(Program, CommandsExitWithTheDocumentedCodes) {
   const std::string path = ::testing::TempDir() + "commands_" + std::to_string(getpid()) + ".toml";
   std::ofstream(path) << "listen = \"127.0.0.1:8080\"\n[[class]]\nname = \"a\"\naim_ms = 5\n";
-  EXPECT_EQ(exitCode(run({}, {"version"})), 0);
-  EXPECT_EQ(exitCode(run({}, {"--help"})), 0);
-  EXPECT_EQ(exitCode(run({}, {"frobnicate"})), 2);
-  EXPECT_EQ(exitCode(run({}, {"check", "--config", path})), 2) << "no discovery";
-  EXPECT_EQ(exitCode(run({}, {"check", "--config", path, "--discovery", "127.0.0.1:1"})), 0);
-  EXPECT_EQ(exitCode(run({"GW_CONFIG=" + path, "GW_DISCOVERY=127.0.0.1:1"}, {"show"})), 0);
-  EXPECT_EQ(exitCode(run({}, {"show"})), 2) << "no file";
-  EXPECT_EQ(exitCode(run({}, {"serve", "--config", path + ".none"})), 2);
+  EXPECT_EQ(exitCode(startProgram({}, {"version"})), 0);
+  EXPECT_EQ(exitCode(startProgram({}, {"--help"})), 0);
+  EXPECT_EQ(exitCode(startProgram({}, {"frobnicate"})), 2);
+  EXPECT_EQ(exitCode(startProgram({}, {"check", "--config", path})), 2) << "the discovery address is missing";
+  EXPECT_EQ(exitCode(startProgram({}, {"check", "--config", path, "--discovery", "127.0.0.1:1"})), 0);
+  EXPECT_EQ(exitCode(startProgram({"GW_CONFIG=" + path, "GW_DISCOVERY=127.0.0.1:1"}, {"show"})), 0);
+  EXPECT_EQ(exitCode(startProgram({}, {"show"})), 2) << "no configuration file is given";
+  EXPECT_EQ(exitCode(startProgram({}, {"serve", "--config", path + ".none"})), 2);
   std::remove(path.c_str());
 }
 
-TEST(Program, SigtermEndsItWithZero) {
+TEST(Program, ExitsWith0OnSigterm) {
   asio::io_context io;
-  tcp::endpoint free;
+  tcp::endpoint freeAddress;
   {
     tcp::acceptor probe(io, loopback());
-    free = probe.local_endpoint();
+    freeAddress = probe.local_endpoint();
   }
   json config = configJson();
-  config["listen"] = textOf(free);
+  config["listen"] = textOf(freeAddress);
   config["known"] = {{"rev", 1}, {"all", true}, {"targets", {target("s-0", loopback(1))}}};
   const std::string path = ::testing::TempDir() + "program_config.json";
   std::ofstream(path) << config;
-  const pid_t pid = run({"GW_CONFIG=" + path});
+  const pid_t pid = startProgram({"GW_CONFIG=" + path});
   tcp::socket socket(io);
   error_code ec = asio::error::not_connected;
-  const auto end = std::chrono::steady_clock::now() + kPatience;
-  while (ec && std::chrono::steady_clock::now() < end) {
+  const auto deadline = std::chrono::steady_clock::now() + kPatience;
+  while (ec && std::chrono::steady_clock::now() < deadline) {
     socket.close();
-    socket.connect(free, ec);
+    socket.connect(freeAddress, ec);
     std::this_thread::yield();
   }
   ASSERT_FALSE(ec);
   asio::write(socket, asio::buffer(std::string("GET /up HTTP/1.1\r\n\r\n")));
   boost::beast::flat_buffer buffer;
-  Response up;
-  http::read(socket, buffer, up, ec);
+  Response response;
+  http::read(socket, buffer, response, ec);
   EXPECT_FALSE(ec);
-  EXPECT_EQ(up.result_int(), 200u);
+  EXPECT_EQ(response.result_int(), 200u);
   kill(pid, SIGTERM);
   EXPECT_EQ(exitCode(pid), 0);
   std::remove(path.c_str());
 }
 
-// An upgrade: a second process beside the first, at the same address; then one of the two is told to end.
-// Connections are opened all the while, each with one request; none may be refused or reset.
-void upgrade(bool takenBack) {
+// Starts a second process at the address of the first and then stops one of the two: the old one if the
+// upgrade is completed, the new one if it is rolled back. Connections with one request each are opened
+// throughout; none may be refused or reset.
+void upgrade(bool isRolledBack) {
   asio::io_context io;
   const auto freeAddress = [&] { return tcp::acceptor(io, loopback()).local_endpoint(); };
-  const tcp::endpoint clients = freeAddress(), first = freeAddress(), second = freeAddress();
+  const tcp::endpoint clientAddress = freeAddress(), oldManagement = freeAddress(),
+                      newManagement = freeAddress();
   FakeDiscovery discovery(io);
-  Peer host(io, [](PeerConnection& c) { c.reply(answerText(200, "", "x")); });
+  Peer host(io, [](PeerConnection& connection) { connection.reply(answerText(200, "", "x")); });
   discovery.list.push_back(target("s-0", host.endpoint));
   const std::string folder = ::testing::TempDir() + "upgrade_" + std::to_string(getpid());
   std::filesystem::create_directory(folder);
-  std::ofstream(folder + "/gateway-127.0.0.1-" + std::to_string(clients.port()) + ".killed");  // a leftover
+  // The lock file that a killed process has left behind.
+  const std::string staleLockFile =
+      folder + "/gateway-127.0.0.1-" + std::to_string(clientAddress.port()) + ".killed";
+  std::ofstream{staleLockFile};
   json config = configJson();
-  config["listen"] = textOf(clients);
+  config["listen"] = textOf(clientAddress);
   config["discovery"] = textOf(discovery.peer.endpoint);
   config["known"] = {{"rev", 1}, {"all", true}, {"targets", discovery.list}};
   const std::string path = folder + "/config.json";
   std::ofstream(path) << config;
   const auto until = [&](const auto& predicate) { return runUntil(io, predicate); };
-  const auto ask = [&](const tcp::endpoint& at, const std::string& text) {
-    std::shared_ptr<Client> c;
+  // Returns the status of the response, 0 if the connection was refused and 1 if there was no response.
+  const auto statusOf = [&](const tcp::endpoint& address, const std::string& request) {
+    std::shared_ptr<Client> connection;
     try {
-      c = Client::connect(io, at);
+      connection = Client::connect(io, address);
     } catch (const boost::system::system_error&) {
-      return 0u;  // refused
+      return 0u;
     }
-    c->send(text);
-    until([&] { return !c->answers.empty() || c->closedByPeer; });
-    return c->answers.empty() ? 1u : c->answers.front().result_int();
+    connection->send(request);
+    until([&] { return !connection->answers.empty() || connection->closedByPeer; });
+    return connection->answers.empty() ? 1u : connection->answers.front().result_int();
   };
-  const auto ready = [&](const tcp::endpoint& at) {
-    return ask(at, "GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n") == 200;
+  const auto isReady = [&](const tcp::endpoint& management) {
+    return statusOf(management, "GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n") == 200;
   };
   const auto start = [&](const tcp::endpoint& management) {
-    return run({"GW_CONFIG=" + path, "GW_MANAGEMENT=" + textOf(management), "TMPDIR=" + folder});
+    return startProgram({"GW_CONFIG=" + path, "GW_MANAGEMENT=" + textOf(management), "TMPDIR=" + folder});
   };
-  const pid_t before = start(first);
-  ASSERT_TRUE(until([&] { return ready(first); }));
-  EXPECT_FALSE(
-      std::filesystem::exists(folder + "/gateway-127.0.0.1-" + std::to_string(clients.port()) + ".killed"));
+  const pid_t oldProcess = start(oldManagement);
+  ASSERT_TRUE(until([&] { return isReady(oldManagement); }));
+  EXPECT_FALSE(std::filesystem::exists(staleLockFile));
   int serial = 0;
-  const auto one = [&] {
-    EXPECT_EQ(ask(clients,
-                  "GET /read HTTP/1.1\r\nHost: x\r\nX-Request-Id: r" + std::to_string(++serial) + "\r\n\r\n"),
+  const auto expectServed = [&] {
+    EXPECT_EQ(statusOf(clientAddress, "GET /read HTTP/1.1\r\nHost: x\r\nX-Request-Id: r" +
+                                          std::to_string(++serial) + "\r\n\r\n"),
               200u)
         << serial;
   };
-  one();
-  const pid_t after = start(second);
+  expectServed();
+  const pid_t newProcess = start(newManagement);
   ASSERT_TRUE(until([&] {
-    one();
-    return ready(second);
+    expectServed();
+    return isReady(newManagement);
   }));
-  EXPECT_TRUE(ready(first)) << "it serves on until it is told to stop";
+  EXPECT_TRUE(isReady(oldManagement)) << "the old process should serve until it receives SIGTERM";
   for (int i = 0; i < 50; ++i)
-    one();
-  const pid_t ends = takenBack ? after : before, stays = takenBack ? before : after;
-  kill(ends, SIGTERM);
+    expectServed();
+  const pid_t stopped = isRolledBack ? newProcess : oldProcess;
+  const pid_t remaining = isRolledBack ? oldProcess : newProcess;
+  kill(stopped, SIGTERM);
   int status = 0;
   ASSERT_TRUE(until([&] {
-    one();
-    return waitpid(ends, &status, WNOHANG) == ends;
+    expectServed();
+    return waitpid(stopped, &status, WNOHANG) == stopped;
   }));
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0);
   for (int i = 0; i < 50; ++i)
-    one();
-  kill(stays, SIGTERM);
-  EXPECT_EQ(exitCode(stays), 0);
+    expectServed();
+  kill(remaining, SIGTERM);
+  EXPECT_EQ(exitCode(remaining), 0);
   std::filesystem::remove_all(folder);
 }
 
-TEST(Program, AnUpgradeLosesNoConnection) {
-  upgrade(false);
+TEST(Program, UpgradeLosesNoConnection) {
+  upgrade(/*isRolledBack=*/false);
 }
-TEST(Program, AnUpgradeThatIsTakenBackLosesNoConnection) {
-  upgrade(true);
+TEST(Program, RolledBackUpgradeLosesNoConnection) {
+  upgrade(/*isRolledBack=*/true);
 }
 
-TEST(Program, SigtermTwiceWithAHangupBetweenEndsItWithZero) {
+TEST(Program, ExitsWith0OnSigtermSighupSigterm) {
   asio::io_context io;
   FakeDiscovery discovery(io);
-  discovery.failing = true;  // it never tells a list
+  discovery.failing = true;  // it never serves an endpoint list
   const std::string path = ::testing::TempDir() + "twice_config_" + std::to_string(getpid()) + ".json";
   json config = configJson();
   config["discovery"] = textOf(discovery.peer.endpoint);
   std::ofstream(path) << config;
-  const pid_t pid = run({"GW_CONFIG=" + path});
+  const pid_t pid = startProgram({"GW_CONFIG=" + path});
   ASSERT_TRUE(runUntil(io, [&] { return !discovery.targets.empty(); }));
   for (const int signal : {SIGTERM, SIGHUP, SIGTERM})
     kill(pid, signal);
@@ -198,45 +205,46 @@
   std::remove(path.c_str());
 }
 
-TEST(Program, AnAddressThatCannotBeHadEndsTheStart) {
+TEST(Program, ExitsIfAnAddressIsInUseOrMalformed) {
   asio::io_context io;
-  tcp::acceptor held(io, loopback());
-  const std::string path = ::testing::TempDir() + "held_config_" + std::to_string(getpid()) + ".json";
+  tcp::acceptor occupied(io, loopback());
+  const std::string path = ::testing::TempDir() + "occupied_config_" + std::to_string(getpid()) + ".json";
   std::ofstream(path) << configJson();
-  const std::string tmp = "TMPDIR=" + ::testing::TempDir(), address = textOf(held.local_endpoint());
-  EXPECT_EQ(exitCode(run({"GW_CONFIG=" + path, tmp, "GW_MANAGEMENT=" + address})), 1);
-  EXPECT_EQ(exitCode(run({"GW_CONFIG=" + path, tmp, "GW_MANAGEMENT=127.0.0.1:0", "GW_LISTEN=" + address})),
-            1);
-  EXPECT_EQ(exitCode(run({"GW_CONFIG=" + path, tmp, "GW_MANAGEMENT=nowhere"})), 2);
+  const std::string tmp = "TMPDIR=" + ::testing::TempDir(), address = textOf(occupied.local_endpoint());
+  EXPECT_EQ(exitCode(startProgram({"GW_CONFIG=" + path, tmp, "GW_MANAGEMENT=" + address})), 1);
+  EXPECT_EQ(
+      exitCode(startProgram({"GW_CONFIG=" + path, tmp, "GW_MANAGEMENT=127.0.0.1:0", "GW_LISTEN=" + address})),
+      1);
+  EXPECT_EQ(exitCode(startProgram({"GW_CONFIG=" + path, tmp, "GW_MANAGEMENT=nowhere"})), 2);
   std::remove(path.c_str());
 }
 
-TEST(Program, SighupMovesItToTheDiscoveryThatTheFileNames) {
+TEST(Program, SighupSwitchesToTheDiscoveryServerInTheFile) {
   asio::io_context io;
-  FakeDiscovery before{io}, after{io};
+  FakeDiscovery oldDiscovery{io}, newDiscovery{io};
   const auto until = [&](const auto& predicate) { return runUntil(io, predicate); };
   const std::string path = ::testing::TempDir() + "reload_config_" + std::to_string(getpid()) + ".json";
   json config = configJson();
   config["known"] = {{"rev", 1}, {"all", true}, {"targets", {target("s-0", loopback(1))}}};
-  const auto write = [&](const std::string& text) {  // replaced whole, as the platform does
+  const auto replaceFile = [&](const std::string& text) {  // atomically, as the platform does
     std::ofstream(path + ".new") << text;
     std::rename((path + ".new").c_str(), path.c_str());
   };
-  write(config.dump());
-  const pid_t pid = run({"GW_CONFIG=" + path, "GW_DISCOVERY=" + textOf(before.peer.endpoint)});
-  ASSERT_TRUE(until([&] { return before.held.size() == 1; }));
-  json wrong = config;
-  wrong["limits"]["sockets"] = -1;
-  wrong["discovery"] = "127.0.0.1:1";
-  for (const std::string& text : {std::string("{"), wrong.dump()}) {
-    write(text);
-    kill(pid, SIGHUP);  // survived; the next one comes when the file is whole
+  replaceFile(config.dump());
+  const pid_t pid = startProgram({"GW_CONFIG=" + path, "GW_DISCOVERY=" + textOf(oldDiscovery.peer.endpoint)});
+  ASSERT_TRUE(until([&] { return oldDiscovery.held.size() == 1; }));
+  json invalid = config;
+  invalid["limits"]["sockets"] = -1;
+  invalid["discovery"] = "127.0.0.1:1";
+  for (const std::string& text : {std::string("{"), invalid.dump()}) {
+    replaceFile(text);
+    kill(pid, SIGHUP);  // the process has to survive this
   }
-  config["discovery"] = textOf(after.peer.endpoint);
-  write(config.dump());
+  config["discovery"] = textOf(newDiscovery.peer.endpoint);
+  replaceFile(config.dump());
   kill(pid, SIGHUP);
-  EXPECT_TRUE(until([&] { return after.held.size() == 1; }));
-  EXPECT_TRUE(until([&] { return before.held[0]->closedByPeer; }));
+  EXPECT_TRUE(until([&] { return newDiscovery.held.size() == 1; }));
+  EXPECT_TRUE(until([&] { return oldDiscovery.held[0]->closedByPeer; }));
   kill(pid, SIGTERM);
   EXPECT_EQ(exitCode(pid), 0);
   std::remove(path.c_str());
@@ -249,6 +257,6 @@
   ::testing::InitGoogleTest(&argc, argv);
   if (argc < 2)
     return 1;
-  hollyrun::gateway::testing::program = argv[1];
+  hollyrun::gateway::testing::programPath = argv[1];
   return RUN_ALL_TESTS();
 }
