--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -201,7 +201,7 @@
   bool drained = false;
   gateway->shutDown([&] { drained = true; });
   const auto shutDownAt = Clock::now();
-  ASSERT_TRUE(runUntil(shutDownAt + kAcceptOn + 100ms));
+  ASSERT_TRUE(runUntil(shutDownAt + kStopAcceptingDelay + 100ms));
   EXPECT_FALSE(drained);
   ASSERT_TRUE(until([&] { return !downstream.readAvailable(); }));
   EXPECT_FALSE(downstream.wasReset);
