--- a/tests/dispatch_guard_test.cpp
+++ b/tests/dispatch_guard_test.cpp
@@ -1,4 +1,4 @@
-// The guard alone: what it admits, what it denies and which denials are violations.
+// Tests of DispatchGuard alone: which attempts it admits, which it denies and which denials are violations.
 #include "balancer/dispatch_guard.hpp"
 
 #include <gtest/gtest.h>
@@ -19,24 +19,24 @@
   DispatchGuard guard;
   Time now = 100s;
 
-  Admission admit(std::uint32_t attempt, Duration left = 800ms, bool present = true) {
+  Admission admit(std::uint32_t attempt, Duration timeLeft = 800ms, bool clientPresent = true) {
     return guard.admit({.now = now,
-                        .clientPresent = present,
+                        .clientPresent = clientPresent,
                         .attempt = attempt,
-                        .timeLeft = left,
+                        .timeLeft = timeLeft,
                         .terms = terms,
                         .server = server,
                         .history = history});
   }
-  // An earlier attempt, written a second ago to a server of this zone and cell.
-  void earlier(Outcome outcome, const std::string& zone = "a", std::int64_t cell = 1) {
+  // Records the end of an earlier attempt, written a second ago to a server of the given zone and cell.
+  void recordEarlierAttempt(Outcome outcome, const std::string& zone = "a", std::int64_t cell = 1) {
     history.recordWrite(0, {.id = 9, .zone = zone, .cell = cell}, now - 1s);
     history.recordEnd(0, outcome);
   }
   void expectDenied(std::uint32_t attempt, DenialReason reason) {
-    const auto before = guard.denied(reason);
+    const auto deniedBefore = guard.denied(reason);
     EXPECT_EQ(admit(attempt).denied, reason);
-    EXPECT_EQ(guard.denied(reason), before + 1);
+    EXPECT_EQ(guard.denied(reason), deniedBefore + 1);
   }
 };
 
@@ -66,7 +66,7 @@
   expectDenied(0, DenialReason::notServing);
 }
 
-TEST_F(DispatchGuardTest, DeniesAnotherProcessThanTheOneThatWasChosen) {
+TEST_F(DispatchGuardTest, DeniesAServerThatHasRestartedSinceItsSelection) {
   server.upSince = 99s;
   expectDenied(0, DenialReason::restarted);
   terms.serverUpSince = 99s;
@@ -89,20 +89,20 @@
   terms.idempotency = Idempotency::none;
   for (const Outcome outcome : {Outcome::error, Outcome::timeout, Outcome::reset, Outcome::cancelled}) {
     history = {};
-    earlier(outcome);
+    recordEarlierAttempt(outcome);
     expectDenied(1, DenialReason::notIdempotent);
   }
   for (const Outcome outcome :
        {Outcome::rejected, Outcome::connectFailed, Outcome::abandoned, Outcome::localFailure}) {
     history = {};
-    earlier(outcome);
-    EXPECT_FALSE(admit(1).denied) << "it never ran";
+    recordEarlierAttempt(outcome);
+    EXPECT_FALSE(admit(1).denied) << "expected an admission: the earlier attempt was not executed";
   }
 }
 
 TEST_F(DispatchGuardTest, DeniesTheRepeatOfAKeyedRequestPastItsDeduplicationWindow) {
   terms.idempotency = Idempotency::keyed;
-  earlier(Outcome::reset);
+  recordEarlierAttempt(Outcome::reset);
   terms.deduplicationWindow = 1s;
   EXPECT_FALSE(admit(1).denied);
   terms.deduplicationWindow = 999ms;
@@ -112,11 +112,11 @@
 TEST_F(DispatchGuardTest, DeniesTheRepeatOfAKeyedRequestOutsideItsDeduplicationScope) {
   terms.idempotency = Idempotency::keyed;
   terms.deduplicationScope = DeduplicationScope::zone;
-  earlier(Outcome::timeout, "b", 1);
+  recordEarlierAttempt(Outcome::timeout, "b", 1);
   expectDenied(1, DenialReason::outsideDeduplicationScope);
   terms.deduplicationScope = DeduplicationScope::cell;
   history = {};
-  earlier(Outcome::timeout, "a", 2);
+  recordEarlierAttempt(Outcome::timeout, "a", 2);
   expectDenied(1, DenialReason::outsideDeduplicationScope);
   terms.deduplicationScope = DeduplicationScope::all;
   EXPECT_FALSE(admit(1).denied);
