--- a/tests/bank_test.cpp
+++ b/tests/bank_test.cpp
@@ -17,19 +17,21 @@
     gateways.run(10, 6);
     gateways.clearHistory();
     gateways.run(2, 6);
-    double warm = 0;  // attempts per warm host within the overload window of two seconds
+    double perWarmHost = 0;  // attempts within the overload window of two seconds
     for (int host = 0; host < 30; ++host)
-      warm += static_cast<double>(gateways.attemptsTo(host)) / 30;
+      perWarmHost += static_cast<double>(gateways.attemptsTo(host)) / 30;
     gateways.announceHosts(EndpointListKind::delta, 30, 31, gateways.now());
     std::size_t total = 0;
     for (int window = 0; window < 3; ++window) {
       gateways.clearHistory();
       gateways.run(2, 6);
       const double rampFraction = 0.2 + 0.8 * (2 * window) / 10;  // at the start of the window
-      EXPECT_LT(static_cast<double>(gateways.attemptsTo(30)), 3 * rampFraction * warm) << "window " << window;
+      EXPECT_LT(static_cast<double>(gateways.attemptsTo(30)), 3 * rampFraction * perWarmHost)
+          << "window " << window;
       total += gateways.attemptsTo(30);
     }
-    EXPECT_GT(static_cast<double>(total), 0.2 * warm) << "expected the cold host to receive some requests";
+    EXPECT_GT(static_cast<double>(total), 0.2 * perWarmHost)
+        << "expected the cold host to receive some requests";
   }
 }
 
@@ -43,25 +45,25 @@
   gateways.run(1, 6);
   gateways.clearHistory();
   gateways.run(3, 6);
-  double warm = 0, cold = 0;
+  double toWarmHosts = 0, toColdHosts = 0;
   for (int host = 0; host < 50; ++host)
-    (host < 20 ? warm : cold) += static_cast<double>(gateways.attemptsTo(host));
-  EXPECT_LT(cold / 30, 0.4 * warm / 20)
+    (host < 20 ? toWarmHosts : toColdHosts) += static_cast<double>(gateways.attemptsTo(host));
+  EXPECT_LT(toColdHosts / 30, 0.4 * toWarmHosts / 20)
       << "expected less than their mean minimum capacity, relative to a warm host";
-  EXPECT_GT(cold / 30, 0.05 * warm / 20);
+  EXPECT_GT(toColdHosts / 30, 0.05 * toWarmHosts / 20);
 }
 
 // After a restart of all gateways none has measured any host, and the list may contain cold hosts at once.
-TEST(GatewayGroup, DoesNotOverloadAColdHostAfterItsRestart) {
+TEST(GatewayGroup, DoesNotOverloadAColdHostAfterRestartOfAllGateways) {
   Settings settings = makeSettings();
   settings.keyAffinity = true;
   GatewayGroup gateways(settings, 200, 30);
   gateways.announceHosts(EndpointListKind::delta, 30, 31, gateways.now());
   gateways.run(2, 6);
-  double warm = 0;
+  double perWarmHost = 0;
   for (int host = 0; host < 30; ++host)
-    warm += static_cast<double>(gateways.attemptsTo(host)) / 30;
-  EXPECT_LT(static_cast<double>(gateways.attemptsTo(30)), 3 * 0.2 * warm);
+    perWarmHost += static_cast<double>(gateways.attemptsTo(host)) / 30;
+  EXPECT_LT(static_cast<double>(gateways.attemptsTo(30)), 3 * 0.2 * perWarmHost);
 }
 
 // Hosts accept a limited number of connections. If every gateway connected to every host, some gateways would
@@ -359,10 +361,10 @@
       while (!driver.inFlight.empty())
         driver.complete(SentAttempt(driver.inFlight.front()), Outcome::cancelled, true);  // yields no sample
     }
-    std::size_t good = 0, overloaded = 0;
+    std::size_t toGood = 0, toOverloaded = 0;
     for (int host = 12; host < 20; ++host)
-      (host % 2 ? overloaded : good) += driver.attemptsTo(driver.hostId(host));
-    EXPECT_GT(good, 3 * overloaded) << "after outcome " << static_cast<int>(outcome);
+      (host % 2 ? toOverloaded : toGood) += driver.attemptsTo(driver.hostId(host));
+    EXPECT_GT(toGood, 3 * toOverloaded) << "after outcome " << static_cast<int>(outcome);
   }
 }
 
@@ -396,10 +398,10 @@
     while (!driver.inFlight.empty())
       driver.complete(SentAttempt(driver.inFlight.front()), Outcome::cancelled, true);  // yields no sample
   }
-  std::size_t good = 0, partlyStuck = 0;
+  std::size_t toGood = 0, toPartlyStuck = 0;
   for (int host = 20; host < 40; ++host)
-    (host % 2 ? partlyStuck : good) += driver.attemptsTo(driver.hostId(host));
-  EXPECT_GT(3 * partlyStuck, 2 * good);
+    (host % 2 ? toPartlyStuck : toGood) += driver.attemptsTo(driver.hostId(host));
+  EXPECT_GT(3 * toPartlyStuck, 2 * toGood);
 }
 
 // One answer in four takes very long. The expected service time followed a mean over all answers, so the
--- a/tests/candidates_test.cpp
+++ b/tests/candidates_test.cpp
@@ -179,9 +179,9 @@
 }
 
 TEST(Candidates, EveryHostIsUsedByTheMinimumNumberOfGateways) {
-  const std::pair<std::uint32_t, int> sizes[] = {{4, 40}, {30, 60}, {100, 200}, {410, 600}};
-  for (const auto& [gateways, count] : sizes) {
-    const std::vector<Endpoint> hosts = makeHosts(count);
+  const std::pair<std::uint32_t, int> fleetSizes[] = {{4, 40}, {30, 60}, {100, 200}, {410, 600}};
+  for (const auto& [gateways, hostCount] : fleetSizes) {
+    const std::vector<Endpoint> hosts = makeHosts(hostCount);
     std::map<std::string, std::size_t> gatewaysByHost;
     for (std::uint32_t replicaIndex = 0; replicaIndex < gateways; ++replicaIndex) {
       const auto driver = makeDriver(settingsWithCandidates(8, gateways, replicaIndex), hosts);
@@ -189,7 +189,8 @@
         ++gatewaysByHost[host];
     }
     for (const Endpoint& endpoint : hosts)
-      EXPECT_GE(gatewaysByHost[endpoint.address], kMinGatewaysPerHost) << endpoint.address << " of " << count;
+      EXPECT_GE(gatewaysByHost[endpoint.address], kMinGatewaysPerHost)
+          << endpoint.address << " of " << hostCount;
   }
 }
 
@@ -223,10 +224,10 @@
   const std::vector<Endpoint> hosts = makeHosts(300);
   const auto driver = makeDriver(settingsWithCandidates(8, 100, 5), hosts);
   const std::set<std::string> subset = serveAndCollectHosts(*driver, 600);
-  std::vector<Endpoint> zoned = hosts;  // the same addresses, with this gateway's subset in one zone
-  for (Endpoint& endpoint : zoned)
+  std::vector<Endpoint> rezonedHosts = hosts;  // the same addresses, with this gateway's subset in one zone
+  for (Endpoint& endpoint : rezonedHosts)
     endpoint.zone = subset.count(endpoint.address) ? "lost" : "kept";
-  announceHosts(*driver, EndpointListKind::delta, zoned);
+  announceHosts(*driver, EndpointListKind::delta, rezonedHosts);
   // The zone is unreachable but still listed: no connection to it can be opened.
   std::size_t unreachableAttempts = 0, servedAttempts = 0;
   for (int i = 0; i < 300; ++i) {
@@ -247,7 +248,7 @@
   EXPECT_LE(unreachableAttempts, 20u) << "expected only probes of paused hosts";
   // Once the list names these hosts as removed, they receive no attempt at all, and no request is rejected.
   std::vector<Endpoint> removed;
-  for (Endpoint endpoint : zoned)
+  for (Endpoint endpoint : rezonedHosts)
     if (endpoint.zone == "lost")
       endpoint.state = EndpointState::removed, removed.push_back(endpoint);
   announceHosts(*driver, EndpointListKind::delta, removed);
@@ -305,22 +306,22 @@
 }
 
 TEST(Candidates, RetryStaysInItsCellHoweverFewHostsItHas) {
-  constexpr std::uint32_t put = 2;  // index of the keyed class, which is deduplicated within a cell
+  constexpr std::uint32_t putClass = 2;  // index of the keyed class, which is deduplicated within a cell
   const auto driver = makeDriver(settingsWithCandidates(4, 50, 3), makeHosts(400));
   for (int i = 0; i < 100; ++i) {
     for (int k = 0; k < 4; ++k)
       serveOne(*driver);  // each adds to the retry budget
-    driver->submitRequest(put);
+    driver->submitRequest(putClass);
     const SentAttempt first = driver->lastSent();
     driver->advance(milliseconds(5));
     driver->complete(first, Outcome::error, false);
     const SentAttempt second = driver->lastSent();
     ASSERT_EQ(second.request, first.request);
     ASSERT_EQ(second.attempt, 1u) << "expected a retry: another host of the cell was available";
-    const auto number = [&](const SentAttempt& attempt) {
+    const auto hostNumber = [&](const SentAttempt& attempt) {
       return std::stoi(driver->balancer.address(attempt.host).substr(5)) - 100;
     };
-    EXPECT_EQ(number(first) / 4, number(second) / 4);
+    EXPECT_EQ(hostNumber(first) / 4, hostNumber(second) / 4);
     EXPECT_NE(first.host, second.host);
     driver->serve(second);
   }
@@ -365,15 +366,15 @@
     gateways.run(10, 20);
     gateways.clearHistory();
     gateways.run(2, 20);
-    double warm = 0;
+    double perWarmHost = 0;
     for (int host = 0; host < hostCount; ++host)
-      warm += static_cast<double>(gateways.attemptsTo(host)) / hostCount;
+      perWarmHost += static_cast<double>(gateways.attemptsTo(host)) / hostCount;
     gateways.announceHosts(EndpointListKind::delta, hostCount, hostCount + 1, gateways.now());
     for (int window = 0; window < 3; ++window) {
       gateways.clearHistory();
       gateways.run(2, 20);
       const double rampFraction = 0.2 + 0.8 * (2 * window) / 10;  // at the start of the window
-      const double budget = 3 * rampFraction * warm;              // so many attempts overload the host
+      const double budget = 3 * rampFraction * perWarmHost;       // so many attempts overload the host
       const auto received = static_cast<double>(gateways.attemptsTo(hostCount));
       EXPECT_LT(received, budget) << "window " << window;
       EXPECT_LT(received, budget + 2 * std::sqrt(budget) + 2);
--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -77,7 +77,7 @@
   Driver driver(makeSettings(), 4);
   driver.warmUp(0, 40);
   const HostId silent = driver.hostId(1);
-  std::size_t early = 0;
+  std::size_t earlyAttempts = 0;
   driver.clearHistory();
   for (int i = 0; i < 150; ++i) {
     driver.submitRequest(1);
@@ -85,10 +85,10 @@
     completeDue(driver,
                 [&](HostId host) { return host == silent ? Duration{} : Duration(milliseconds(40)); });
     if (i == 30)
-      early = driver.attemptsTo(silent);
+      earlyAttempts = driver.attemptsTo(silent);
   }
-  EXPECT_GT(early, 0u);
-  EXPECT_LE(driver.attemptsTo(silent), early + 6)
+  EXPECT_GT(earlyAttempts, 0u);
+  EXPECT_LE(driver.attemptsTo(silent), earlyAttempts + 6)
       << "of about 30: expected only probes after its attempts had timed out";
 }
 
@@ -141,9 +141,9 @@
         ++index;
     }
   }
-  Endpoint fresh = makeHost(0);
-  fresh.upSince = driver.now;
-  driver.balancer.onEndpoints(driver.now, EndpointListKind::delta, {fresh});
+  Endpoint restarted = makeHost(0);
+  restarted.upSince = driver.now;
+  driver.balancer.onEndpoints(driver.now, EndpointListKind::delta, {restarted});
   while (!driver.inFlight.empty())
     driver.serve(SentAttempt(driver.inFlight.front()));
   driver.clearHistory();
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -414,7 +414,7 @@
   cold.upSince = driver.now;
   driver.balancer.onEndpoints(driver.now, EndpointListKind::delta, {cold});
   driver.clearHistory();
-  std::size_t warm = 0;
+  std::size_t toWarmHost = 0;
   // Two seconds. The cold host rejects all its attempts; rejected attempts count against the budget, too.
   for (int i = 0; i < 200; ++i) {
     driver.submitRequest(0);
@@ -427,9 +427,9 @@
         driver.serve(attempt);
     }
   }
-  warm = driver.attemptsTo(driver.hostId(0));
+  toWarmHost = driver.attemptsTo(driver.hostId(0));
   EXPECT_GT(driver.attemptsTo(driver.hostId(9)), 0u);
-  EXPECT_LT(static_cast<double>(driver.attemptsTo(driver.hostId(9))), 0.6 * static_cast<double>(warm));
+  EXPECT_LT(static_cast<double>(driver.attemptsTo(driver.hostId(9))), 0.6 * static_cast<double>(toWarmHost));
 }
 
 TEST(SlowStart, ColdHostsReceiveAtMostTheirBudgetIfAllHostsAreCold) {
