--- a/src/lab/commands/compare_command.cpp
+++ b/src/lab/commands/compare_command.cpp
@@ -53,11 +53,11 @@
 };
 
 constexpr ComparedFigure kComparedFigures[] = {
-    {"G", [](const Result& result) { return result.g; }},
-    {"whole day", [](const Result& result) { return result.whole; }},
-    {"worst 10 s", [](const Result& result) { return result.worstWindow; }},
-    {"worst class", [](const Result& result) { return result.worstClass; }},
-    {"refused", [](const Result& result) { return result.refusedShare; }},
+    {"G", [](const Result& result) { return result.score; }},
+    {"whole day", [](const Result& result) { return result.goodput; }},
+    {"worst 10 s", [](const Result& result) { return result.worstWindowGoodput; }},
+    {"worst class", [](const Result& result) { return result.worstClassGoodput; }},
+    {"refused", [](const Result& result) { return result.rejectedShare; }},
     {"failed", [](const Result& result) { return result.failedShare; }},
     {"jammed", [](const Result& result) { return result.chokedShare; }},
     {"p99 ms", [](const Result& result) { return result.p99; }},
--- a/src/lab/commands/load_command.cpp
+++ b/src/lab/commands/load_command.cpp
@@ -40,7 +40,7 @@
 void logProgress(const Load& clients) {
   const Result result = clients.result();
   spdlog::info("{} calls, {} open, {:.3f} of the worth in time, p99 {:.1f} ms", result.calls, clients.open(),
-               result.whole, result.p99);
+               result.goodput, result.p99);
 }
 
 void printLatencies(const Latencies& latencies) {
--- a/src/lab/commands/members_command.cpp
+++ b/src/lab/commands/members_command.cpp
@@ -74,10 +74,10 @@
     fmt::print(
         "three members, {} steps deep, {} crashes: {} states, {} steps, {} of the states played on until all "
         "agreed\n",
-        exploredSteps_, exploredCrashes_, explored.states, explored.steps, explored.healed);
-    for (const std::string& violation : explored.broken)
+        exploredSteps_, exploredCrashes_, explored.states, explored.steps, explored.convergenceChecks);
+    for (const std::string& violation : explored.violations)
       fmt::print("{}\n", violation);
-    return explored.broken.empty() ? kExitSuccess : kExitRuleBroken;
+    return explored.violations.empty() ? kExitSuccess : kExitRuleBroken;
   }
 
   void measureFaults() const {
--- a/src/lab/commands/run_command.cpp
+++ b/src/lab/commands/run_command.cpp
@@ -48,7 +48,7 @@
       fmt::print("{}", textOf(result));
       if (!printLog_)
         continue;
-      for (const std::string& line : result.said)
+      for (const std::string& line : result.policyLog)
         fmt::print("{}\n", line);
     }
   }
@@ -58,7 +58,7 @@
     std::vector<double> scores;
     for (const Result& result : results) {
       fmt::print("{}\n", lineOf(result));
-      scores.push_back(result.g);
+      scores.push_back(result.score);
     }
     const Estimate score = estimate(scores);
     fmt::print("mean G {:.4f} -+ {:.4f} over {} days\n", score.mean, score.half, score.count);
--- a/src/lab/commands/serve_command.cpp
+++ b/src/lab/commands/serve_command.cpp
@@ -54,7 +54,7 @@
     writeTextFile(configFile_, configOf(scenario, day, 0, 1, listen, discovery, management));
     fmt::print(
         "gateway     hollyrun serve --config {}\nrecord      curl -H 'X-Request-Id: 1' http://{}/{}/1\n",
-        configFile_, listen, scenario.classes.front().set.name);
+        configFile_, listen, scenario.classes.front().settings.name);
     fmt::print("load        hollyrun-lab load {} --to {}\n", emulation_.file(), listen);
   }
 
--- a/src/lab/commands/sweep_command.cpp
+++ b/src/lab/commands/sweep_command.cpp
@@ -25,10 +25,10 @@
 void printRow(const std::string& value, const std::string& policy, const std::vector<Result>& results) {
   std::vector<double> scores;
   for (const Result& result : results)
-    scores.push_back(result.g);
+    scores.push_back(result.score);
   const Estimate score = estimate(scores);
   fmt::print("{} {} {:.4f} {:.4f} {:.4f} {:.4f} {:.4f} {:.1f}\n", value, policy, score.mean, score.half,
-             meanOf(results, &Result::refusedShare), meanOf(results, &Result::failedShare),
+             meanOf(results, &Result::rejectedShare), meanOf(results, &Result::failedShare),
              meanOf(results, &Result::chokedShare), meanOf(results, &Result::p99));
 }
 
--- a/src/lab/report/experiment.cpp
+++ b/src/lab/report/experiment.cpp
@@ -28,7 +28,7 @@
         Result r = play(*job.scenario, job.seed, job.policy, policyNamed(job.policy));
         if (!series)
           for (ServerRecord& s : r.servers)
-            s.held = {}, s.states = {};
+            s.inFlight = {}, s.states = {};
         results[i] = std::move(r);
       } catch (...) {
         const std::lock_guard lock(guard);
--- a/src/lab/report/report.cpp
+++ b/src/lab/report/report.cpp
@@ -52,11 +52,11 @@
   std::string data = "$s << EOD\n";
   for (std::size_t i = 0; i < r.seconds.size(); ++i) {
     const Second& s = r.seconds[i];
-    const double asked = std::max(s.asked, 1e-9);
-    data +=
-        fmt::format("{} {:.4f} {:.4f} {} {} {} {} {} {} {} {:.2f} {:.2f} {:.2f} {}\n", i, s.inTime / asked,
-                    (s.inTime + s.late) / asked, s.tries, s.refused, s.failed, s.full, s.timeouts,
-                    s.connectFailed + s.resets, s.errors, s.sheddingThreshold, s.p50, s.p99, s.attempts);
+    const double asked = std::max(s.offeredValue, 1e-9);
+    data += fmt::format("{} {:.4f} {:.4f} {} {} {} {} {} {} {} {:.2f} {:.2f} {:.2f} {}\n", i,
+                        s.inTimeValue / asked, (s.inTimeValue + s.lateValue) / asked, s.requests, s.rejected,
+                        s.failed, s.rejectedAttempts, s.timeouts, s.connectFailed + s.resets, s.errors,
+                        s.sheddingThreshold, s.p50, s.p99, s.attempts);
   }
   return data + "EOD\n";
 }
@@ -96,14 +96,14 @@
 std::string heldPlot(const Result& r) {
   std::size_t samples = 0;
   for (const ServerRecord& s : r.servers)
-    samples = std::max(samples, s.held.size());
+    samples = std::max(samples, s.inFlight.size());
   std::string data = "$h << EOD\n";
   const bool each = r.servers.size() <= 20;  // beyond that their spread says more than a tangle of lines
   for (std::size_t k = 0; k < samples; ++k) {
     data += fmt::format("{:.2f}", static_cast<double>(k) * kSampleS);
     std::vector<double> held;
     for (const ServerRecord& s : r.servers) {
-      const double core = k < s.held.size() ? s.held[k] / s.cores : 0;
+      const double core = k < s.inFlight.size() ? s.inFlight[k] / s.cores : 0;
       if (each)
         data += fmt::format(" {:.2f}", core);
       else if (k < s.states.size() && s.states[k] != ServerState::gone)
@@ -153,7 +153,7 @@
           plotted(data +
                   "set logscale y\nset ylabel 'ms'\n"
                   "plot $s using 1:12 with lines title 'median', '' using 1:13 with lines title '99 %'\n");
-  if (r.servers.empty() || r.servers.front().held.empty())
+  if (r.servers.empty() || r.servers.front().inFlight.empty())
     return html;
   html += "<h3>Held by each server</h3>" + plotted(heldPlot(r));
   html += "<h3>State of each server</h3>" + plotted(statesPlot(r));
@@ -170,8 +170,9 @@
 
 std::string lineOf(const Result& r) {
   return fmt::format("{} {} {} {:.4f} {:.4f} {:.4f} {:.4f} {:.4f} {:.4f} {:.4f} {:.1f} {:.1f} {:016x}",
-                     r.scenario, r.policy, r.seed, r.g, r.whole, r.worstWindow, r.worstClass, r.refusedShare,
-                     r.failedShare, r.chokedShare, r.p50, r.p99, r.digest);
+                     r.scenario, r.policy, r.seed, r.score, r.goodput, r.worstWindowGoodput,
+                     r.worstClassGoodput, r.rejectedShare, r.failedShare, r.chokedShare, r.p50, r.p99,
+                     r.digest);
 }
 
 std::string escaped(const std::string& text) {
@@ -193,7 +194,7 @@
   std::string out = fmt::format("{}  policy {}  seed {}  calls {}  servers {}\n", r.scenario, r.policy,
                                 r.seed, r.calls, r.servers.size());
   out += fmt::format("G {:.4f}   whole day {:.4f}   worst 10 s {:.4f} (from {:.0f} s)   worst class {:.4f}\n",
-                     r.g, r.whole, r.worstWindow, r.worstAt, r.worstClass);
+                     r.score, r.goodput, r.worstWindowGoodput, r.worstWindowStartS, r.worstClassGoodput);
   out += fmt::format(
       "prices: cross zone {:.4f}, handshake {:.4f}, late fail {:.4f}, waste {:.4f}, choke {:.4f}\n",
       r.priceCrossZone, r.priceHandshake, r.priceLateFail, r.priceWaste, r.priceChoke);
@@ -201,13 +202,14 @@
       "calls refused at last {:.2f} %, failed {:.2f} %; answers after {:.1f} ms (median), {:.1f} (90 %), "
       "{:.1f} (99 "
       "%)\n",
-      100 * r.refusedShare, 100 * r.failedShare, r.p50, r.p90, r.p99);
+      100 * r.rejectedShare, 100 * r.failedShare, r.p50, r.p90, r.p99);
   out += fmt::format("tries {}, attempts {}, connections {}, events {}, digest of the actions {:016x}\n",
-                     r.tries, r.attempts, r.connections, r.events, r.digest);
+                     r.requests, r.attempts, r.connections, r.events, r.digest);
   for (const ClassRecord& c : r.classes)
     out += fmt::format(
         "class {:<14} served {:.4f}  calls {:>6}  in time {:>6}  late {:>5}  refused {:>5}  failed {:>5}\n",
-        c.name, c.asked > 0 ? c.served / c.asked : 1, c.calls, c.inTime, c.late, c.refused, c.failed);
+        c.name, c.offeredValue > 0 ? c.servedValue / c.offeredValue : 1, c.calls, c.inTime, c.late,
+        c.rejected, c.failed);
   out +=
       "  from  calls in-time%  late% refused failed  tries attempts   full  t/o  conn reset  err cutoff    "
       "p50    p99\n";
@@ -217,9 +219,9 @@
     std::size_t with = 0;
     for (std::size_t j = i; j < std::min(i + step, r.seconds.size()); ++j) {
       const Second& o = r.seconds[j];
-      s.asked += o.asked, s.inTime += o.inTime, s.late += o.late;
-      s.calls += o.calls, s.tries += o.tries, s.refused += o.refused, s.failed += o.failed;
-      s.attempts += o.attempts, s.full += o.full, s.timeouts += o.timeouts;
+      s.offeredValue += o.offeredValue, s.inTimeValue += o.inTimeValue, s.lateValue += o.lateValue;
+      s.calls += o.calls, s.requests += o.requests, s.rejected += o.rejected, s.failed += o.failed;
+      s.attempts += o.attempts, s.rejectedAttempts += o.rejectedAttempts, s.timeouts += o.timeouts;
       s.connectFailed += o.connectFailed, s.resets += o.resets, s.errors += o.errors;
       s.sheddingThreshold = std::max(s.sheddingThreshold, o.sheddingThreshold);
       s.p99 = std::max(s.p99, o.p99);
@@ -229,9 +231,10 @@
     out += fmt::format(
         "{:>6} {:>6} {:>8.1f} {:>6.1f} {:>7} {:>6} {:>6} {:>8} {:>6} {:>4} {:>5} {:>5} {:>4} {:>6.1f} "
         "{:>6.1f} {:>6.1f}\n",
-        i, s.calls, s.asked > 0 ? 100 * s.inTime / s.asked : 100, s.asked > 0 ? 100 * s.late / s.asked : 0,
-        s.refused, s.failed, s.tries, s.attempts, s.full, s.timeouts, s.connectFailed, s.resets, s.errors,
-        s.sheddingThreshold, with ? s.p50 / static_cast<double>(with) : 0, s.p99);
+        i, s.calls, s.offeredValue > 0 ? 100 * s.inTimeValue / s.offeredValue : 100,
+        s.offeredValue > 0 ? 100 * s.lateValue / s.offeredValue : 0, s.rejected, s.failed, s.requests,
+        s.attempts, s.rejectedAttempts, s.timeouts, s.connectFailed, s.resets, s.errors, s.sheddingThreshold,
+        with ? s.p50 / static_cast<double>(with) : 0, s.p99);
   }
   std::vector<std::pair<double, std::string>> chokes;
   for (const ServerRecord& s : r.servers)
@@ -239,10 +242,10 @@
       chokes.emplace_back(
           inSeconds(c.from),
           fmt::format("{:>10.3f} s  {} ({}, {}) jams holding {:.1f} a core{}\n", inSeconds(c.from), s.address,
-                      s.kind, s.zone, c.held,
+                      s.kind, s.zone, c.inFlightPerCore,
                       c.to > Time{} ? fmt::format(", until {:.3f} s", inSeconds(c.to)) : ", for good"));
   std::sort(chokes.begin(), chokes.end());
-  for (const std::string& text : r.happened)
+  for (const std::string& text : r.timeline)
     out += "  " + text + "\n";
   for (const auto& [at, text] : chokes)
     out += text;
@@ -273,8 +276,9 @@
         "<tr><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{:.4f}</td><td>{:.4f}</td><td>{:.4f}</"
         "td><td>{:.4f}</td>"
         "<td>{:.1f} %</td><td>{:.1f} %</td><td>{:.0f} %</td><td>{:.1f}</td><td>{:.1f}</td></tr>",
-        escaped(run.label), escaped(r.scenario), escaped(r.policy), r.seed, r.g, r.whole, r.worstWindow,
-        r.worstClass, 100 * r.refusedShare, 100 * r.failedShare, 100 * r.chokedShare, r.p50, r.p99);
+        escaped(run.label), escaped(r.scenario), escaped(r.policy), r.seed, r.score, r.goodput,
+        r.worstWindowGoodput, r.worstClassGoodput, 100 * r.rejectedShare, 100 * r.failedShare,
+        100 * r.chokedShare, r.p50, r.p99);
   }
   html += "</table>";
   for (const StoredRun& run : runs) {
--- a/src/lab/report/report.hpp
+++ b/src/lab/report/report.hpp
@@ -14,7 +14,7 @@
 std::string textOf(const Result& result);
 /// One line: the figures that are compared.
 std::string lineOf(const Result& result);
-/// `RULE lost at 3.250 s: request 17, server 10.0.0.1:80: no answer in its time`
+/// `RULE lost at 3.250 s: request 17, server 10.0.0.1:80: no answer before its deadline`
 std::string lineOf(const Breach& breach);
 
 /// As it may stand in HTML.
--- a/src/lab/report/store.cpp
+++ b/src/lab/report/store.cpp
@@ -122,10 +122,10 @@
 StoredRun readRun(Statement& in) {
   StoredRun s;
   Result& r = s.result;
-  in.columns(s.id, s.label, s.at, r.scenario, r.policy, r.seed, r.g, r.whole, r.worstWindow, r.worstAt,
-             r.worstClass, r.priceCrossZone, r.priceWaste, r.priceLateFail, r.priceHandshake, r.priceChoke,
-             r.calls, r.tries, r.attempts, r.connections, r.events, r.refusedShare, r.failedShare,
-             r.chokedShare, r.p50, r.p90, r.p99, r.digest);
+  in.columns(s.id, s.label, s.at, r.scenario, r.policy, r.seed, r.score, r.goodput, r.worstWindowGoodput,
+             r.worstWindowStartS, r.worstClassGoodput, r.priceCrossZone, r.priceWaste, r.priceLateFail,
+             r.priceHandshake, r.priceChoke, r.calls, r.requests, r.attempts, r.connections, r.events,
+             r.rejectedShare, r.failedShare, r.chokedShare, r.p50, r.p90, r.p99, r.digest);
   return s;
 }
 
@@ -174,35 +174,36 @@
     Statement happened(db, "INSERT INTO happened VALUES (?,?)");
     Statement digest(db, "INSERT INTO digests VALUES (?,?)");
     for (const Result& r : results) {
-      run.insert(label, r.scenario, r.policy, r.seed, r.g, r.whole, r.worstWindow, r.worstAt, r.worstClass,
-                 r.priceCrossZone, r.priceWaste, r.priceLateFail, r.priceHandshake, r.priceChoke, r.calls,
-                 r.tries, r.attempts, r.connections, r.events, r.refusedShare, r.failedShare, r.chokedShare,
-                 r.p50, r.p90, r.p99);
+      run.insert(label, r.scenario, r.policy, r.seed, r.score, r.goodput, r.worstWindowGoodput,
+                 r.worstWindowStartS, r.worstClassGoodput, r.priceCrossZone, r.priceWaste, r.priceLateFail,
+                 r.priceHandshake, r.priceChoke, r.calls, r.requests, r.attempts, r.connections, r.events,
+                 r.rejectedShare, r.failedShare, r.chokedShare, r.p50, r.p90, r.p99);
       const std::int64_t id = sqlite3_last_insert_rowid(db);
       digest.insert(id, r.digest);
       for (const ClassRecord& c : r.classes)
-        cls.insert(id, c.name, c.asked, c.served, c.calls, c.inTime, c.late, c.refused, c.failed);
+        cls.insert(id, c.name, c.offeredValue, c.servedValue, c.calls, c.inTime, c.late, c.rejected,
+                   c.failed);
       for (std::size_t i = 0; i < r.seconds.size(); ++i) {
         const Second& s = r.seconds[i];
-        second.insert(id, static_cast<std::int64_t>(i), s.asked, s.inTime, s.late, s.calls, s.tries,
-                      s.refused, s.failed, s.attempts, s.full, s.timeouts, s.connectFailed, s.resets,
-                      s.errors, s.sheddingThreshold, s.p50, s.p99);
+        second.insert(id, static_cast<std::int64_t>(i), s.offeredValue, s.inTimeValue, s.lateValue, s.calls,
+                      s.requests, s.rejected, s.failed, s.attempts, s.rejectedAttempts, s.timeouts,
+                      s.connectFailed, s.resets, s.errors, s.sheddingThreshold, s.p50, s.p99);
       }
       for (std::size_t i = 0; i < r.servers.size(); ++i) {
         const ServerRecord& s = r.servers[i];
         const auto number = static_cast<std::int64_t>(i);
         if (series) {
           server.bind(id).bind(number).bind(s.address).bind(s.zone).bind(s.kind).bind(s.cores).bind(s.speed);
-          server.blob(s.held.data(), s.held.size() * sizeof(float));
+          server.blob(s.inFlight.data(), s.inFlight.size() * sizeof(float));
           server.blob(s.states.data(), s.states.size() * sizeof(ServerState));
           server.finish();
         }
         for (const Server::Choke& c : s.chokes)
-          choke.insert(id, number, inSeconds(c.from), inSeconds(c.to), c.held);
+          choke.insert(id, number, inSeconds(c.from), inSeconds(c.to), c.inFlightPerCore);
       }
       for (const Breach& b : r.breaches)
         breach.insert(id, std::string(nameOf(b.rule)), inSeconds(b.at), b.request, b.server, b.what);
-      for (const std::string& text : r.happened)
+      for (const std::string& text : r.timeline)
         happened.insert(id, text);
     }
     execute("COMMIT");
@@ -236,7 +237,7 @@
   classes.bind(id);
   while (classes.row()) {
     ClassRecord c;
-    classes.columns(c.name, c.asked, c.served, c.calls, c.inTime, c.late, c.refused, c.failed);
+    classes.columns(c.name, c.offeredValue, c.servedValue, c.calls, c.inTime, c.late, c.rejected, c.failed);
     r.classes.push_back(c);
   }
   Statement seconds(
@@ -246,8 +247,9 @@
   seconds.bind(id);
   while (seconds.row()) {
     Second x;
-    seconds.columns(x.asked, x.inTime, x.late, x.calls, x.tries, x.refused, x.failed, x.attempts, x.full,
-                    x.timeouts, x.connectFailed, x.resets, x.errors, x.sheddingThreshold, x.p50, x.p99);
+    seconds.columns(x.offeredValue, x.inTimeValue, x.lateValue, x.calls, x.requests, x.rejected, x.failed,
+                    x.attempts, x.rejectedAttempts, x.timeouts, x.connectFailed, x.resets, x.errors,
+                    x.sheddingThreshold, x.p50, x.p99);
     r.seconds.push_back(x);
   }
   Statement servers(
@@ -257,7 +259,7 @@
   while (servers.row()) {
     ServerRecord x;
     servers.columns(x.address, x.zone, x.kind, x.cores, x.speed);
-    servers.readBlob(x.held);
+    servers.readBlob(x.inFlight);
     servers.readBlob(x.states);
     r.servers.push_back(std::move(x));
   }
@@ -287,7 +289,7 @@
   while (happened.row()) {
     std::string text;
     happened.columns(text);
-    r.happened.push_back(text);
+    r.timeline.push_back(text);
   }
   return s;
 }
--- a/src/lab/simulation/checker.cpp
+++ b/src/lab/simulation/checker.cpp
@@ -28,141 +28,146 @@
   return "?";
 }
 
-void Checker::breach(Rule rule, Time now, std::uint64_t request, const std::string& server,
-                     const std::string& what) {
+void Checker::addBreach(Rule rule, Time now, std::uint64_t request, const std::string& server,
+                        const std::string& what) {
   breaches_.push_back({rule, now, request, server, what});
 }
 
-void Checker::forget(std::uint64_t request) {
-  const auto it = open_.find(request);
-  if (it == open_.end() || !it->second.ended || figures_.wireSlack > Duration{})
+void Checker::eraseIfComplete(std::uint64_t request) {
+  const auto it = requests_.find(request);
+  if (it == requests_.end() || !it->second.ended || tolerances_.wireSlack > Duration{})
     return;
   const auto& attempts = it->second.attempts;
-  if (std::none_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; }))
-    open_.erase(it);
+  if (std::none_of(attempts.begin(), attempts.end(), [](const Attempt& attempt) { return attempt.inFlight; }))
+    requests_.erase(it);
 }
 
-void Checker::taken(std::uint64_t request, const balancer::ClassSettings& set, Time deadline) {
-  open_[request] = Taken{set, deadline, false, false, {}, {}};
+void Checker::requestAccepted(std::uint64_t request, const balancer::ClassSettings& settings, Time deadline) {
+  requests_[request] = TrackedRequest{settings, deadline, false, false, {}, {}};
 }
 
-// What is wrong with a further attempt there, given an earlier one; empty if nothing is.
-std::string Checker::repeatFault(const Taken& t, const Attempt& a, Time now,
-                                 const balancer::Endpoint& entry) const {
-  if (a.out && !figures_.allowHedging)
-    return "two attempts out at a time";
-  if (!a.mayHaveExecuted || t.set.idempotency == Idempotency::idempotent)
+// Describes the rule that a further attempt to `entry` violates, given an earlier attempt; empty if it
+// violates none.
+std::string Checker::repeatViolation(const TrackedRequest& request, const Attempt& earlier, Time now,
+                                     const balancer::Endpoint& entry) const {
+  if (earlier.inFlight && !tolerances_.allowHedging)
+    return "two attempts in flight at the same time";
+  if (!earlier.mayHaveExecuted || request.settings.idempotency == Idempotency::idempotent)
     return {};
-  if (t.set.idempotency == Idempotency::none)
-    return "sent again though it may have run";
-  if ((t.set.deduplicationScope == DeduplicationScope::zone && a.zone != entry.zone) ||
-      (t.set.deduplicationScope == DeduplicationScope::cell && a.cell != entry.cell))
-    return "repeated outside the group of its first server";
-  return now > a.at + t.set.deduplicationWindow ? "repeated past the window" : "";
+  if (request.settings.idempotency == Idempotency::none)
+    return "sent again although an earlier attempt may have been executed";
+  if ((request.settings.deduplicationScope == DeduplicationScope::zone && earlier.zone != entry.zone) ||
+      (request.settings.deduplicationScope == DeduplicationScope::cell && earlier.cell != entry.cell))
+    return "repeated outside the deduplication scope of the first server";
+  return now > earlier.sentAt + request.settings.deduplicationWindow
+             ? "repeated after the deduplication window"
+             : "";
 }
 
-void Checker::sent(Time now, std::uint32_t gateway, std::uint64_t request, std::uint32_t server,
-                   const balancer::Endpoint& entry) {
-  const auto closed = closedSince_.find(pair(gateway, server));
-  if (closed != closedSince_.end() && now - closed->second > figures_.drainGrace) {
+void Checker::attemptSent(Time now, std::uint32_t gateway, std::uint64_t request, std::uint32_t server,
+                          const balancer::Endpoint& entry) {
+  const auto notServing = notServingSince_.find(gatewayServerKey(gateway, server));
+  if (notServing != notServingSince_.end() && now - notServing->second > tolerances_.drainGrace) {
     char text[96];
-    std::snprintf(text, sizeof text, "sent %.3f s after gateway %u was told that it drains or is gone",
-                  inSeconds(now - closed->second), gateway);
-    breach(Rule::drain, now, request, entry.address, text);
+    std::snprintf(text, sizeof text, "sent %.3f s after discovery announced drain or removal to gateway %u",
+                  inSeconds(now - notServing->second), gateway);
+    addBreach(Rule::drain, now, request, entry.address, text);
   }
-  const auto it = open_.find(request);
-  if (it == open_.end() ||
-      (it->second.ended && !it->second.excused && now - it->second.endedAt >= figures_.wireSlack))
-    return breach(Rule::lost, now, request, entry.address, "sent after the request had ended");
-  Taken& t = it->second;
-  for (const Attempt& a : t.attempts) {
-    const std::string wrong = repeatFault(t, a, now, entry);
-    if (wrong.empty())
+  const auto it = requests_.find(request);
+  if (it == requests_.end() ||
+      (it->second.ended && !it->second.excused && now - it->second.endedAt >= tolerances_.wireSlack))
+    return addBreach(Rule::lost, now, request, entry.address, "sent after the request had ended");
+  TrackedRequest& tracked = it->second;
+  for (const Attempt& earlier : tracked.attempts) {
+    const std::string violation = repeatViolation(tracked, earlier, now, entry);
+    if (violation.empty())
       continue;
-    breach(Rule::duplicate, now, request, entry.address, wrong);
+    addBreach(Rule::duplicate, now, request, entry.address, violation);
     break;
   }
-  t.attempts.push_back({server, entry.zone, entry.cell, now});
+  tracked.attempts.push_back({server, entry.zone, entry.cell, now});
 }
 
-void Checker::outcome(std::uint64_t request, std::uint32_t attempt, Outcome outcome) {
-  const auto it = open_.find(request);
-  if (it == open_.end() || attempt >= it->second.attempts.size())
+void Checker::attemptEnded(std::uint64_t request, std::uint32_t attempt, Outcome outcome) {
+  const auto it = requests_.find(request);
+  if (it == requests_.end() || attempt >= it->second.attempts.size())
     return;
-  Attempt& a = it->second.attempts[attempt];
-  a.out = false;
+  Attempt& ended = it->second.attempts[attempt];
+  ended.inFlight = false;
   if (outcome == Outcome::rejected || outcome == Outcome::connectFailed || outcome == Outcome::abandoned ||
       outcome == Outcome::localFailure)
-    a.mayHaveExecuted = false;
-  forget(request);
+    ended.mayHaveExecuted = false;
+  eraseIfComplete(request);
 }
 
-void Checker::answered(Time now, std::uint64_t request, bool refused) {
-  const auto it = open_.find(request);
-  if (it == open_.end() || it->second.ended)
+void Checker::rejectedOrFailed(Time now, std::uint64_t request, bool rejected) {
+  const auto it = requests_.find(request);
+  if (it == requests_.end() || it->second.ended)
     return;
-  Taken& t = it->second;
-  if (now > t.deadline + figures_.answerSlack)
-    breach(Rule::lost, now, request, "", "answered after its time");
-  if (refused && t.set.idempotency != Idempotency::idempotent &&
-      !(t.set.idempotency == Idempotency::keyed && t.set.deduplicationScope == DeduplicationScope::all))
-    for (const Attempt& a : t.attempts)
-      if (a.mayHaveExecuted) {
-        breach(Rule::duplicate, now, request, "", "refused though it may have run");
+  TrackedRequest& tracked = it->second;
+  if (now > tracked.deadline + tolerances_.answerSlack)
+    addBreach(Rule::lost, now, request, "", "answered after its deadline");
+  if (rejected && tracked.settings.idempotency != Idempotency::idempotent &&
+      !(tracked.settings.idempotency == Idempotency::keyed &&
+        tracked.settings.deduplicationScope == DeduplicationScope::all))
+    for (const Attempt& attempt : tracked.attempts)
+      if (attempt.mayHaveExecuted) {
+        addBreach(Rule::duplicate, now, request, "", "rejected although an attempt may have been executed");
         break;
       }
-  t.ended = true;
-  t.endedAt = now;
-  forget(request);
+  tracked.ended = true;
+  tracked.endedAt = now;
+  eraseIfComplete(request);
 }
 
-void Checker::served(std::uint64_t request, Time now) {
-  const auto it = open_.find(request);
-  if (it == open_.end())
+void Checker::requestServed(std::uint64_t request, Time now) {
+  const auto it = requests_.find(request);
+  if (it == requests_.end())
     return;
   it->second.ended = true;
   it->second.endedAt = now;
-  forget(request);
+  eraseIfComplete(request);
 }
 
-void Checker::due(Time now, std::uint64_t request) {
-  const auto it = open_.find(request);
-  if (it == open_.end() || it->second.ended)
+void Checker::answerDue(Time now, std::uint64_t request) {
+  const auto it = requests_.find(request);
+  if (it == requests_.end() || it->second.ended)
     return;
-  breach(Rule::lost, now, request, "", "no answer in its time");
+  addBreach(Rule::lost, now, request, "", "no answer before its deadline");
   it->second.ended = true;
   it->second.endedAt = now;
-  forget(request);
+  eraseIfComplete(request);
 }
 
-void Checker::excused(std::uint64_t request) {
-  const auto it = open_.find(request);
-  if (it != open_.end())
+void Checker::excuse(std::uint64_t request) {
+  const auto it = requests_.find(request);
+  if (it != requests_.end())
     it->second.ended = it->second.excused = true;
 }
 
-std::size_t Checker::attempts(std::uint64_t request) const {
-  const auto it = open_.find(request);
-  return it == open_.end() ? 0 : it->second.attempts.size();
+std::size_t Checker::attemptCount(std::uint64_t request) const {
+  const auto it = requests_.find(request);
+  return it == requests_.end() ? 0 : it->second.attempts.size();
 }
 
-void Checker::told(Time now, std::uint32_t gateway, std::uint32_t server, EndpointState state) {
+void Checker::endpointAnnounced(Time now, std::uint32_t gateway, std::uint32_t server, EndpointState state) {
   if (state == EndpointState::serving)
-    closedSince_.erase(pair(gateway, server));
+    notServingSince_.erase(gatewayServerKey(gateway, server));
   else
-    closedSince_.emplace(pair(gateway, server), now);
+    notServingSince_.emplace(gatewayServerKey(gateway, server), now);
 }
 
-void Checker::restarted(std::uint32_t gateway) {
-  std::erase_if(closedSince_, [&](const auto& e) { return e.first >> 32 == gateway; });
+void Checker::gatewayRestarted(std::uint32_t gateway) {
+  std::erase_if(notServingSince_, [&](const auto& entry) { return entry.first >> 32 == gateway; });
 }
 
-void Checker::fell(Time now, const std::string& server, double informed) {
+void Checker::coldServerOverloaded(Time now, const std::string& server, double informedShare) {
   char text[96];
-  std::snprintf(text, sizeof text, "cold server pushed over, %.0f %% of the work by gateways that knew",
-                100 * informed);
-  if (informed >= 2.0 / 3)
-    breach(Rule::fall, now, 0, server, text);
+  std::snprintf(text, sizeof text,
+                "overloaded while warming up, %.0f %% of the work by gateways that knew of the start",
+                100 * informedShare);
+  if (informedShare >= 2.0 / 3)
+    addBreach(Rule::fall, now, 0, server, text);
 }
 
 }  // namespace hollyrun::lab
--- a/src/lab/simulation/cost.hpp
+++ b/src/lab/simulation/cost.hpp
@@ -1,5 +1,5 @@
-// What the decision module alone costs: processor time a request, of its sweeps, of lists and of settings,
-// and its memory, for one gateway of a fleet of a given size.
+// Measures the cost of the decision module alone: processor time per request, sweep, endpoint list and
+// settings change, and its memory, for one gateway of a fleet of a given size.
 #pragma once
 
 #include <cstddef>
@@ -9,29 +9,29 @@
 
 namespace hollyrun::lab {
 
-/// The size that is played.
+/// The simulated size.
 struct CostSettings {
   std::size_t gateways = 410, hosts = 200, tenants = 0, classes = 3;
-  double rate = 80;              ///< requests a second of this gateway
-  std::uint32_t candidates = 0;  ///< of Settings
+  double rate = 80;              ///< requests per second of this gateway
+  std::uint32_t candidates = 0;  ///< see balancer::Settings::candidates
   std::size_t requests = 4000;
   std::uint64_t seed = 1;
 };
 
-/// One row: times are processor time of this process.
+/// One row of the table. Times are processor time of this process.
 struct CostRow {
   CostSettings size;
-  double requestMedianNs = 0, requestP99Ns = 0;  ///< of a request with all its events
-  double sweepUs = 0;                            ///< of one wake with a sweep, in the median
-  double listMs = 0, updateUs = 0;               ///< of a whole list; of an update of one host, in the median
-  double startMs = 0, reloadMs = 0;  ///< of the first settings; of settings with one class changed
-  double memoryMb = 0;               ///< allocated by the module at the end
-  std::uint64_t actions = 0, refused = 0;
-  std::uint64_t digest = 0;  ///< of all its actions: equal for builds that decide alike
+  double requestMedianNs = 0, requestP99Ns = 0;  ///< one request with all its events
+  double sweepUs = 0;                            ///< median of the wakes with a sweep
+  double listMs = 0, updateUs = 0;               ///< a snapshot; the median update of one host
+  double startMs = 0, reloadMs = 0;              ///< the first settings; settings with one changed class
+  double memoryMb = 0;                           ///< memory of the module at the end of the run
+  std::uint64_t actions = 0, rejected = 0;
+  std::uint64_t digest = 0;  ///< of all actions: equal for builds that make the same decisions
 };
 
-/// Plays one gateway's module in virtual time: keyed and unkeyed requests of all classes and tenants, servers
-/// that fail, restart and change, and one reload of the settings. The same settings give the same actions.
+/// Runs the module of one gateway in virtual time with keyed and unkeyed requests of all classes and tenants,
+/// servers that fail, restart and change, and one reload of the settings. Equal settings give equal actions.
 CostRow measureCost(const CostSettings& settings);
 std::string textOf(const std::vector<CostRow>& rows);
 
--- a/src/lab/simulation/digest.hpp
+++ b/src/lab/simulation/digest.hpp
@@ -1,4 +1,4 @@
-// A digest of the decision module's actions, to tell whether two builds of it decide alike.
+// A digest of the decision module's actions, to check whether two builds of it make the same decisions.
 #pragma once
 
 #include <bit>
@@ -9,8 +9,8 @@
 
 namespace hollyrun::lab {
 
-/// FNV-1a over what each action does, in the order in which they were given out. The text of log actions and
-/// the reasons for the operator are left out: they may be reworded without a change of decisions.
+/// FNV-1a over the effect of each action, in the order in which the module issued them. The text of log
+/// actions and the reasons for the operator are excluded, since rewording them changes no decision.
 class ActionDigest {
  public:
   void add(std::uint32_t gateway, const balancer::Action& action) {
@@ -19,9 +19,9 @@
     addNumber(action.request);
     addNumber(action.attempt);
     addNumber(action.host);
-    // At most one of the three is set.
+    // At most one of these three durations is set.
     addNumber(std::bit_cast<std::uint64_t>((action.timeLimit + action.retryAfter + action.wakeAt).count()));
-    // Zero in a log action: so it was in the digests of earlier versions.
+    // Log actions count as zero to keep digests comparable with those of earlier versions.
     const bool log = action.kind == balancer::ActionKind::log;
     addNumber(log ? 0 : std::bit_cast<std::uint64_t>(action.latestStart.count()));
   }
--- a/src/lab/simulation/draw.hpp
+++ b/src/lab/simulation/draw.hpp
@@ -1,5 +1,5 @@
-// What a scenario's ranges come to on the day of one seed: the day's figures, the fleet of record servers and
-// each of its machines. The day in virtual time and the one on sockets draw the same.
+// Draws the parameters of one seed's day from the ranges of a scenario: the day, the fleet of servers and
+// each of its machines. The simulation in virtual time and the testbed on sockets draw the same values.
 #pragma once
 
 #include <cstdint>
@@ -12,77 +12,85 @@
 namespace hollyrun::lab {
 
 struct DrawnClass {
-  balancer::ClassSettings set;
-  double share = 1, work = 0, cv = 0, noise = 0;  // share of 1; work in seconds
+  balancer::ClassSettings settings;
+  double share = 1;  // of all requests
+  double work = 0;   // mean, in seconds on a core of speed 1
+  double workCv = 0, attemptNoise = 0;
 };
 
-/// Times in seconds.
+/// The parameters of a day. Times are in seconds, delays one way.
 struct DrawnDay {
   DrawnDay(const Scenario& scenario, std::uint64_t seed);
 
-  double pace = 1, level = 0, swing = 0, period = 20;
-  double sameHop = 0, crossHop = 0, clientHop = 0, jitter = 0;
-  unsigned retries = 0;
-  double tryShare = 0.5, backoff = 0, honour = 0, handshakeRtts = 1, handshakeWork = 0, lookPeriod = 0;
-  bool chokes = false;
-  std::vector<double> keyWeights;  // summed up
+  double timeScale = 1, loadLevel = 0, loadAmplitude = 0, loadPeriod = 20;
+  double sameZoneDelay = 0, crossZoneDelay = 0, clientDelay = 0, jitter = 0;
+  unsigned maxRetries = 0;
+  double requestTimeoutShare = 0.5;  // timeout of one client request, as a share of the client's timeout
+  double backoff = 0, retryAfterCompliance = 0, handshakeRtts = 1, handshakeWork = 0;
+  double discoveryPollPeriod = 0;
+  bool chokesEnabled = false;
+  std::vector<double> cumulativeKeyWeights;
   std::vector<DrawnClass> classes;
-  double meanWork = 0, longest = 0;  // of a request; the longest wait of a client
+  double meanWork = 0;  // of a request
+  double longestClientTimeout = 0;
   std::vector<double> zoneShare;
 };
 
 struct Surge {
-  double from = 0, to = 0, size = 1;  // seconds; times the usual load
+  double from = 0, to = 0;  // seconds
+  double factor = 1;        // of the usual load
 };
 
-/// A client's first try: when, in seconds, and what.
+/// The arrival of a client's first request.
 struct Arrival {
-  double at = 0;
-  std::uint32_t cls = 0, zone = 0;
+  double at = 0;  // seconds
+  std::uint32_t classIndex = 0, zone = 0;
   double work = 0;  // seconds on a core of speed 1
   std::uint64_t key = 0;
 };
 
-/// The whole day's, in order, around `base` a second.
+/// All arrivals of the day in order, with a mean rate of `base` per second.
 std::vector<Arrival> arrivalsOf(const Scenario& scenario, std::uint64_t seed, const DrawnDay& day,
                                 double base, const std::vector<Surge>& surges);
 
-/// How a client's try without success went.
+/// The result of a client request that was not served.
 struct Unserved {
-  bool refused = false, unreachable = false;
-  Duration after{};  // Retry-After
+  bool rejected = false, unreachable = false;
+  Duration retryAfter{};
 };
 
-/// Seconds until a client tries again by its class and habits, after its `tries`th try of a call.
-/// `left` are the retries it still has, `passed` the time since its first try. None: it leaves it at that.
-std::optional<double> retryWait(const DrawnDay& day, std::uint64_t seed, std::uint32_t call, unsigned tries,
-                                unsigned left, const balancer::ClassSettings& set, const Unserved& how,
-                                Duration passed);
+/// The seconds until a client retries a call after `requests` requests, of which `retriesLeft` retries remain
+/// and `elapsed` has passed since the first. Returns nullopt if the client gives up.
+std::optional<double> retryWait(const DrawnDay& day, std::uint64_t seed, std::uint32_t call,
+                                unsigned requests, unsigned retriesLeft,
+                                const balancer::ClassSettings& settings, const Unserved& result,
+                                Duration elapsed);
 
 struct DrawnFleet {
   DrawnFleet(const Scenario& scenario, std::uint64_t seed);
 
   struct Kind {
-    double speed = 1, cv = 0;
-    bool expired = false, cancelled = false;
+    double speed = 1, speedCv = 0;
+    bool dropsExpired = false, dropsCancelled = false;
   };
   std::vector<Kind> kinds;
-  std::vector<std::size_t> kindOf;  // of each machine at the day's start
+  std::vector<std::size_t> kindOf;  // index of the kind of each machine at the start of the day
   std::size_t cellSize = 6;
 };
 
 struct DrawnMachine {
-  ServerFigures figures;
+  ServerParameters parameters;
   balancer::Endpoint entry;
 };
 
-DrawnMachine drawMachine(const Scenario& scenario, std::uint64_t seed, const DrawnFleet& fleet, bool chokes,
-                         std::uint32_t number, std::size_t kind, std::uint32_t zone, std::size_t cell);
+DrawnMachine drawMachine(const Scenario& scenario, std::uint64_t seed, const DrawnFleet& fleet,
+                         bool chokesEnabled, std::uint32_t number, std::size_t kind, std::uint32_t zone,
+                         std::size_t cell);
 
-/// Work a second of all machines of the day's start, warm and well.
+/// Work per second of all machines at the start of the day, warmed up and without faults.
 double capacityOf(const Scenario& scenario, std::uint64_t seed, const DrawnFleet& fleet);
 
-/// The module's settings on that day, but for what tells one gateway from another.
+/// The module's settings on that day, without those that differ between gateways.
 balancer::Settings moduleSettings(const Scenario& scenario, const DrawnDay& day);
 
 }  // namespace hollyrun::lab
--- a/src/lab/simulation/explore.cpp
+++ b/src/lab/simulation/explore.cpp
@@ -20,229 +20,236 @@
 using membership::Time;
 
 constexpr std::size_t kMembers = 3;
-constexpr std::size_t kUnderWay = 6;  // datagrams at a time; the oldest are lost beyond
-constexpr std::size_t kBrokenMost = 5;
-constexpr double kHealPeriods = 200;  // three members have one helper: a suspicion may last its longest
+constexpr std::size_t kMaxInFlight = 6;  // datagrams; beyond it the oldest are lost
+constexpr std::size_t kMaxReportedViolations = 5;
+constexpr int kMaxStartupTimers = 400;
+// With three members only one other can confirm a suspicion, so a suspicion may last for its maximum.
+constexpr double kConvergencePeriods = 200;
 
-struct UnderWay {
+struct InFlightDatagram {
   std::size_t from, to;
   std::string bytes;
 };
 
 struct World {
   std::array<std::optional<Membership>, kMembers> members;
-  std::vector<UnderWay> way;
+  std::vector<InFlightDatagram> inFlight;
   Time now{};
-  unsigned crashes = 0, lives = 0;
+  unsigned crashes = 0, startCount = 0;
   std::array<std::uint64_t, kMembers> incarnations{};
 };
 
 membership::MembershipSettings settings() {
-  membership::MembershipSettings s;
-  s.seeds = {{0x7f000001, 1000}, {0x7f000001, 1001}};
-  return s;
+  membership::MembershipSettings result;
+  result.seeds = {{0x7f000001, 1000}, {0x7f000001, 1001}};
+  return result;
 }
 
 membership::Address addressOf(std::size_t i) {
   return {0x7f000001, static_cast<std::uint16_t>(1000 + i)};
 }
 
-void start(World& w, std::size_t i) {
+void start(World& world, std::size_t i) {
   MemberRecord self;
   self.name = std::string(1, static_cast<char>('a' + i));
   self.address = addressOf(i);
-  ++w.lives;
-  w.members[i].emplace(settings(), self, 100 * i + w.lives, w.now);
-  w.incarnations[i] = 0;
+  ++world.startCount;
+  world.members[i].emplace(settings(), self, 100 * i + world.startCount, world.now);
+  world.incarnations[i] = 0;
 }
 
-void collect(World& w, std::size_t i) {
-  Membership& m = *w.members[i];
-  for (membership::Datagram& d : std::exchange(m.datagrams(), {}))
+void collect(World& world, std::size_t i) {
+  Membership& member = *world.members[i];
+  for (membership::Datagram& datagram : std::exchange(member.datagrams(), {}))
     for (std::size_t to = 0; to < kMembers; ++to)
-      if (addressOf(to) == d.to && to != i)
-        w.way.push_back({i, to, std::move(d.bytes)});
-  m.events().clear();
-  while (w.way.size() > kUnderWay)
-    w.way.erase(w.way.begin());
+      if (addressOf(to) == datagram.to && to != i)
+        world.inFlight.push_back({i, to, std::move(datagram.bytes)});
+  member.events().clear();
+  while (world.inFlight.size() > kMaxInFlight)
+    world.inFlight.erase(world.inFlight.begin());
 }
 
-void arrive(World& w, std::size_t which) {
-  const UnderWay one = w.way[which];
-  w.way.erase(w.way.begin() + static_cast<std::ptrdiff_t>(which));
-  if (!w.members[one.to])
+void deliver(World& world, std::size_t which) {
+  const InFlightDatagram datagram = world.inFlight[which];
+  world.inFlight.erase(world.inFlight.begin() + static_cast<std::ptrdiff_t>(which));
+  if (!world.members[datagram.to])
     return;
-  w.members[one.to]->onDatagram(w.now, addressOf(one.from), one.bytes);
-  collect(w, one.to);
+  world.members[datagram.to]->onDatagram(world.now, addressOf(datagram.from), datagram.bytes);
+  collect(world, datagram.to);
 }
 
-void passTime(World& w) {
+void advanceTime(World& world) {
   Time next = Time::max();
-  for (const auto& m : w.members)
-    if (m)
-      next = std::min(next, m->wakeAt());
+  for (const auto& member : world.members)
+    if (member)
+      next = std::min(next, member->wakeAt());
   if (next == Time::max())
     return;
-  w.now = std::max(w.now, next);
+  world.now = std::max(world.now, next);
   for (std::size_t i = 0; i < kMembers; ++i)
-    if (w.members[i] && w.members[i]->wakeAt() <= w.now)
-      w.members[i]->onWake(w.now), collect(w, i);
+    if (world.members[i] && world.members[i]->wakeAt() <= world.now)
+      world.members[i]->onWake(world.now), collect(world, i);
 }
 
-std::string keyOf(const World& w) {
-  std::string key = std::to_string(w.crashes) + ";";
-  for (const auto& m : w.members)
-    key += (m ? m->fingerprint(w.now) : "-") + ";";
-  std::vector<std::string> way;
-  for (const UnderWay& one : w.way) {
+std::string stateKey(const World& world) {
+  std::string key = std::to_string(world.crashes) + ";";
+  for (const auto& member : world.members)
+    key += (member ? member->fingerprint(world.now) : "-") + ";";
+  std::vector<std::string> datagrams;
+  for (const InFlightDatagram& datagram : world.inFlight) {
     membership::DecodeError error{};
-    const auto m = membership::decode(one.bytes, settings().fleet, error);
-    std::string text =
-        std::to_string(one.from) + std::to_string(one.to) + std::to_string(static_cast<int>(m->type)) + "," +
-        std::to_string(m->sender.incarnation) + "," + std::to_string(static_cast<int>(m->sender.state));
-    for (const MemberRecord& r : m->updates)
-      text += "," + r.name + std::to_string(r.incarnation) + std::to_string(static_cast<int>(r.state));
-    way.push_back(std::move(text));
+    const auto message = membership::decode(datagram.bytes, settings().fleet, error);
+    std::string text = std::to_string(datagram.from) + std::to_string(datagram.to) +
+                       std::to_string(static_cast<int>(message->type)) + "," +
+                       std::to_string(message->sender.incarnation) + "," +
+                       std::to_string(static_cast<int>(message->sender.state));
+    for (const MemberRecord& record : message->updates)
+      text += "," + record.name + std::to_string(record.incarnation) +
+              std::to_string(static_cast<int>(record.state));
+    datagrams.push_back(std::move(text));
   }
-  std::sort(way.begin(), way.end());  // the network keeps no order
-  for (const std::string& text : way)
+  std::sort(datagrams.begin(), datagrams.end());  // the network doesn't preserve the order
+  for (const std::string& text : datagrams)
     key += text + ";";
   return key;
 }
 
-bool agree(const World& w) {
+bool viewsAgree(const World& world) {
   std::size_t living = 0;
   std::optional<std::uint64_t> digest;
-  for (const auto& m : w.members)
-    living += m.has_value();
-  for (const auto& m : w.members) {
-    if (!m)
+  for (const auto& member : world.members)
+    living += member.has_value();
+  for (const auto& member : world.members) {
+    if (!member)
       continue;
-    if (m->presentCount() != living || (digest && *digest != m->digest()))
+    if (member->presentCount() != living || (digest && *digest != member->digest()))
       return false;
-    digest = m->digest();
+    digest = member->digest();
   }
   return true;
 }
 
-bool heals(World w) {
-  const Time end =
-      w.now + std::chrono::duration_cast<membership::Duration>(settings().probeInterval * kHealPeriods);
-  while (w.now < end) {
-    while (!w.way.empty())
-      arrive(w, 0);
-    if (agree(w))
+bool converges(World world) {
+  const Time end = world.now + std::chrono::duration_cast<membership::Duration>(settings().probeInterval *
+                                                                                kConvergencePeriods);
+  while (world.now < end) {
+    while (!world.inFlight.empty())
+      deliver(world, 0);
+    if (viewsAgree(world))
       return true;
-    passTime(w);
+    advanceTime(world);
   }
-  return agree(w);
+  return viewsAgree(world);
 }
 
 class Explorer {
  public:
-  Explorer(unsigned depth, unsigned crashes, std::uint64_t healEvery)
-      : depth_(depth), crashes_(crashes), healEvery_(healEvery) {}
+  Explorer(unsigned depth, unsigned crashes, std::uint64_t checkConvergenceEvery)
+      : depth_(depth), crashes_(crashes), checkConvergenceEvery_(checkConvergenceEvery) {}
 
-  Explored go() {
-    World w;
-    w.now = std::chrono::hours(1);
+  Explored run() {
+    World world;
+    world.now = std::chrono::hours(1);
     for (std::size_t i = 0; i < kMembers; ++i)
-      start(w, i), collect(w, i);
-    for (int i = 0; i < 400 && !(agree(w) && w.way.empty()); ++i) {
-      while (!w.way.empty())
-        arrive(w, 0);
-      passTime(w);
+      start(world, i), collect(world, i);
+    for (int i = 0; i < kMaxStartupTimers && !(viewsAgree(world) && world.inFlight.empty()); ++i) {
+      while (!world.inFlight.empty())
+        deliver(world, 0);
+      advanceTime(world);
     }
-    if (!agree(w))
-      out_.broken.push_back("the three never agree at the start");
-    visit(w, depth_, "");
-    return std::move(out_);
+    if (!viewsAgree(world))
+      result_.violations.push_back("the views of the three members don't agree after the start");
+    visit(world, depth_, "");
+    return std::move(result_);
   }
 
  private:
-  void broke(const std::string& what, const std::string& way) {
-    if (out_.broken.size() < kBrokenMost)
-      out_.broken.push_back(what + " after " + way);
+  void addViolation(const std::string& what, const std::string& path) {
+    if (result_.violations.size() < kMaxReportedViolations)
+      result_.violations.push_back(what + " after " + path);
   }
 
-  void judge(World& w, const std::string& way) {
+  void checkInvariants(World& world, const std::string& path) {
     for (std::size_t i = 0; i < kMembers; ++i) {
-      if (!w.members[i])
+      if (!world.members[i])
         continue;
-      const MemberRecord& self = w.members[i]->self();
-      if (self.incarnation < w.incarnations[i])
-        broke(self.name + "'s incarnation fell", way);
-      w.incarnations[i] = self.incarnation;
-      if (w.members[i]->quotaHolders() < w.members[i]->presentCount())
-        broke(self.name + " divides by too few", way);
+      const MemberRecord& self = world.members[i]->self();
+      if (self.incarnation < world.incarnations[i])
+        addViolation(self.name + "'s incarnation decreased", path);
+      world.incarnations[i] = self.incarnation;
+      if (world.members[i]->quotaHolders() < world.members[i]->presentCount())
+        addViolation(self.name + " counts fewer quota holders than present members", path);
       for (std::size_t j = 0; j < kMembers; ++j) {
-        if (!w.members[j] || i == j)
+        if (!world.members[j] || i == j)
           continue;
-        const auto it = w.members[j]->others().find(self.name);
-        if (it == w.members[j]->others().end() || it->second.record.epoch != self.epoch)
+        const auto it = world.members[j]->others().find(self.name);
+        if (it == world.members[j]->others().end() || it->second.record.epoch != self.epoch)
           continue;
         if (it->second.record.incarnation > self.incarnation)
-          broke("a claim on " + self.name + " not its own", way);
+          addViolation(self.name + " is known with an incarnation that it never had", path);
         if (it->second.record.state == MemberState::left)
-          broke(self.name + " is said to have left", way);
+          addViolation(self.name + " is recorded as left while it runs", path);
       }
     }
   }
 
-  void visit(World& w, unsigned left, const std::string& way) {
-    judge(w, way);
-    // A state met again with fewer steps left holds nothing new.
-    const std::size_t key = std::hash<std::string>{}(keyOf(w));
-    const auto [it, fresh] = seen_.try_emplace(key, left);
-    if (!fresh && it->second >= left)
+  void visit(World& world, unsigned stepsLeft, const std::string& path) {
+    checkInvariants(world, path);
+    // A state that was already visited with as many steps left adds nothing new.
+    const std::size_t key = std::hash<std::string>{}(stateKey(world));
+    const auto [it, isNew] = visited_.try_emplace(key, stepsLeft);
+    if (!isNew && it->second >= stepsLeft)
       return;
-    it->second = left;
-    if (fresh) {
-      ++out_.states;
-      if (out_.states % healEvery_ == 0) {
-        ++out_.healed;
-        if (!heals(w))
-          broke("no agreement on a calm network", way);
+    it->second = stepsLeft;
+    if (isNew) {
+      ++result_.states;
+      if (result_.states % checkConvergenceEvery_ == 0) {
+        ++result_.convergenceChecks;
+        if (!converges(world))
+          addViolation("the views don't converge on a lossless network", path);
       }
     }
-    if (left == 0)
+    if (stepsLeft == 0)
       return;
-    const auto step = [&](const std::string& name, auto&& act) {
-      World next = w;
-      act(next);
-      ++out_.steps;
-      visit(next, left - 1, way + name + " ");
+    const auto step = [&](const std::string& label, auto&& transition) {
+      World next = world;
+      transition(next);
+      ++result_.steps;
+      visit(next, stepsLeft - 1, path + label + " ");
     };
-    for (std::size_t i = 0; i < w.way.size(); ++i) {
-      const std::string which = std::to_string(w.way[i].from) + ">" + std::to_string(w.way[i].to);
-      step(which, [i](World& n) { arrive(n, i); });
-      step(which + "lost", [i](World& n) { n.way.erase(n.way.begin() + static_cast<std::ptrdiff_t>(i)); });
+    for (std::size_t i = 0; i < world.inFlight.size(); ++i) {
+      const std::string direction =
+          std::to_string(world.inFlight[i].from) + ">" + std::to_string(world.inFlight[i].to);
+      step(direction, [i](World& next) { deliver(next, i); });
+      step(direction + "lost",
+           [i](World& next) { next.inFlight.erase(next.inFlight.begin() + static_cast<std::ptrdiff_t>(i)); });
     }
-    step("time", [](World& n) { passTime(n); });
-    if (w.crashes >= crashes_)
+    step("time", [](World& next) { advanceTime(next); });
+    if (world.crashes >= crashes_)
       return;
     for (std::size_t i = 0; i < kMembers; ++i) {
-      const std::string who(1, static_cast<char>('a' + i));
-      if (!w.members[i]) {
-        step(who + "starts", [i](World& n) { start(n, i), collect(n, i), ++n.crashes; });
+      const std::string name(1, static_cast<char>('a' + i));
+      if (!world.members[i]) {
+        step(name + "starts", [i](World& next) { start(next, i), collect(next, i), ++next.crashes; });
         continue;
       }
-      step(who + "dies", [i](World& n) { n.members[i].reset(), ++n.crashes; });
-      step(who + "leaves",
-           [i](World& n) { n.members[i]->leave(n.now), collect(n, i), n.members[i].reset(), ++n.crashes; });
+      step(name + "dies", [i](World& next) { next.members[i].reset(), ++next.crashes; });
+      step(name + "leaves", [i](World& next) {
+        next.members[i]->leave(next.now), collect(next, i), next.members[i].reset(), ++next.crashes;
+      });
     }
   }
 
   unsigned depth_, crashes_;
-  std::uint64_t healEvery_;
-  Explored out_;
-  std::unordered_map<std::size_t, unsigned> seen_;
+  std::uint64_t checkConvergenceEvery_;
+  Explored result_;
+  std::unordered_map<std::size_t, unsigned> visited_;
 };
 
 }  // namespace
 
-Explored exploreMembers(unsigned depth, unsigned crashes, std::uint64_t healEvery) {
-  return Explorer(depth, crashes, healEvery).go();
+Explored exploreMembers(unsigned depth, unsigned crashes, std::uint64_t checkConvergenceEvery) {
+  return Explorer(depth, crashes, checkConvergenceEvery).run();
 }
 
 }  // namespace hollyrun::lab
--- a/src/lab/simulation/explore.hpp
+++ b/src/lab/simulation/explore.hpp
@@ -1,4 +1,4 @@
-// Every order of messages, losses, delays and crashes that three members can meet, to a stated depth.
+// Explores every order of messages, losses, delays and crashes of three members, up to a given depth.
 #pragma once
 
 #include <cstdint>
@@ -8,15 +8,16 @@
 namespace hollyrun::lab {
 
 struct Explored {
-  std::uint64_t states = 0;         ///< different ones, told apart by what decides the members' next steps
-  std::uint64_t steps = 0;          ///< ways between them that were taken
-  std::uint64_t healed = 0;         ///< states from which a calm network was played on until all agreed
-  std::vector<std::string> broken;  ///< invariants that failed, with the way there; at most a few
+  std::uint64_t states = 0;  ///< distinct states, by everything that affects the members' next steps
+  std::uint64_t steps = 0;   ///< transitions taken between states
+  std::uint64_t convergenceChecks = 0;  ///< states continued on a lossless network until all members agreed
+  std::vector<std::string> violations;  ///< violated invariants, each with its path; at most a few
 };
 
-/// From three members that agree: at each step one datagram under way arrives or is lost, or time passes to
-/// the next timer (what is under way stays there), or one member crashes, leaves or starts again (`crashes`
-/// of these at most on a way). `depth` steps. One state in `healEvery` is played on.
-Explored exploreMembers(unsigned depth, unsigned crashes, std::uint64_t healEvery);
+/// Explores `depth` steps from three members that agree. In each step one datagram in flight arrives or is
+/// lost, or time advances to the next timer (datagrams stay in flight), or one member crashes, leaves or
+/// restarts (at most `crashes` of these on a path). One state in `checkConvergenceEvery` is continued on a
+/// lossless network to check that all members agree again.
+Explored exploreMembers(unsigned depth, unsigned crashes, std::uint64_t checkConvergenceEvery);
 
 }  // namespace hollyrun::lab
--- a/src/lab/simulation/latencies.hpp
+++ b/src/lab/simulation/latencies.hpp
@@ -1,4 +1,4 @@
-// Times of answers as a histogram with bins of equal ratio, so that its percentiles are good to 0.7 %.
+// A histogram of response times whose logarithmic bins keep the error of its percentiles below 0.7 %.
 #pragma once
 
 #include <algorithm>
@@ -9,14 +9,14 @@
 class Latencies {
  public:
   void add(double ms) { bins_(std::clamp(ms, 0.11, 9e4)); }
-  /// The time in ms that this part of them, 0 to 1, keeps within; 0 without any.
-  double percentile(double part) const {
-    double all = 0, sum = 0;
+  /// The time in ms that the given fraction (0 to 1) of the samples does not exceed; 0 without samples.
+  double percentile(double fraction) const {
+    double total = 0, sum = 0;
     for (const auto& bin : boost::histogram::indexed(bins_))
-      all += *bin;
+      total += *bin;
     for (const auto& bin : boost::histogram::indexed(bins_)) {
       sum += *bin;
-      if (all > 0 && sum >= part * all)
+      if (total > 0 && sum >= fraction * total)
         return bin.bin().upper();
     }
     return 0;
--- a/src/lab/simulation/member_faults.cpp
+++ b/src/lab/simulation/member_faults.cpp
@@ -12,26 +12,26 @@
 using membership::Duration;
 
 constexpr std::size_t kZones = 7;
-constexpr std::size_t kZonesCutOff = 3;
-constexpr int kJoinPeriodsMost = 120;   // until all have found each other, before the fault
-constexpr int kQuietPeriods = 60;       // until the news of the start is told
-constexpr int kAgreePeriodsMost = 600;  // views that differ for longer count as never agreed
-constexpr int kAfterPeriods = 30;       // sampled after they agree: the last news is still told
+constexpr std::size_t kPartitionedZones = 3;
+constexpr int kMaxJoinPeriods = 120;   // until the views agree, before the fault
+constexpr int kQuietPeriods = 60;      // until the updates of the start are disseminated
+constexpr int kMaxAgreePeriods = 600;  // views that differ for longer count as never agreed
+constexpr int kSettlePeriods = 30;     // measured after the views agree, while updates are still disseminated
 constexpr std::size_t kWaves = 10;
-constexpr int kWavePeriods = 60;            // from one wave to the next
-constexpr int kRestartPeriods = 3;          // from a member's leave until it starts again
-constexpr std::size_t kSamplesAPeriod = 4;  // looks at whether the views agree
+constexpr int kWavePeriods = 60;             // from one wave to the next
+constexpr int kRestartPeriods = 3;           // from a member's leave until its restart
+constexpr std::size_t kChecksPerPeriod = 4;  // of whether the views agree
 
 std::size_t zoneOf(std::size_t node) {
   return node % kZones;
 }
 
-/// Adds up what the members send, receive and compute, period by period.
+/// Measures per period what the members send, receive and compute.
 class LoadMeter {
  public:
   explicit LoadMeter(MemberSimulation& simulation) : simulation_(simulation) {}
 
-  /// Forgets all that was measured.
+  /// Discards all measurements.
   void restart() {
     marks_.resize(simulation_.nodes().size());
     for (std::size_t i = 0; i < marks_.size(); ++i)
@@ -41,7 +41,7 @@
     periods_ = 0;
   }
 
-  /// At the end of a period.
+  /// Has to be called at the end of each period.
   void sample() {
     double sent = 0;
     for (std::size_t i = 0; i < marks_.size(); ++i) {
@@ -62,7 +62,7 @@
     ++periods_;
   }
 
-  /// What was measured since the restart.
+  /// The measurements since restart().
   MemberFaultRow row() const {
     MemberFaultRow row = row_;
     if (periods_ > 0) {
@@ -74,7 +74,7 @@
 
  private:
   struct Mark {
-    std::uint64_t life = 0, sent = 0, received = 0;
+    std::uint64_t startCount = 0, sent = 0, received = 0;
   };
   struct Traffic {
     double sent = 0, received = 0;
@@ -86,8 +86,8 @@
       return {};
     const membership::Counters& counters = node.logic->counters();
     Mark& mark = marks_[i];
-    if (mark.life != node.lives)
-      mark = {node.lives, 0, 0};  // a new life counts from nothing
+    if (mark.startCount != node.startCount)
+      mark = {node.startCount, 0, 0};  // the counters of a restarted member begin at 0
     const Traffic traffic{static_cast<double>(counters.bytesOut - mark.sent),
                           static_cast<double>(counters.bytesIn - mark.received)};
     mark.sent = counters.bytesOut;
@@ -102,10 +102,11 @@
   int periods_ = 0;
 };
 
-/// A fleet of seven zones whose members agree, with its meter.
-class FaultStage {
+/// A simulated fleet in seven zones whose views agree, with its load meter.
+class FaultedFleet {
  public:
-  explicit FaultStage(const MemberFaultRun& run) : simulation_(run.seed, settingsOf()), meter_(simulation_) {
+  explicit FaultedFleet(const MemberFaultRun& run)
+      : simulation_(run.seed, settingsOf()), meter_(simulation_) {
     start(run.members);
     meter_.restart();
   }
@@ -120,21 +121,21 @@
     }
   }
 
-  /// Periods until all views are equal; none if they are not within the most.
+  /// Periods until all views are equal; nullopt if they are not within kMaxAgreePeriods.
   std::optional<double> playUntilAgreed() {
-    const Duration step = simulation_.settings().probeInterval / kSamplesAPeriod;
-    for (std::size_t steps = 0; steps < kAgreePeriodsMost * kSamplesAPeriod; ++steps) {
+    const Duration step = simulation_.settings().probeInterval / kChecksPerPeriod;
+    for (std::size_t checks = 0; checks < kMaxAgreePeriods * kChecksPerPeriod; ++checks) {
       if (simulation_.agreed())
-        return static_cast<double>(steps) / kSamplesAPeriod;
+        return static_cast<double>(checks) / kChecksPerPeriod;
       simulation_.runFor(step);
-      if ((steps + 1) % kSamplesAPeriod == 0)
+      if ((checks + 1) % kChecksPerPeriod == 0)
         meter_.sample();
       simulation_.seen().clear();
     }
     return std::nullopt;
   }
 
-  /// The row of a phase that took `agreed` each time until views were equal.
+  /// The row of a phase. `agreed` holds the periods until the views were equal, for each fault of the phase.
   MemberFaultRow rowOf(std::string phase, std::size_t affected, std::vector<std::optional<double>> agreed) {
     MemberFaultRow row = meter_.row();
     row.phase = std::move(phase);
@@ -162,7 +163,7 @@
     for (std::size_t i = 0; i < members; ++i)
       simulation_.start(simulation_.add("gateway-" + std::to_string(i), "zone-" + std::to_string(zoneOf(i))));
     simulation_.runUntil([this] { return simulation_.agreed(); },
-                         simulation_.settings().probeInterval * kJoinPeriodsMost);
+                         simulation_.settings().probeInterval * kMaxJoinPeriods);
     simulation_.runFor(simulation_.settings().probeInterval * kQuietPeriods);
     simulation_.seen().clear();
   }
@@ -171,60 +172,60 @@
   LoadMeter meter_;
 };
 
-std::vector<MemberFaultRow> loseZone(FaultStage& stage) {
+std::vector<MemberFaultRow> loseZone(FaultedFleet& fleet) {
   std::vector<MemberFaultRow> rows;
   std::vector<std::size_t> zone;
-  for (std::size_t i = 0; i < stage.simulation().nodes().size(); ++i)
+  for (std::size_t i = 0; i < fleet.simulation().nodes().size(); ++i)
     if (zoneOf(i) == 0)
       zone.push_back(i);
   for (const std::size_t i : zone)
-    stage.simulation().kill(i);
-  std::optional<double> agreed = stage.playUntilAgreed();
-  stage.play(kAfterPeriods);
-  rows.push_back(stage.rowOf("zone lost", zone.size(), {agreed}));
+    fleet.simulation().kill(i);
+  std::optional<double> agreed = fleet.playUntilAgreed();
+  fleet.play(kSettlePeriods);
+  rows.push_back(fleet.rowOf("zone lost", zone.size(), {agreed}));
   for (const std::size_t i : zone)
-    stage.simulation().start(i);
-  agreed = stage.playUntilAgreed();
-  stage.play(kAfterPeriods);
-  rows.push_back(stage.rowOf("zone back", zone.size(), {agreed}));
+    fleet.simulation().start(i);
+  agreed = fleet.playUntilAgreed();
+  fleet.play(kSettlePeriods);
+  rows.push_back(fleet.rowOf("zone back", zone.size(), {agreed}));
   return rows;
 }
 
-std::vector<MemberFaultRow> cutApart(FaultStage& stage, Duration apart) {
+std::vector<MemberFaultRow> partition(FaultedFleet& fleet, Duration duration) {
   std::vector<MemberFaultRow> rows;
-  const auto cutOff = [](std::size_t i) { return zoneOf(i) < kZonesCutOff; };
+  const auto isolated = [](std::size_t i) { return zoneOf(i) < kPartitionedZones; };
   std::size_t affected = 0;
-  for (std::size_t i = 0; i < stage.simulation().nodes().size(); ++i)
-    affected += cutOff(i);
-  stage.simulation().passes = [cutOff](std::size_t from, std::size_t to) {
-    return cutOff(from) == cutOff(to);
+  for (std::size_t i = 0; i < fleet.simulation().nodes().size(); ++i)
+    affected += isolated(i);
+  fleet.simulation().passes = [isolated](std::size_t from, std::size_t to) {
+    return isolated(from) == isolated(to);
   };
-  const int periods = static_cast<int>(apart / stage.simulation().settings().probeInterval);
-  stage.play(periods);
-  rows.push_back(stage.rowOf(fmt::format("apart for {}", periods), affected, {}));
-  stage.simulation().passes = [](std::size_t, std::size_t) { return true; };
-  const std::optional<double> agreed = stage.playUntilAgreed();
-  stage.play(kAfterPeriods);
-  rows.push_back(stage.rowOf("together again", affected, {agreed}));
+  const int periods = static_cast<int>(duration / fleet.simulation().settings().probeInterval);
+  fleet.play(periods);
+  rows.push_back(fleet.rowOf(fmt::format("apart for {}", periods), affected, {}));
+  fleet.simulation().passes = [](std::size_t, std::size_t) { return true; };
+  const std::optional<double> agreed = fleet.playUntilAgreed();
+  fleet.play(kSettlePeriods);
+  rows.push_back(fleet.rowOf("together again", affected, {agreed}));
   return rows;
 }
 
-std::vector<MemberFaultRow> restartInWaves(FaultStage& stage) {
-  const std::size_t inWave = stage.simulation().nodes().size() * 5 / 6 / kWaves;
+std::vector<MemberFaultRow> restartInWaves(FaultedFleet& fleet) {
+  const std::size_t waveSize = fleet.simulation().nodes().size() * 5 / 6 / kWaves;
   std::vector<std::optional<double>> agreed;
   for (std::size_t wave = 0; wave < kWaves; ++wave) {
-    const std::size_t first = wave * inWave;
-    for (std::size_t i = first; i < first + inWave; ++i)
-      stage.simulation().leave(i);
-    stage.play(kRestartPeriods);
-    for (std::size_t i = first; i < first + inWave; ++i)
-      stage.simulation().start(i);
-    agreed.push_back(stage.playUntilAgreed());
+    const std::size_t first = wave * waveSize;
+    for (std::size_t i = first; i < first + waveSize; ++i)
+      fleet.simulation().leave(i);
+    fleet.play(kRestartPeriods);
+    for (std::size_t i = first; i < first + waveSize; ++i)
+      fleet.simulation().start(i);
+    agreed.push_back(fleet.playUntilAgreed());
     if (!agreed.back())
       break;
-    stage.play(std::max(0, kWavePeriods - static_cast<int>(*agreed.back())));
+    fleet.play(std::max(0, kWavePeriods - static_cast<int>(*agreed.back())));
   }
-  return {stage.rowOf("restarts in ten waves", inWave * kWaves, agreed)};
+  return {fleet.rowOf("restarts in ten waves", waveSize * kWaves, agreed)};
 }
 
 }  // namespace
@@ -240,20 +241,20 @@
 }
 
 std::vector<MemberFaultRow> measureMemberFault(const MemberFaultRun& run) {
-  FaultStage stage(run);
+  FaultedFleet fleet(run);
   std::vector<MemberFaultRow> rows;
-  stage.play(kQuietPeriods);
-  rows.push_back(stage.rowOf("quiet", 0, {}));
+  fleet.play(kQuietPeriods);
+  rows.push_back(fleet.rowOf("quiet", 0, {}));
   std::vector<MemberFaultRow> fault;
   switch (run.fault) {
     case MemberFault::zone:
-      fault = loseZone(stage);
+      fault = loseZone(fleet);
       break;
     case MemberFault::cut:
-      fault = cutApart(stage, run.apart);
+      fault = partition(fleet, run.partitionDuration);
       break;
     case MemberFault::restarts:
-      fault = restartInWaves(stage);
+      fault = restartInWaves(fleet);
       break;
   }
   rows.insert(rows.end(), fault.begin(), fault.end());
@@ -265,11 +266,12 @@
       "phase                  members  of them  agreed after  most  bytes a period  peak  one member sent  "
       "received"
       "  us a period  peak\n";
-  for (const MemberFaultRow& r : rows)
+  for (const MemberFaultRow& row : rows)
     text += fmt::format(
         "{:21}  {:7}  {:7}  {:>12}  {:4.1f}  {:14.0f}  {:4.0f}  {:15.0f}  {:8.0f}  {:11.0f}  {:4.0f}\n",
-        r.phase, r.members, r.affected, r.agreed ? fmt::format("{:.1f}", r.agreedMedian) : "never",
-        r.agreedMost, r.sentMean, r.sentPeak, r.sentMost, r.receivedMost, r.microsMean, r.microsPeak);
+        row.phase, row.members, row.affected, row.agreed ? fmt::format("{:.1f}", row.agreedMedian) : "never",
+        row.agreedMost, row.sentMean, row.sentPeak, row.sentMost, row.receivedMost, row.microsMean,
+        row.microsPeak);
   return text;
 }
 
--- a/src/lab/simulation/member_faults.hpp
+++ b/src/lab/simulation/member_faults.hpp
@@ -1,5 +1,5 @@
-// What large faults cost the members of a fleet, in virtual time: how long their views differ, and what they
-// send, receive and compute meanwhile.
+// Measures large faults of a fleet's membership in virtual time: how long the members' views differ, and how
+// much they send, receive and compute meanwhile.
 #pragma once
 
 #include <cstddef>
@@ -14,33 +14,33 @@
 namespace hollyrun::lab {
 
 enum class MemberFault {
-  zone,      ///< one of seven zones dies at once, and comes back at once
-  cut,       ///< three zones of seven and the others hear nothing of each other
-  restarts,  ///< five of six members leave and start again, in ten waves
+  zone,      ///< all members of one of seven zones die at once and later start at once
+  cut,       ///< a network partition between three zones and the other four
+  restarts,  ///< five of six members leave and restart, in ten waves
 };
-/// None if there is no fault of this name.
+/// Returns nullopt for an unknown name.
 std::optional<MemberFault> memberFaultNamed(std::string_view name);
 
 struct MemberFaultRun {
   MemberFault fault = MemberFault::zone;
   std::size_t members = 0;
-  membership::Duration apart{};  ///< length of the cut
+  membership::Duration partitionDuration{};
   std::uint64_t seed = 1;
 };
 
-/// One phase of a fault. Bytes are those of datagrams, without the headers of IP and UDP.
+/// One phase of a fault. Bytes are those of datagrams, without IP and UDP headers.
 struct MemberFaultRow {
   std::string phase;
   std::size_t members = 0, affected = 0;
-  bool agreed = false;      ///< whether all views were equal in the end
+  bool agreed = false;      ///< whether all views became equal
   double agreedMedian = 0;  ///< periods until all views were equal
-  double agreedMost = 0;    ///< the longest of them
-  double sentMean = 0;      ///< bytes a member and period
-  double sentPeak = 0;      ///< the same in the period with the most
-  double sentMost = 0;      ///< bytes of one member in one period, the most
-  double receivedMost = 0;  ///< likewise
-  double microsMean = 0;    ///< processor time a member and period
-  double microsPeak = 0;    ///< the same in the period with the most
+  double agreedMost = 0;    ///< the maximum of these
+  double sentMean = 0;      ///< bytes per member and period
+  double sentPeak = 0;      ///< the same in the busiest period
+  double sentMost = 0;      ///< maximum bytes of one member in one period
+  double receivedMost = 0;  ///< the same for received bytes
+  double microsMean = 0;    ///< processor time per member and period
+  double microsPeak = 0;    ///< the same in the busiest period
 };
 
 std::vector<MemberFaultRow> measureMemberFault(const MemberFaultRun& run);
--- a/src/lab/simulation/members.cpp
+++ b/src/lab/simulation/members.cpp
@@ -18,13 +18,17 @@
 using membership::Membership;
 using membership::Time;
 
+constexpr std::size_t kSocketBufferDatagrams = 500;  // a stopped member loses further ones
+constexpr int kMaxStartPeriods = 60;                 // bounded, since under loss the views may never agree
+constexpr int kMaxDetectionPeriods = 400;
+
 MemberSimulation::MemberSimulation(std::uint64_t seed, membership::MembershipSettings settings,
                                    LinkConditions linkConditions)
     : passes([](std::size_t, std::size_t) { return true; }),
       seed_(seed),
       settings_(std::move(settings)),
       linkConditions_(linkConditions),
-      draw_(seed, "members") {}
+      random_(seed, "members") {}
 
 std::size_t MemberSimulation::add(const std::string& name, const std::string& zone) {
   Node node;
@@ -33,25 +37,26 @@
   node.address = {0x7f000001, static_cast<std::uint16_t>(1000 + nodes_.size())};
   byAddress_[node.address] = nodes_.size();
   nodes_.push_back(std::move(node));
-  wakes_.push_back(Time::max());
+  timers_.push_back(Time::max());
   return nodes_.size() - 1;
 }
 
 void MemberSimulation::start(std::size_t i) {
-  Node& n = nodes_[i];
+  Node& node = nodes_[i];
   membership::MemberRecord self;
-  self.name = n.name;
-  self.address = n.address;
-  self.zone = n.zone;
+  self.name = node.name;
+  self.address = node.address;
+  self.zone = node.zone;
   self.version = "1";
   if (describe)
     describe(self);
-  n.stopped = false;
-  n.inbox.clear();
-  n.from.clear();
-  ++n.lives;
-  wakes_[i] = Time::max();
-  n.logic = std::make_unique<Membership>(settings_, self, seed_ * 1000003 + i * 101 + n.lives, now_);
+  node.stopped = false;
+  node.inbox.clear();
+  node.inboxSenders.clear();
+  ++node.startCount;
+  timers_[i] = Time::max();
+  node.logic =
+      std::make_unique<Membership>(settings_, self, seed_ * 1000003 + i * 101 + node.startCount, now_);
   collect(i);
 }
 
@@ -62,21 +67,21 @@
 }
 
 void MemberSimulation::wake(std::size_t i) {
-  Node& n = nodes_[i];
-  n.stopped = false;
-  // What its socket kept comes first: a loop that goes on reads before its timer, or after it.
-  const bool timerFirst = draw_.chance(0.5);
-  if (timerFirst && n.logic)
-    n.logic->onWake(now_);
-  for (std::size_t k = 0; k < n.inbox.size(); ++k)
-    if (n.logic)
-      n.logic->onDatagram(now_, n.from[k], n.inbox[k].second);
-  n.inbox.clear();
-  n.from.clear();
-  if (!n.logic)
+  Node& node = nodes_[i];
+  node.stopped = false;
+  // An event loop that continues may handle its expired timer before or after the datagrams in its socket.
+  const bool timerFirst = random_.chance(0.5);
+  if (timerFirst && node.logic)
+    node.logic->onWake(now_);
+  for (std::size_t k = 0; k < node.inbox.size(); ++k)
+    if (node.logic)
+      node.logic->onDatagram(now_, node.inboxSenders[k], node.inbox[k].second);
+  node.inbox.clear();
+  node.inboxSenders.clear();
+  if (!node.logic)
     return;
-  n.logic->onWake(now_);
-  wakes_[i] = Time::max();
+  node.logic->onWake(now_);
+  timers_[i] = Time::max();
   collect(i);
 }
 
@@ -94,67 +99,66 @@
 
 void MemberSimulation::collect(std::size_t i) {
   Membership& logic = *nodes_[i].logic;
-  for (membership::Datagram& d : std::exchange(logic.datagrams(), {})) {
-    const auto to = nodeAt(d.to);
+  for (membership::Datagram& datagram : std::exchange(logic.datagrams(), {})) {
+    const auto to = nodeAt(datagram.to);
     if (tap && to)
-      tap(i, *to, d.bytes);
-    if (!to || !passes(i, *to) || draw_.chance(linkConditions_.loss))
+      tap(i, *to, datagram.bytes);
+    if (!to || !passes(i, *to) || random_.chance(linkConditions_.loss))
       continue;
-    for (int copies = draw_.chance(linkConditions_.copies) ? 2 : 1; copies > 0; --copies) {
-      Due due;
-      due.at = now_ + Duration(static_cast<std::int64_t>(
-                          1e6 * draw_.uniform(linkConditions_.leastMs, linkConditions_.mostMs)));
-      due.order = ++order_;
-      due.node = *to;
-      due.from = nodes_[i].address;
-      due.bytes = d.bytes;
-      if (draw_.chance(linkConditions_.spoils))
-        due.bytes[draw_.below(due.bytes.size())] = static_cast<char>(draw_.below(256));
-      due_.push(std::move(due));
+    for (int copies = random_.chance(linkConditions_.duplication) ? 2 : 1; copies > 0; --copies) {
+      ScheduledEvent arrival;
+      arrival.at = now_ + Duration(static_cast<std::int64_t>(
+                              1e6 * random_.uniform(linkConditions_.minDelayMs, linkConditions_.maxDelayMs)));
+      arrival.order = ++order_;
+      arrival.node = *to;
+      arrival.from = nodes_[i].address;
+      arrival.bytes = datagram.bytes;
+      if (random_.chance(linkConditions_.corruption))
+        arrival.bytes[random_.below(arrival.bytes.size())] = static_cast<char>(random_.below(256));
+      schedule_.push(std::move(arrival));
     }
   }
-  for (membership::Event& e : std::exchange(logic.events(), {}))
-    seen_.push_back({now_, i, std::move(e)});
-  if (logic.wakeAt() >= wakes_[i])
+  for (membership::Event& event : std::exchange(logic.events(), {}))
+    seen_.push_back({now_, i, std::move(event)});
+  if (logic.wakeAt() >= timers_[i])
     return;
-  wakes_[i] = logic.wakeAt();
-  Due due;
-  due.at = std::max(now_, wakes_[i]);
-  due.order = ++order_;
-  due.node = i;
-  due.wake = true;
-  due.life = nodes_[i].lives;
-  due_.push(std::move(due));
+  timers_[i] = logic.wakeAt();
+  ScheduledEvent timer;
+  timer.at = std::max(now_, timers_[i]);
+  timer.order = ++order_;
+  timer.node = i;
+  timer.timer = true;
+  timer.startCount = nodes_[i].startCount;
+  schedule_.push(std::move(timer));
 }
 
 void MemberSimulation::runUntil(Time until) {
-  while (!due_.empty() && due_.top().at <= until) {
-    const Due due = due_.top();
-    due_.pop();
-    now_ = std::max(now_, due.at);
-    Node& n = nodes_[due.node];
-    if (!n.logic || (due.wake && due.life != n.lives))
+  while (!schedule_.empty() && schedule_.top().at <= until) {
+    const ScheduledEvent event = schedule_.top();
+    schedule_.pop();
+    now_ = std::max(now_, event.at);
+    Node& node = nodes_[event.node];
+    if (!node.logic || (event.timer && event.startCount != node.startCount))
       continue;
-    if (n.stopped) {
-      // A socket holds so much; the rest is lost.
-      if (!due.wake && n.inbox.size() < 500)
-        n.inbox.push_back({now_, due.bytes}), n.from.push_back(due.from);
+    if (node.stopped) {
+      if (!event.timer && node.inbox.size() < kSocketBufferDatagrams)
+        node.inbox.push_back({now_, event.bytes}), node.inboxSenders.push_back(event.from);
       continue;
     }
     ++steps_;
-    if (due.wake) {
-      wakes_[due.node] = Time::max();
-      n.logic->onWake(now_);
+    if (event.timer) {
+      timers_[event.node] = Time::max();
+      node.logic->onWake(now_);
     } else {
-      n.logic->onDatagram(now_, due.from, due.bytes);
+      node.logic->onDatagram(now_, event.from, event.bytes);
     }
-    collect(due.node);
+    collect(event.node);
   }
   now_ = std::max(now_, until);
 }
 
-bool MemberSimulation::runUntil(const std::function<bool()>& done, Duration most) {
-  const Time end = now_ + most;
+bool MemberSimulation::runUntil(const std::function<bool()>& done, Duration timeout) {
+  const Time end = now_ + timeout;
   while (!done()) {
     if (now_ >= end)
       return false;
@@ -181,31 +185,31 @@
 
 membership::Counters MemberSimulation::counters() const {
   membership::Counters sum;
-  for (const Node& n : nodes_) {
-    if (!n.logic)
+  for (const Node& node : nodes_) {
+    if (!node.logic)
       continue;
-    const membership::Counters& c = n.logic->counters();
-    sum.sent += c.sent;
-    sum.bytesOut += c.bytesOut;
-    sum.deaths += c.deaths;
-    sum.suspicions += c.suspicions;
-    sum.received += c.received;
-    sum.stale += c.stale;
+    const membership::Counters& counters = node.logic->counters();
+    sum.sent += counters.sent;
+    sum.bytesOut += counters.bytesOut;
+    sum.deaths += counters.deaths;
+    sum.suspicions += counters.suspicions;
+    sum.received += counters.received;
+    sum.stale += counters.stale;
   }
   return sum;
 }
 
 namespace {
 
-double inPeriods(Duration d, const membership::MembershipSettings& s) {
-  return static_cast<double>(d.count()) / static_cast<double>(s.probeInterval.count());
+double inPeriods(Duration duration, const membership::MembershipSettings& settings) {
+  return static_cast<double>(duration.count()) / static_cast<double>(settings.probeInterval.count());
 }
 
 double allocatedBytes() {
   return static_cast<double>(mallinfo2().uordblks);
 }
 
-/// Hashes all that is sent, in order, so that two builds can be compared to the byte.
+/// Hashes all datagrams and events in order, so that two builds can be compared byte for byte.
 class Trace {
  public:
   void add(std::size_t from, std::size_t to, const std::string& bytes) {
@@ -221,19 +225,19 @@
   std::uint64_t hash_ = 0;
 };
 
-double quantileOf(std::vector<double> v, double at) {
-  if (v.empty())
+double quantileOf(std::vector<double> values, double fraction) {
+  if (values.empty())
     return 0;
-  std::sort(v.begin(), v.end());
-  return v[static_cast<std::size_t>(at * static_cast<double>(v.size() - 1))];
+  std::sort(values.begin(), values.end());
+  return values[static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1))];
 }
 
 }  // namespace
 
 double processorMicros() {
-  timespec t{};
-  clock_gettime(CLOCK_THREAD_CPUTIME_ID, &t);
-  return static_cast<double>(t.tv_sec) * 1e6 + static_cast<double>(t.tv_nsec) / 1e3;
+  timespec time{};
+  clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
+  return static_cast<double>(time.tv_sec) * 1e6 + static_cast<double>(time.tv_nsec) / 1e3;
 }
 
 void describeAsGateway(membership::MemberRecord& self) {
@@ -259,49 +263,48 @@
     simulation.tap = [&trace](std::size_t from, std::size_t to, const std::string& bytes) {
       trace.add(from, to, bytes);
     };
-  const auto forgetSeen = [&] {
+  const auto clearEvents = [&] {
     if (run.trace)
-      for (const MemberSimulation::Seen& s : simulation.seen())
-        trace.add(s);
+      for (const MemberSimulation::Seen& seen : simulation.seen())
+        trace.add(seen);
     simulation.seen().clear();
   };
-  Stream draw(run.seed, "kills");
+  Stream random(run.seed, "kills");
   for (std::size_t i = 0; i < run.members; ++i)
     simulation.start(simulation.add("gateway-" + std::to_string(i)));
-  simulation.runUntil([&] { return simulation.agreed(); },
-                      settings.probeInterval * 60);  // under loss views never rest
+  simulation.runUntil([&] { return simulation.agreed(); }, settings.probeInterval * kMaxStartPeriods);
 
   const membership::Counters before = simulation.counters();
   const std::uint64_t steps = simulation.steps();
-  const int quiet = 120;  // periods
-  forgetSeen();
-  const double clock = processorMicros();
-  simulation.runFor(settings.probeInterval * quiet);
-  const double took = processorMicros() - clock;
+  const int quietPeriods = 120;
+  clearEvents();
+  const double startMicros = processorMicros();
+  simulation.runFor(settings.probeInterval * quietPeriods);
+  const double micros = processorMicros() - startMicros;
   const membership::Counters after = simulation.counters();
-  const double each = static_cast<double>(run.members) * quiet;
-  row.micros = took / static_cast<double>(simulation.steps() - steps);
-  row.microsPerPeriod = took / each;
-  row.datagrams = static_cast<double>(after.sent - before.sent) / each;
-  row.bytes = static_cast<double>(after.bytesOut - before.bytesOut) / each;
-  std::set<std::pair<std::string, std::uint64_t>> killed;  // wrongly, each once
-  for (const auto& s : simulation.seen())
-    if (s.event.type == membership::EventType::died)
-      killed.insert({s.event.member.name, s.event.member.incarnation});
-  row.falseDeaths = static_cast<double>(killed.size()) / each * 3600;
-  forgetSeen();
+  const double memberPeriods = static_cast<double>(run.members) * quietPeriods;
+  row.micros = micros / static_cast<double>(simulation.steps() - steps);
+  row.microsPerPeriod = micros / memberPeriods;
+  row.datagrams = static_cast<double>(after.sent - before.sent) / memberPeriods;
+  row.bytes = static_cast<double>(after.bytesOut - before.bytesOut) / memberPeriods;
+  std::set<std::pair<std::string, std::uint64_t>> falseDeaths;  // each counted once, whoever reports it
+  for (const auto& seen : simulation.seen())
+    if (seen.event.type == membership::EventType::died)
+      falseDeaths.insert({seen.event.member.name, seen.event.member.incarnation});
+  row.falseDeaths = static_cast<double>(falseDeaths.size()) / memberPeriods * 3600;
+  clearEvents();
   simulation.seen().shrink_to_fit();
   row.kilobytes = (allocatedBytes() - allocated) / static_cast<double>(run.members) / 1000;
 
-  std::vector<double> detect, all, join;
+  std::vector<double> firstDetection, fullDetection, join;  // periods
   for (std::size_t k = 0; k < run.kills; ++k) {
-    const std::size_t victim = draw.below(run.members);
-    simulation.runFor(Duration(static_cast<std::int64_t>(draw.unit() * 1e9)));
+    const std::size_t victim = random.below(run.members);
+    simulation.runFor(Duration(static_cast<std::int64_t>(random.unit() * 1e9)));
     const std::string name = simulation.nodes()[victim].name;
-    forgetSeen();
+    clearEvents();
     simulation.kill(victim);
-    const Time at = simulation.now();
-    const auto gone = [&] {
+    const Time killedAt = simulation.now();
+    const auto deathKnownToAll = [&] {
       for (const std::size_t i : simulation.living()) {
         const auto it = simulation.at(i).others().find(name);
         if (it != simulation.at(i).others().end() && membership::isPresent(it->second.record.state))
@@ -309,16 +312,16 @@
       }
       return true;
     };
-    simulation.runUntil(gone, settings.probeInterval * 400);
-    all.push_back(inPeriods(simulation.now() - at, settings));
-    for (const auto& s : simulation.seen())
-      if (s.event.type == membership::EventType::died && s.event.member.name == name) {
-        detect.push_back(inPeriods(s.at - at, settings));
+    simulation.runUntil(deathKnownToAll, settings.probeInterval * kMaxDetectionPeriods);
+    fullDetection.push_back(inPeriods(simulation.now() - killedAt, settings));
+    for (const auto& seen : simulation.seen())
+      if (seen.event.type == membership::EventType::died && seen.event.member.name == name) {
+        firstDetection.push_back(inPeriods(seen.at - killedAt, settings));
         break;
       }
     simulation.start(victim);
-    const Time back = simulation.now();
-    const auto known = [&] {
+    const Time restartedAt = simulation.now();
+    const auto joinKnownToAll = [&] {
       for (const std::size_t i : simulation.living()) {
         if (i == victim)
           continue;
@@ -328,16 +331,16 @@
       }
       return true;
     };
-    simulation.runUntil(known, settings.probeInterval * 400);
-    join.push_back(inPeriods(simulation.now() - back, settings));
+    simulation.runUntil(joinKnownToAll, settings.probeInterval * kMaxDetectionPeriods);
+    join.push_back(inPeriods(simulation.now() - restartedAt, settings));
   }
-  row.detectP50 = quantileOf(detect, 0.5);
-  row.detectP99 = quantileOf(detect, 0.99);
-  row.allP50 = quantileOf(all, 0.5);
-  row.allP99 = quantileOf(all, 0.99);
-  row.allMost = quantileOf(all, 1);
+  row.detectP50 = quantileOf(firstDetection, 0.5);
+  row.detectP99 = quantileOf(firstDetection, 0.99);
+  row.allP50 = quantileOf(fullDetection, 0.5);
+  row.allP99 = quantileOf(fullDetection, 0.99);
+  row.allMost = quantileOf(fullDetection, 1);
   row.joinP99 = quantileOf(join, 0.99);
-  forgetSeen();
+  clearEvents();
   if (run.trace)
     row.trace = trace.hash();
   return row;
@@ -348,13 +351,13 @@
       "members  loss  detect p50  p99  all know p50   p99  most  newcomer p99  false deaths/h  datagrams  "
       "bytes "
       " us an event  us a period  kB\n";
-  for (const MembersRow& r : rows) {
+  for (const MembersRow& row : rows) {
     text += fmt::format(
         "{:7}  {:4.2f}  {:10.1f}  {:3.0f}  {:12.1f}  {:4.0f}  {:4.0f}  {:12.1f}  {:14.2f}  {:9.1f}  {:5.0f}  "
         "{:11.1f}  {:11.0f}  {:2.0f}",
-        r.members, r.loss, r.detectP50, r.detectP99, r.allP50, r.allP99, r.allMost, r.joinP99, r.falseDeaths,
-        r.datagrams, r.bytes, r.micros, r.microsPerPeriod, r.kilobytes);
-    text += r.trace == 0 ? "\n" : fmt::format("  trace {:016x}\n", r.trace);
+        row.members, row.loss, row.detectP50, row.detectP99, row.allP50, row.allP99, row.allMost, row.joinP99,
+        row.falseDeaths, row.datagrams, row.bytes, row.micros, row.microsPerPeriod, row.kilobytes);
+    text += row.trace == 0 ? "\n" : fmt::format("  trace {:016x}\n", row.trace);
   }
   return text;
 }
--- a/src/lab/simulation/members.hpp
+++ b/src/lab/simulation/members.hpp
@@ -1,5 +1,5 @@
-// The fleet's membership in virtual time: any number of members, each the code that the gateway runs, and a
-// network between them that loses, delays, copies, corrupts and cuts by seed.
+// Simulates the fleet's membership in virtual time: any number of members that run the gateway's own code,
+// and a network that loses, delays, duplicates, corrupts and blocks datagrams, as drawn from the seed.
 #pragma once
 
 #include <functional>
@@ -14,24 +14,25 @@
 
 namespace hollyrun::lab {
 
-/// What the network does to each datagram.
+/// The faults of a network path.
 struct LinkConditions {
-  double loss = 0, copies = 0, spoils = 0;  ///< shares
-  double leastMs = 0.2, mostMs = 2;         ///< of the way; reorders where they differ
+  double loss = 0, duplication = 0, corruption = 0;  ///< probability for each datagram
+  double minDelayMs = 0.2, maxDelayMs = 2;           ///< one way; datagrams are reordered if they differ
 };
 
 class MemberSimulation {
  public:
   struct Node {
-    std::unique_ptr<membership::Membership> logic;  ///< null: dead
+    std::unique_ptr<membership::Membership> logic;  ///< null while the member is dead
     std::string name, zone;
     membership::Address address;
     bool stopped = false;
-    std::uint64_t lives = 0;
-    std::vector<std::pair<membership::Time, std::string>> inbox;  ///< while stopped
-    std::vector<membership::Address> from;
+    std::uint64_t startCount = 0;
+    std::vector<std::pair<membership::Time, std::string>> inbox;  ///< datagrams received while stopped
+    std::vector<membership::Address> inboxSenders;                ///< senders of the inbox, in its order
   };
-  struct Seen {  // an event at a member
+  /// An event that a member raised.
+  struct Seen {
     membership::Time at;
     std::size_t node;
     membership::Event event;
@@ -45,12 +46,14 @@
   void kill(std::size_t node) { nodes_[node].logic.reset(); }
   void leave(std::size_t node);
   void stop(std::size_t node) { nodes_[node].stopped = true; }
+  /// Continues a stopped member.
   void wake(std::size_t node);
   void runUntil(membership::Time until);
-  void runFor(membership::Duration d) { runUntil(now_ + d); }
-  /// Runs until `done`, looked at four times a period; false if it is not within `most`.
-  bool runUntil(const std::function<bool()>& done, membership::Duration most);
-  /// A datagram out of nowhere.
+  void runFor(membership::Duration duration) { runUntil(now_ + duration); }
+  /// Runs until `done`, which is checked four times per period. Returns false if it does not hold within
+  /// `timeout`.
+  bool runUntil(const std::function<bool()>& done, membership::Duration timeout);
+  /// Delivers a datagram that no member sent.
   void inject(std::size_t to, const membership::Address& from, std::string bytes);
 
   membership::Time now() const { return now_; }
@@ -59,30 +62,33 @@
   std::vector<Seen>& seen() { return seen_; }
   LinkConditions& linkConditions() { return linkConditions_; }
   membership::MembershipSettings& settings() { return settings_; }
-  /// Whether a datagram may pass; default all.
+  /// Whether the network delivers datagrams between two members; by default all.
   std::function<bool(std::size_t from, std::size_t to)> passes;
-  /// Sees each datagram as it is sent.
+  /// Observes each datagram as it is sent.
   std::function<void(std::size_t from, std::size_t to, const std::string& bytes)> tap;
-  /// Completes the record of a member that starts; default: as it is.
+  /// Completes the record of a member that starts; by default the record stays unchanged.
   std::function<void(membership::MemberRecord& self)> describe;
 
   std::vector<std::size_t> living() const;
-  /// All living, running members hold each other and nobody else for present.
+  /// Whether the views of all running members are equal and contain exactly these members.
   bool agreed() const;
-  /// Sums over all members that live now.
+  /// The sums over all members that are alive.
   membership::Counters counters() const;
   std::uint64_t steps() const { return steps_; }
 
  private:
-  struct Due {
+  /// A timer of a member, or a datagram in flight to it.
+  struct ScheduledEvent {
     membership::Time at;
     std::uint64_t order;
     std::size_t node;
-    bool wake = false;
-    std::uint64_t life = 0;
+    bool timer = false;
+    std::uint64_t startCount = 0;  ///< of the member that set the timer
     membership::Address from;
     std::string bytes;
-    bool operator>(const Due& o) const { return at != o.at ? at > o.at : order > o.order; }
+    bool operator>(const ScheduledEvent& other) const {
+      return at != other.at ? at > other.at : order > other.order;
+    }
   };
   void collect(std::size_t node);
   std::optional<std::size_t> nodeAt(const membership::Address& address) const;
@@ -90,35 +96,35 @@
   std::uint64_t seed_;
   membership::MembershipSettings settings_;
   LinkConditions linkConditions_;
-  Stream draw_;
+  Stream random_;
   membership::Time now_ = std::chrono::hours(1);
   std::uint64_t order_ = 0, steps_ = 0;
   std::vector<Node> nodes_;
   std::map<membership::Address, std::size_t> byAddress_;
-  std::vector<membership::Time> wakes_;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
+  std::vector<membership::Time> timers_;  ///< earliest scheduled timer of each member
+  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> schedule_;
   std::vector<Seen> seen_;
 };
 
-/// Processor time of this thread, in microseconds; the machine may be busy with other work.
+/// Processor time of this thread in microseconds, so that other load on the machine does not count.
 double processorMicros();
-/// Gives a record what a gateway's holds: it is sent in each datagram, so its length counts.
+/// Fills a record with fields of the size that a gateway's record has, since each datagram carries it.
 void describeAsGateway(membership::MemberRecord& self);
 
 /// One row of the table in docs/membership.md.
 struct MembersRow {
   std::size_t members = 0;
   double loss = 0;
-  double detectP50 = 0, detectP99 = 0;  ///< periods from a kill until the first holds it dead
-  double allP50 = 0, allP99 = 0;        ///< periods until all do
-  double allMost = 0;                   ///< the longest of them
-  double joinP99 = 0;                   ///< periods until all know a newcomer
-  double falseDeaths = 0;               ///< an hour and member, at a period of 1 s, on a quiet day
-  double datagrams = 0, bytes = 0;      ///< sent a member and period
-  double micros = 0;                    ///< processor time of an event
-  double microsPerPeriod = 0;           ///< processor time a member and period
-  double kilobytes = 0;                 ///< memory a member, by the allocator's count
-  std::uint64_t trace = 0;              ///< of all that was sent and raised, in order; 0 unless asked for
+  double detectP50 = 0, detectP99 = 0;  ///< periods from a kill until the first member reports the death
+  double allP50 = 0, allP99 = 0;        ///< periods until all members know of the death
+  double allMost = 0;                   ///< the maximum of these
+  double joinP99 = 0;                   ///< periods until all members know a joined member
+  double falseDeaths = 0;               ///< per hour and member without faults, at a period of 1 s
+  double datagrams = 0, bytes = 0;      ///< sent per member and period
+  double micros = 0;                    ///< processor time per event
+  double microsPerPeriod = 0;           ///< processor time per member and period
+  double kilobytes = 0;                 ///< allocated memory per member
+  std::uint64_t trace = 0;              ///< hash of all datagrams and events in order; 0 unless requested
 };
 struct MembersRun {
   std::size_t members = 0;
--- a/src/lab/simulation/policy.cpp
+++ b/src/lab/simulation/policy.cpp
@@ -37,68 +37,71 @@
   Balancer balancer_;
 };
 
-// What the plain policies have in common: they keep the rules on repeats, drains and answers, take cold hosts
-// by a part of their draws, send again while the class permits, and differ in the host that they choose.
-class Plain : public Policy {
+// The common part of the baseline policies: they observe the rules on repeats, drains and answers, offer
+// servers that warm up in a growing share of the draws, retry while the class permits it, and differ in the
+// host that they choose.
+class BaselinePolicy : public Policy {
  public:
-  Plain(const Settings& settings, const OmniscientView& view)
-      : set_(settings), view_(view), random_(settings.seed, "plain") {}
+  BaselinePolicy(const Settings& settings, const OmniscientView& view)
+      : settings_(settings), view_(view), random_(settings.seed, "plain") {}
 
-  void onSettings(Time, const Settings& settings) override { set_ = settings; }
+  void onSettings(Time, const Settings& settings) override { settings_ = settings; }
   void onEndpoints(Time, EndpointListKind kind, const std::vector<Endpoint>& entries) override {
     if (kind == EndpointListKind::unavailable)
       return;
     if (kind != EndpointListKind::delta)
-      for (Known& k : hosts_)
-        k.entry.state = EndpointState::removed;
-    for (const Endpoint& e : entries) {
-      const auto [it, fresh] = ids_.emplace(e.address, static_cast<HostId>(hosts_.size()));
-      if (fresh)
+      for (Host& host : hosts_)
+        host.entry.state = EndpointState::removed;
+    for (const Endpoint& entry : entries) {
+      const auto [it, isNew] = ids_.emplace(entry.address, static_cast<HostId>(hosts_.size()));
+      if (isNew)
         hosts_.emplace_back();
-      hosts_[it->second].entry = e;
+      hosts_[it->second].entry = entry;
     }
   }
-  void onRequest(Time now, const Request& q) override {
-    const ClassSettings& c = set_.classes[std::min<std::size_t>(q.classIndex, set_.classes.size() - 1)];
-    Held& h = held_[q.id] = Held{c, now + q.remaining, 0, false, {}};
-    due_.push({h.deadline, q.id});
+  void onRequest(Time now, const Request& request) override {
+    const ClassSettings& classSettings =
+        settings_.classes[std::min<std::size_t>(request.classIndex, settings_.classes.size() - 1)];
+    OpenRequest& open = openRequests_[request.id] =
+        OpenRequest{classSettings, now + request.remaining, 0, false, {}};
+    deadlines_.push({open.deadline, request.id});
     Action& wake = actions_.emplace_back();
     wake.kind = ActionKind::wake;
-    wake.wakeAt = h.deadline;
-    if (!send(now, q.id, h))
-      give(q.id, h);
+    wake.wakeAt = open.deadline;
+    if (!send(now, request.id, open))
+      rejectOrFail(request.id, open);
   }
-  void onResult(Time now, const AttemptResult& r) override {
-    const auto it = held_.find(r.request);
-    hosts_[r.host].held -= 1;
-    if (it == held_.end())
+  void onResult(Time now, const AttemptResult& result) override {
+    const auto it = openRequests_.find(result.request);
+    hosts_[result.host].inFlight -= 1;
+    if (it == openRequests_.end())
       return;
-    Held& h = it->second;
-    --h.out;
-    if (r.outcome == Outcome::rejected || r.outcome == Outcome::connectFailed ||
-        r.outcome == Outcome::abandoned)
-      h.tries[r.attempt].mayHaveExecuted = false;
-    if (r.terminal)
-      h.ended = true;
-    if (!h.ended && h.out == 0 &&
-        (now >= h.deadline || r.outcome == Outcome::abandoned || !send(now, r.request, h)))
-      return give(r.request, h);
-    if (h.ended && h.out == 0)
-      held_.erase(it);
+    OpenRequest& open = it->second;
+    --open.inFlight;
+    if (result.outcome == Outcome::rejected || result.outcome == Outcome::connectFailed ||
+        result.outcome == Outcome::abandoned)
+      open.attempts[result.attempt].mayHaveExecuted = false;
+    if (result.terminal)
+      open.ended = true;
+    if (!open.ended && open.inFlight == 0 &&
+        (now >= open.deadline || result.outcome == Outcome::abandoned || !send(now, result.request, open)))
+      return rejectOrFail(result.request, open);
+    if (open.ended && open.inFlight == 0)
+      openRequests_.erase(it);
   }
   void onClientDisconnected(Time, RequestId id) override {
-    const auto it = held_.find(id);
-    if (it == held_.end())
+    const auto it = openRequests_.find(id);
+    if (it == openRequests_.end())
       return;
     it->second.ended = true;
-    if (it->second.out == 0)
-      held_.erase(it);
+    if (it->second.inFlight == 0)
+      openRequests_.erase(it);
   }
   void onWake(Time now) override {
-    for (; !due_.empty() && due_.top().first <= now; due_.pop()) {
-      const auto it = held_.find(due_.top().second);
-      if (it != held_.end() && !it->second.ended)
-        give(it->first, it->second);
+    for (; !deadlines_.empty() && deadlines_.top().first <= now; deadlines_.pop()) {
+      const auto it = openRequests_.find(deadlines_.top().second);
+      if (it != openRequests_.end() && !it->second.ended)
+        rejectOrFail(it->first, it->second);
     }
   }
   std::vector<Action>& actions() override { return actions_; }
@@ -109,188 +112,196 @@
   const std::string& address(HostId host) const override { return hosts_.at(host).entry.address; }
 
  protected:
-  struct Known {
+  struct Host {
     Endpoint entry;
-    int held = 0;
+    int inFlight = 0;
   };
-  /// One of `from`, not empty; kNone refuses the request.
-  virtual HostId choose(Time now, const std::vector<HostId>& from, const ClassSettings& set,
+  /// Chooses one of `hosts`, which is not empty; kNone rejects the request.
+  virtual HostId choose(Time now, const std::vector<HostId>& hosts, const ClassSettings& classSettings,
                         Time deadline) = 0;
 
-  Settings set_;
+  Settings settings_;
   const OmniscientView& view_;
   Stream random_;
-  std::vector<Known> hosts_;
+  std::vector<Host> hosts_;
 
  private:
-  struct Sent {
+  struct Attempt {
     HostId host;
-    Time at;
+    Time sentAt;
     bool mayHaveExecuted = true;
   };
-  struct Held {
-    ClassSettings set;
+  struct OpenRequest {
+    ClassSettings settings;
     Time deadline;
-    int out = 0;
+    int inFlight = 0;
     bool ended = false;
-    std::vector<Sent> tries;
+    std::vector<Attempt> attempts;
   };
-  bool allowed(Time now, const Held& h, const Endpoint& e) const {
-    for (const Sent& s : h.tries) {
-      if (!s.mayHaveExecuted || h.set.idempotency == Idempotency::idempotent)
+  bool mayRepeatAt(Time now, const OpenRequest& open, const Endpoint& entry) const {
+    for (const Attempt& attempt : open.attempts) {
+      if (!attempt.mayHaveExecuted || open.settings.idempotency == Idempotency::idempotent)
         continue;
-      if (h.set.idempotency == Idempotency::none)
+      if (open.settings.idempotency == Idempotency::none)
         return false;
-      const Endpoint& first = hosts_[s.host].entry;
-      if (h.set.deduplicationScope != DeduplicationScope::all && first.zone != e.zone)
+      const Endpoint& first = hosts_[attempt.host].entry;
+      if (open.settings.deduplicationScope != DeduplicationScope::all && first.zone != entry.zone)
         return false;
-      if (h.set.deduplicationScope == DeduplicationScope::cell && first.cell != e.cell)
+      if (open.settings.deduplicationScope == DeduplicationScope::cell && first.cell != entry.cell)
         return false;
-      if (now > s.at + h.set.deduplicationWindow)
+      if (now > attempt.sentAt + open.settings.deduplicationWindow)
         return false;
     }
     return true;
   }
-  bool send(Time now, RequestId id, Held& h) {
-    if (h.tries.size() >= set_.maxAttempts || now >= h.deadline)
+  bool send(Time now, RequestId id, OpenRequest& open) {
+    if (open.attempts.size() >= settings_.maxAttempts || now >= open.deadline)
       return false;
-    std::vector<HostId> from;
+    std::vector<HostId> hosts;
     for (HostId i = 0; i < hosts_.size(); ++i) {
-      const Endpoint& e = hosts_[i].entry;
-      if (e.state != EndpointState::serving || !allowed(now, h, e))
+      const Endpoint& entry = hosts_[i].entry;
+      if (entry.state != EndpointState::serving || !mayRepeatAt(now, open, entry))
         continue;
-      const double age = e.upSince > Time{} ? std::chrono::duration<double>(now - e.upSince).count() : 1e9;
-      const double whole = std::max(std::chrono::duration<double>(set_.slowStartDuration).count(), 1e-9);
-      if (age >= whole ||
-          random_.chance(set_.slowStartInitialFraction + (1 - set_.slowStartInitialFraction) * age / whole))
-        from.push_back(i);
+      const double age = entry.upSince > Time{} ? std::chrono::duration<double>(now - entry.upSince).count()
+                                                : kAgeOfUnknownStartS;
+      const double slowStart =
+          std::max(std::chrono::duration<double>(settings_.slowStartDuration).count(), 1e-9);
+      if (age >= slowStart || random_.chance(settings_.slowStartInitialFraction +
+                                             (1 - settings_.slowStartInitialFraction) * age / slowStart))
+        hosts.push_back(i);
     }
-    const HostId host = from.empty() ? kNone : choose(now, from, h.set, h.deadline);
+    const HostId host = hosts.empty() ? kNone : choose(now, hosts, open.settings, open.deadline);
     if (host == kNone)
       return false;
     Action& send = actions_.emplace_back();
     send.kind = ActionKind::send;
     send.request = id;
-    send.attempt = static_cast<std::uint32_t>(h.tries.size());
+    send.attempt = static_cast<std::uint32_t>(open.attempts.size());
     send.host = host;
-    send.timeLimit = h.deadline - now;
-    h.tries.push_back({host, now});
-    hosts_[host].held += 1;
-    ++h.out;
+    send.timeLimit = open.deadline - now;
+    open.attempts.push_back({host, now});
+    hosts_[host].inFlight += 1;
+    ++open.inFlight;
     return true;
   }
-  void give(RequestId id, Held& h) {
-    const bool mayHaveExecuted =
-        std::any_of(h.tries.begin(), h.tries.end(), [](const Sent& s) { return s.mayHaveExecuted; });
-    const bool harmless = !mayHaveExecuted || h.set.idempotency == Idempotency::idempotent;
+  void rejectOrFail(RequestId id, OpenRequest& open) {
+    const bool mayHaveExecuted = std::any_of(open.attempts.begin(), open.attempts.end(),
+                                             [](const Attempt& attempt) { return attempt.mayHaveExecuted; });
+    const bool safeToRepeat = !mayHaveExecuted || open.settings.idempotency == Idempotency::idempotent;
     Action& end = actions_.emplace_back();
-    end.kind = harmless ? ActionKind::reject : ActionKind::fail;
+    end.kind = safeToRepeat ? ActionKind::reject : ActionKind::fail;
     end.request = id;
-    h.ended = true;
-    if (h.out == 0)
-      held_.erase(id);
+    open.ended = true;
+    if (open.inFlight == 0)
+      openRequests_.erase(id);
   }
 
+  static constexpr double kAgeOfUnknownStartS = 1e9;  // longer than any slow start
+
   std::vector<Action> actions_;
-  std::map<RequestId, Held> held_;
+  std::map<RequestId, OpenRequest> openRequests_;
   std::unordered_map<std::string, HostId> ids_;
-  using Due = std::pair<Time, RequestId>;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
+  using RequestDeadline = std::pair<Time, RequestId>;
+  std::priority_queue<RequestDeadline, std::vector<RequestDeadline>, std::greater<>> deadlines_;
 };
 
-class RandomPolicy final : public Plain {
+class RandomPolicy final : public BaselinePolicy {
  public:
-  using Plain::Plain;
-  HostId choose(Time, const std::vector<HostId>& from, const ClassSettings&, Time) override {
-    return from[random_.below(from.size())];
+  using BaselinePolicy::BaselinePolicy;
+  HostId choose(Time, const std::vector<HostId>& hosts, const ClassSettings&, Time) override {
+    return hosts[random_.below(hosts.size())];
   }
 };
 
-class LeastPolicy final : public Plain {
+class LeastRequestPolicy final : public BaselinePolicy {
  public:
-  using Plain::Plain;
-  HostId choose(Time, const std::vector<HostId>& from, const ClassSettings&, Time) override {
+  using BaselinePolicy::BaselinePolicy;
+  HostId choose(Time, const std::vector<HostId>& hosts, const ClassSettings&, Time) override {
     int least = std::numeric_limits<int>::max();
     std::vector<HostId> best;
-    for (HostId id : from) {
-      if (hosts_[id].held < least)
+    for (HostId id : hosts) {
+      if (hosts_[id].inFlight < least)
         best.clear();
-      least = std::min(least, hosts_[id].held);
-      if (hosts_[id].held == least)
+      least = std::min(least, hosts_[id].inFlight);
+      if (hosts_[id].inFlight == least)
         best.push_back(id);
     }
     return best[random_.below(best.size())];
   }
 };
 
-class TwoPolicy final : public Plain {
+class PowerOfTwoChoicesPolicy final : public BaselinePolicy {
  public:
-  using Plain::Plain;
-  HostId choose(Time, const std::vector<HostId>& from, const ClassSettings&, Time) override {
-    const HostId a = from[random_.below(from.size())], b = from[random_.below(from.size())];
-    return hosts_[a].held <= hosts_[b].held ? a : b;
+  using BaselinePolicy::BaselinePolicy;
+  HostId choose(Time, const std::vector<HostId>& hosts, const ClassSettings&, Time) override {
+    const HostId a = hosts[random_.below(hosts.size())], b = hosts[random_.below(hosts.size())];
+    return hosts_[a].inFlight <= hosts_[b].inFlight ? a : b;
   }
 };
 
-// Sees the true state: the server that would be done first, of those that are not crowded. A jammed one
-// rests. The lesser classes go first: the more a request is worth, the fuller a server may be that takes it.
-class OmniscientPolicy final : public Plain {
+// Sees the true state and chooses the server that would complete the request first, among those that are
+// neither choked nor full. The limit of requests in flight grows with the priority weight of the class, so
+// that requests of low weight are rejected first.
+class OmniscientPolicy final : public BaselinePolicy {
  public:
-  using Plain::Plain;
-  HostId choose(Time now, const std::vector<HostId>& from, const ClassSettings& set, Time deadline) override {
-    double most = 0;
-    for (const ClassSettings& c : set_.classes)
-      most = std::max(most, c.priorityWeight);
-    const double full = kFull * (0.5 + 0.5 * set.priorityWeight / std::max(most, 1e-9));
+  using BaselinePolicy::BaselinePolicy;
+  HostId choose(Time now, const std::vector<HostId>& hosts, const ClassSettings& classSettings,
+                Time deadline) override {
+    double maxWeight = 0;
+    for (const ClassSettings& other : settings_.classes)
+      maxWeight = std::max(maxWeight, other.priorityWeight);
+    const double limit =
+        kMaxInFlightPerCore * (0.5 + 0.5 * classSettings.priorityWeight / std::max(maxWeight, 1e-9));
     double first = std::min(std::chrono::duration<double>(deadline - now).count(),
-                            std::chrono::duration<double>(set.latencyObjective).count());
+                            std::chrono::duration<double>(classSettings.latencyObjective).count());
     HostId best = kNone;
-    for (HostId id : from) {
-      const OmniscientView::State state = view_.look(hosts_[id].entry.address, kWork);
-      if (state.jammed || state.held >= full || state.seconds >= first)
+    for (HostId id : hosts) {
+      const OmniscientView::State state = view_.serverState(hosts_[id].entry.address, kTypicalWorkS);
+      if (state.choked || state.inFlightPerCore >= limit || state.secondsToServe >= first)
         continue;
-      first = state.seconds;
+      first = state.secondsToServe;
       best = id;
     }
     return best;
   }
 
  private:
-  static constexpr double kWork = 0.05;  // seconds: about a usual request
-  static constexpr double kFull = 3.5;   // held a core: below what jams one
+  static constexpr double kTypicalWorkS = 0.05;       // of a request
+  static constexpr double kMaxInFlightPerCore = 3.5;  // below the load at which a server chokes
 };
 
 template <class Kind>
-std::unique_ptr<Policy> plain(const Settings& settings, Time, const OmniscientView& view) {
+std::unique_ptr<Policy> makeBaseline(const Settings& settings, Time, const OmniscientView& view) {
   return std::make_unique<Kind>(settings, view);
 }
 
-const std::map<std::string, PolicyMaker>& makers() {
-  static const std::map<std::string, PolicyMaker> all{
+const std::map<std::string, PolicyFactory>& policyFactories() {
+  static const std::map<std::string, PolicyFactory> all{
       {"module",
-       [](const Settings& s, Time now, const OmniscientView&) -> std::unique_ptr<Policy> {
-         return std::make_unique<ModulePolicy>(s, now);
+       [](const Settings& settings, Time now, const OmniscientView&) -> std::unique_ptr<Policy> {
+         return std::make_unique<ModulePolicy>(settings, now);
        }},
-      {"random", plain<RandomPolicy>},
-      {"least", plain<LeastPolicy>},
-      {"two", plain<TwoPolicy>},
-      {"truth", plain<OmniscientPolicy>}};
+      {"random", makeBaseline<RandomPolicy>},
+      {"least", makeBaseline<LeastRequestPolicy>},
+      {"two", makeBaseline<PowerOfTwoChoicesPolicy>},
+      {"truth", makeBaseline<OmniscientPolicy>}};
   return all;
 }
 
 }  // namespace
 
-PolicyMaker policyNamed(const std::string& name) {
-  const auto it = makers().find(name);
-  if (it == makers().end())
-    throw std::invalid_argument("no policy '" + name + "'");
+PolicyFactory policyNamed(const std::string& name) {
+  const auto it = policyFactories().find(name);
+  if (it == policyFactories().end())
+    throw std::invalid_argument("unknown policy '" + name +
+                                "', expected module, random, least, two or truth");
   return it->second;
 }
 
 const std::vector<std::string>& policyNames() {
   static const std::vector<std::string> names = [] {
     std::vector<std::string> all;
-    for (const auto& [name, maker] : makers())
+    for (const auto& [name, factory] : policyFactories())
       all.push_back(name);
     return all;
   }();
--- a/src/lab/simulation/policy.hpp
+++ b/src/lab/simulation/policy.hpp
@@ -1,4 +1,5 @@
-// What decides in a gateway of the model: the decision module itself, or a plain policy to compare it with.
+// The decision maker of a simulated gateway: the decision module itself, or a baseline policy to compare it
+// with.
 #pragma once
 
 #include <functional>
@@ -10,7 +11,7 @@
 
 namespace hollyrun::lab {
 
-/// One gateway's decisions. The calls are those of balancer::Balancer and mean the same.
+/// Makes the decisions of one gateway. The interface and its meaning are those of balancer::Balancer.
 class Policy {
  public:
   virtual ~Policy() = default;
@@ -27,24 +28,24 @@
   virtual double sheddingThreshold() const { return 0; }  ///< 0 to 100
 };
 
-/// The true state of the servers, for the policy that sees it.
+/// The true state of the servers, which only the omniscient policy uses.
 class OmniscientView {
  public:
   virtual ~OmniscientView() = default;
   struct State {
-    double seconds = 0;  // until a request sent now would be served; infinite if it would not be
-    double held = 0;     // a core
-    bool jammed = false;
+    double secondsToServe = 0;  // for a request sent now; infinite if it would not be served
+    double inFlightPerCore = 0;
+    bool choked = false;
   };
-  /// By true speed, state and backlog, for a request of this work.
-  virtual State look(const std::string& address, double work) const = 0;
+  /// The state of a server by its true speed and backlog, for a request of this work in seconds.
+  virtual State serverState(const std::string& address, double work) const = 0;
 };
 
-using PolicyMaker =
+using PolicyFactory =
     std::function<std::unique_ptr<Policy>(const balancer::Settings&, balancer::Time, const OmniscientView&)>;
 
-/// module, random, least, two, truth. Throws std::invalid_argument on another name.
-PolicyMaker policyNamed(const std::string& name);
+/// Accepts module, random, least, two and truth. Throws std::invalid_argument on any other name.
+PolicyFactory policyNamed(const std::string& name);
 const std::vector<std::string>& policyNames();
 
 }  // namespace hollyrun::lab
--- a/src/lab/simulation/random.hpp
+++ b/src/lab/simulation/random.hpp
@@ -1,5 +1,5 @@
-// Random numbers of the model. Every part draws from a PCG stream of its own, named after the part, so a part
-// that draws more or less leaves the others' numbers as they were.
+// Random numbers of the model. Each component draws from its own PCG stream, which is named after it, so a
+// component that draws more or fewer numbers does not change those of the others.
 #pragma once
 
 #include <boost/random/bernoulli_distribution.hpp>
@@ -16,9 +16,9 @@
 
 class Stream {
  public:
-  /// The stream of `part` under `seed`; `number` tells apart equal parts, such as servers.
-  Stream(std::uint64_t seed, std::string_view part, std::uint64_t number = 0)
-      : engine_(seed * 0x9e3779b97f4a7c15ULL + number, hash(part)) {}
+  /// The stream of `component` under `seed`; `number` distinguishes equal components, such as servers.
+  Stream(std::uint64_t seed, std::string_view component, std::uint64_t number = 0)
+      : engine_(seed * 0x9e3779b97f4a7c15ULL + number, hash(component)) {}
 
   double unit() { return boost::random::uniform_01<double>()(engine_); }  ///< in [0, 1)
   double uniform(double low, double high) { return low + (high - low) * unit(); }
@@ -29,20 +29,21 @@
   double exponential(double mean) {
     return mean > 0 ? boost::random::exponential_distribution<double>(1 / mean)(engine_) : 0;
   }
-  /// Log-normal by its mean and its coefficient of variation.
-  double lognormal(double mean, double variation) {
-    const double spread = std::log1p(variation * variation);
-    return boost::random::lognormal_distribution<double>(std::log(mean) - spread / 2,
-                                                         std::sqrt(spread))(engine_);
+  /// Log-normal with the given mean and coefficient of variation.
+  double lognormal(double mean, double cv) {
+    const double variance = std::log1p(cv * cv);
+    return boost::random::lognormal_distribution<double>(std::log(mean) - variance / 2,
+                                                         std::sqrt(variance))(engine_);
   }
   pcg64& engine() { return engine_; }
 
  private:
-  static std::uint64_t hash(std::string_view text) {  // FNV-1a: the same on every machine
-    std::uint64_t h = 0xcbf29ce484222325ULL;
-    for (unsigned char c : text)
-      h = (h ^ c) * 0x100000001b3ULL;
-    return h;
+  /// FNV-1a, which unlike std::hash is equal on every machine.
+  static std::uint64_t hash(std::string_view text) {
+    std::uint64_t value = 0xcbf29ce484222325ULL;
+    for (unsigned char byte : text)
+      value = (value ^ byte) * 0x100000001b3ULL;
+    return value;
   }
   pcg64 engine_;
 };
--- a/src/lab/simulation/scenario.hpp
+++ b/src/lab/simulation/scenario.hpp
@@ -1,4 +1,4 @@
-// A scenario of the model, as a TOML file describes it. docs/lab.md tells every key.
+// A scenario of the model, as read from a TOML file. docs/lab.md describes every key.
 #pragma once
 
 #include <map>
@@ -11,7 +11,7 @@
 
 namespace hollyrun::lab {
 
-/// A number, or a range that each day draws from.
+/// A number, or a range from which each day draws one.
 struct Range {
   double low = 0, high = 0;
   Range() = default;
@@ -22,103 +22,121 @@
 
 struct MachineKind {
   std::string name;
-  Range share = 1;           // of the fleet
-  Range cores = 1;           // of one machine
-  Range speed = 1;           // against the yardstick
-  Range speedCv = 0;         // between machines of the kind
-  Range slots = 1;           // requests in work, a core
-  Range queue = 15;          // requests waiting, a core; beyond it turns away
-  Range thrash = 0;          // part of its speed lost for each request held a core beyond `thrashAt`
-  Range thrashAt = 10;       // held a core
-  Range coldFrom = 1;        // share of its capacity that it starts with
-  Range coldS = 0;           // seconds until it is warm
-  Range errorRate = 0;       // share of its answers that are errors
-  Range dropsExpired = 0;    // 1: waiting work past its deadline is dropped; a share draws it
-  Range dropsCancelled = 0;  // 1: waiting work that was given up is dropped
+  Range share = 1;          // of the fleet's machines
+  Range cores = 1;          // of one machine
+  Range speed = 1;          // relative to the reference core, on which work is stated
+  Range speedCv = 0;        // coefficient of variation between machines of the kind
+  Range slotsPerCore = 1;   // concurrently executed requests
+  Range queuePerCore = 15;  // queued requests; further ones are rejected
+  // Share of the speed lost for each request in flight per core above `thrashingThreshold`.
+  Range thrashing = 0;
+  Range thrashingThreshold = 10;
+  Range initialCapacity = 1;  // share of the capacity available at the start
+  Range warmupS = 0;
+  Range errorRate = 0;       // share of the responses that are errors
+  Range dropsExpired = 0;    // probability that the kind drops queued requests past their deadline
+  Range dropsCancelled = 0;  // probability that the kind drops queued requests that were cancelled
 };
 
 struct RequestClass {
-  balancer::ClassSettings set;
+  balancer::ClassSettings settings;
   Range share = 1;         // of the requests
   Range workMs = 40;       // mean, on a core of speed 1
-  Range cv = 1;            // of the work
-  Range attemptNoise = 0;  // cv between attempts of one request
+  Range workCv = 1;        // coefficient of variation of the work
+  Range attemptNoise = 0;  // coefficient of variation between attempts of one request
 };
 
+/// A fault of the simulated day, `[[trouble]]` in the file.
 struct FaultSpec {
   std::string kind;
-  Range chance = 1;  // that it happens
-  Range atS = 0, lengthS = 0, part = 0, size = 0, everyS = 1;
-  std::string zone, idempotency, className;  // zone: empty draws one
-  std::string place;                         // file and line
+  Range probability = 1;
+  Range atS = 0, durationS = 0, affectedShare = 0, size = 0, intervalS = 1;
+  std::string zone;  // empty: drawn
+  std::string idempotency, className;
+  std::string location;  // file and line
 };
 
-/// What the testbed does to real processes, to the platform's servers or to discovery at a time of its day.
+/// A scheduled fault that the testbed injects into real processes, into the platform's servers or into
+/// discovery, `[[fault]]` in the file.
 struct Fault {
   std::string kind;
-  double atS = 0, lengthS = 0, size = 1;
-  std::vector<std::size_t> gateways,
-      servers;             // by number; none of both and no zone: all that the kind is for
+  double atS = 0, durationS = 0, size = 1;
+  // Numbers of the affected gateways and servers; without these and a zone all that the kind applies to.
+  std::vector<std::size_t> gateways, servers;
   std::string zone, file;  // file: same, changed or broken
-  std::string place;       // file and line
+  std::string location;    // file and line
 };
 
 struct Scenario {
   std::string name, description, file;
 
-  double lengthS = 60, tickMs = 5, warmS = 1;
-  Range pace = 1;  // factor on works, aims and deadlines
+  double durationS = 60;
+  double gatewayTickMs = 5;  // gateways handle events at multiples of it; 0: at once
+  double warmupS = 1;        // excluded from the results
+  Range timeScale = 1;       // factor of work, latency objectives and client timeouts
 
   std::vector<std::string> zones{"hall"};
   Range gateways = 3, servers = 12, cellSize = 6, startSpreadMs = 0;
 
-  Range level = 0.7, swing = 0.2, periodS = 20, zoneSkew = 0, keys = 500, keyZipf = 0.7;
-  std::string shape = "wave";  // flat, wave, bursty
+  Range loadLevel = 0.7;  // share of the fleet's capacity
+  Range loadAmplitude = 0.2, loadPeriodS = 20, zoneSkew = 0, keyCount = 500, keyZipfExponent = 0.7;
+  std::string loadShape = "wave";  // flat, wave, bursty
 
-  Range sameMs = 0.2, crossMs = 0.7, clientMs = 0.6, jitter = 0.2;
+  Range sameZoneMs = 0.2, crossZoneMs = 0.7, clientLinkMs = 0.6, jitter = 0.2;
 
-  Range retries = 3, tryShare = 0.55, backoffMs = 30, honour = 0.2, frontNoticeS = 2;
+  Range maxRetries = 3;
+  Range requestTimeoutShare = 0.55;  // timeout of one client request, as a share of the client's timeout
+  Range backoffMs = 30;
+  Range retryAfterCompliance = 0.2;  // probability that a client observes Retry-After
+  Range frontendDetectionS = 2;      // until the frontend stops using a gateway that has ended
 
-  Range noticeS = 2, silentNoticeS = 9, addS = 2, spreadMs = 80, periodMs = 500;
+  // Delays of discovery until it announces a removal, a server that stopped responding and a new server.
+  Range removalNoticeS = 2, silenceDetectionS = 9, additionNoticeS = 2;
+  Range notificationSpreadMs = 80;  // between the gateways
+  Range discoveryPollMs = 500;
 
   unsigned maxAttempts = 3, candidates = 0;
-  bool secondCopies = true, cancel = true, retryAfter = true, keyAffinity = true;
-  double maxRetryAfterMs = 1500, idleS = 60, connectTimeoutMs = 150;
+  bool allowHedging = true, cancel = true, retryAfter = true, keyAffinity = true;
+  double maxRetryAfterMs = 1500, idleTimeoutS = 60, connectTimeoutMs = 150;
 
-  double drainGraceMs = 1000, overloadMultiple = 4, fallMs = 1000, slowStartInitialFraction = 0.12,
-         coldRuleS = 23, answerSlackMs = 20;
+  double drainGraceMs = 1000, overloadMultiple = 4, overloadWindowMs = 1000, slowStartInitialFraction = 0.12,
+         slowStartS = 23, answerSlackMs = 20;
 
-  double goalWhole = 0.55, goalWorstWindow = 0.15, goalWorstClass = 0.3;
+  // Weights of the goodputs in the score, and prices that are deducted from it.
+  double goodputWeight = 0.55, worstWindowWeight = 0.15, worstClassWeight = 0.3;
   double priceCrossZone = 0.03, priceWaste = 0.059, priceLateFail = 0.039, priceHandshake = 0.035,
          priceChoke = 0.04;
 
-  Range handshakeRtts = 2, handshakeUs = 1000, capPerCore = 750, fullTax = 0.3;
-  Range chokeShare = 0, chokeAt = 5, chokeOverS = 2, chokeSlower = 3, chokeRestS = 3, chokeBelow = 0.3,
-        chokeMostS = 25;
-  Range warmGain = 0, warmKeepS = 6, warmKeysPerCore = 24;
+  Range handshakeRtts = 2, handshakeUs = 1000;
+  Range connectionsPerCore = 750;  // limit of open connections
+  Range fullTableOverhead = 0.3;   // share of the capacity lost at that limit
+  // The collapse of overloaded servers, see ServerParameters.
+  Range chokeProbability = 0, chokeThreshold = 5, chokeDelayS = 2, chokeSlowdown = 3, chokeRecoveryS = 3,
+        chokeRecoveryUtilization = 0.3, maxChokeS = 25;
+  // The servers' caches by key: share of the work saved by a hit, time to live and size.
+  Range keyCacheGain = 0, keyCacheTtlS = 6, cachedKeysPerCore = 24;
 
   std::vector<MachineKind> kinds;
   std::vector<RequestClass> classes;
   std::vector<FaultSpec> faultSpecs;
 
-  std::vector<Fault> faults;      // of `fleet` alone
-  double expectGoodput = 0;       // of `fleet`: less is a failed check
-  double membershipPeriodMs = 0;  // the gateways are members of one fleet; 0: they are not
-  double configuredGateways = 0;  // what they are told of their number; 0: the truth
-  double expectAgreeS =
-      0;  // so long after the last fault or its end all have to see the same fleet; 0: unchecked
+  std::vector<Fault> faults;      // only used by `fleet`
+  double expectGoodput = 0;       // in `fleet` a lower goodput is a failed check
+  double membershipPeriodMs = 0;  // probe interval of the gateways' membership; 0: no membership
+  double configuredGateways = 0;  // number of gateways in their settings; 0: the actual number
+  double expectAgreeS = 0;  // the views have to be equal this long after the last fault ends; 0: unchecked
 };
 
-/// What is wrong with a scenario; a line for each fault, `file:line: key: what`.
+/// All errors of a scenario, one per line as `file:line: key: message`.
 struct ScenarioError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// safe, keyed or unsafe, as the scenario words it.
+/// The idempotency that a scenario's safe, keyed or unsafe stands for.
 balancer::Idempotency effectNamed(const std::string& name);
 
-/// Reads a scenario and the one that it `extends`. `set` are settings of the command line, `load.level=0.9`,
-/// that go over the file's. Throws ScenarioError that names all faults.
-Scenario readScenario(const std::string& file, const std::vector<std::string>& set = {});
+/// Reads a scenario and those that it `extends`. `overrides` are settings of the command line, such as
+/// `load.level=0.9`, which take precedence over those of the file. Throws ScenarioError with all errors.
+Scenario readScenario(const std::string& file, const std::vector<std::string>& overrides = {});
 
 }  // namespace hollyrun::lab
--- a/src/lab/simulation/server.hpp
+++ b/src/lab/simulation/server.hpp
@@ -1,5 +1,5 @@
-// The model of one record server: cores, slots, a waiting room, the cold ramp, key warmth, the table of
-// connections and the choke of crowded machines. It knows no network and no gateway.
+// Models one server: cores, request slots, a queue, the warm-up after a start, a cache by key, a connection
+// table and the choke of overloaded machines. It is independent of the network and of the gateways.
 #pragma once
 
 #include <deque>
@@ -23,19 +23,27 @@
   return static_cast<double>(d.count()) * 1e-9;
 }
 
-/// What one machine was drawn with. Works are seconds on a core of speed 1.
-struct ServerFigures {
+/// The drawn parameters of one machine. Work is in seconds on a core of speed 1. A machine that has been
+/// overloaded for a while chokes: it is slower until its load has been low for some time.
+struct ServerParameters {
   double cores = 1, speed = 1;
-  std::size_t slots = 1, room = 15;  // requests in work, requests waiting
-  double thrash = 0, thrashAt = 10;  // held a core
-  double coldFrom = 1, coldS = 0;
+  std::size_t slots = 1, queueCapacity = 15;  // requests executed concurrently, requests queued
+  double thrashing = 0;  // share of the speed lost per request in flight per core above the threshold
+  double thrashingThreshold = 10;  // requests in flight per core
+  double initialCapacity = 1;      // share of the capacity available at the start
+  double warmupS = 0;
   double errorRate = 0;
   bool dropsExpired = false, dropsCancelled = false;
-  double connectionCap = 1000, fullTax = 0;
-  bool chokes = false;
-  double chokeAt = 5, chokeOverS = 2, chokeSlower = 3, chokeRestS = 3, chokeBelow = 0.3, chokeMostS = 25;
-  double warmGain = 0, warmKeepS = 6;
-  std::size_t keyAffinity = 24;
+  double connectionCap = 1000;
+  double fullTableOverhead = 0;  // share of the capacity lost at the connection cap
+  bool chokesEnabled = false;
+  double chokeThreshold = 5;  // requests in flight per core
+  double chokeDelayS = 2;     // time above the threshold until the machine chokes
+  double chokeSlowdown = 3;   // factor of the processing times while choked
+  // A choke ends after this time below this utilization of the slots, and after maxChokeS in any case.
+  double chokeRecoveryS = 3, chokeRecoveryUtilization = 0.3, maxChokeS = 25;
+  double keyCacheGain = 0, keyCacheTtlS = 6;  // share of the work saved by a hit
+  std::size_t cachedKeys = 24;
 };
 
 struct Job {
@@ -48,86 +56,94 @@
 
 class Server {
  public:
-  struct Ended {
+  struct CompletedJob {
     std::uint32_t attempt = 0;
     Time at{};
-    double work = 0;  // spent on it; 0 for what was dropped unserved
+    double work = 0;  // 0 for a job that was dropped from the queue
     bool dropped = false;
   };
   struct Choke {
-    Time from{}, to{};  // `to` zero while it lasts
-    double held = 0;    // a core, as it began
+    Time from{}, to{};           // `to` is zero while it lasts
+    double inFlightPerCore = 0;  // at its start
   };
 
-  explicit Server(ServerFigures figures) : figures_(figures) {}
-  // Danger: a copy's table of keys would point into the original.
+  explicit Server(ServerParameters parameters) : parameters_(parameters) {}
+  // The key cache of a copy would hold iterators into the original's list.
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
   Server(Server&&) = default;
 
-  /// Takes a request that has come whole. False: the waiting room is full, and it is turned away unseen.
+  /// Queues a completely received request. Returns false if the queue is full: the request is rejected
+  /// without being executed.
   bool offer(Time now, const Job& job);
-  /// The gateway gave it up; waiting work is dropped where this machine does so.
-  void abandon(std::uint32_t attempt);
-  /// Moves the work on to `now`; what ended on the way is appended to ended().
+  /// The gateway cancelled the attempt; it is dropped from the queue if this machine does so.
+  void cancel(std::uint32_t attempt);
+  /// Advances the execution to `now` and appends the jobs that ended to completed().
   void advance(Time now);
-  std::vector<Ended>& ended() { return ended_; }
-  /// When the first request in work ends if nothing changes; none while idle or paused.
-  std::optional<Time> nextEnd() const;
+  std::vector<CompletedJob>& completed() { return completed_; }
+  /// When the next running request completes if nothing changes; nullopt while idle or paused.
+  std::optional<Time> nextCompletion() const;
 
-  /// A new process: empty and cold.
+  /// Starts a new process, without requests and not warmed up.
   void restart(Time now);
-  /// The attempts that it held, waiting ones included; it holds nothing then.
-  std::vector<std::uint32_t> drop();
-  void slow(Time now, double factor);  ///< 1 is its usual speed
-  void pause(Time now, bool on);
-  void jam(Time now);  ///< as if it had been crowded for long
-
-  /// Notes work that reached a cold machine, and tells whether more than `multiple` times what it can do came
-  /// within `window`, the largest request and three of mean work left out for chance. `share` is the part of
-  /// it from gateways that had been told of its start.
-  bool overdriven(Time now, double work, bool informed, double multiple, double window, double& share);
-
-  std::size_t held() const { return running_.size() + waiting_.size(); }
-  std::size_t waiting() const { return waiting_.size(); }
+  /// Discards all running and queued requests and returns their attempts.
+  std::vector<std::uint32_t> dropAll();
+  void setSlowdown(Time now, double factor);  ///< 1 is the usual speed
+  void setPaused(Time now, bool paused);
+  void forceChoke(Time now);  ///< chokes at once, as after a long overload
+
+  /// Records work that arrived during the warm-up. Returns whether more than `multiple` times the capacity
+  /// has arrived within the last `window` seconds; the largest request and three of mean work are left out to
+  /// allow for chance. `informedShare` receives the share of that work from gateways that knew of the start.
+  bool overloadedWhileCold(Time now, double work, bool informed, double multiple, double window,
+                           double& informedShare);
+
+  std::size_t inFlight() const { return running_.size() + queue_.size(); }
+  std::size_t queued() const { return queue_.size(); }
   bool choked() const { return choked_; }
-  bool cold() const { return warmth_ < 1; }
-  double warmth() const { return warmth_; }  ///< share of its capacity, 0 to 1
-  double capacity() const;                   ///< work a second now
-  double backlog() const;                    ///< work that it holds
+  bool warmingUp() const { return warmth_ < 1; }
+  double warmth() const { return warmth_; }  ///< available share of the capacity, 0 to 1
+  double capacity() const;                   ///< work per second at present
+  double backlog() const;                    ///< remaining work of all requests in flight
   const std::vector<Choke>& chokes() const { return chokeLog_; }
-  const ServerFigures& figures() const { return figures_; }
+  const ServerParameters& parameters() const { return parameters_; }
   std::size_t connections = 0;
 
  private:
   struct Running {
     Job job;
-    double work, until;  // `until` on the clock of progress_
+    double work, until;  // completes when progress_ reaches `until`
   };
   void start(Time now);
   void observe(Time now);
   void choke(Time now);
-  void noteBusy(double passed);  // seconds since the last note
-  double rate() const;           // of each request in work
+  void updateUtilization(double elapsed);  // seconds since the last update
+  double rate() const;                     // work per second of each running request
   double workOf(const Job& job, Time now);
 
-  ServerFigures figures_;
+  ServerParameters parameters_;
   std::vector<Running> running_;
-  std::deque<Job> waiting_;
-  std::vector<std::uint32_t> abandoned_;
-  std::vector<Ended> ended_;
-  Time last_{}, startedAt_{}, crowdAt_{}, restSince_{}, chokedAt_{};
-  double progress_ = 0, slow_ = 1, warmth_ = 1, done_ = 0, busy_ = 0, crowd_ = 0, level_ = 0, meanWork_ = 0;
-  bool paused_ = false, choked_ = false, resting_ = false;
+  std::deque<Job> queue_;
+  std::vector<std::uint32_t> cancelled_;
+  std::vector<CompletedJob> completed_;
+  Time last_{}, startedAt_{}, loadUpdatedAt_{}, recoveringSince_{}, chokedAt_{};
+  double progress_ = 0;  // work that each request running since the start would have received
+  double slowdown_ = 1, warmth_ = 1;
+  double completedWork_ = 0;  // since the start
+  double utilization_ = 0;    // smoothed share of busy slots
+  double smoothedLoad_ = 0;   // requests in flight per core
+  double load_ = 0;           // the same at the last update, bounded
+  double meanWork_ = 0;
+  bool paused_ = false, choked_ = false, recovering_ = false;
   std::vector<Choke> chokeLog_;
-  struct Arrived {
+  struct ColdArrival {
     Time at;
     double work;
     bool informed;
   };
-  std::deque<Arrived> arrived_;
-  std::list<std::pair<std::uint64_t, Time>> recent_;  // keys, the latest first
-  std::unordered_map<std::uint64_t, std::list<std::pair<std::uint64_t, Time>>::iterator> keys_;
+  std::deque<ColdArrival> coldArrivals_;
+  std::list<std::pair<std::uint64_t, Time>> recentKeys_;  // the latest first
+  std::unordered_map<std::uint64_t, std::list<std::pair<std::uint64_t, Time>>::iterator> keyCache_;
 };
 
 }  // namespace hollyrun::lab
