--- a/src/lab/simulation/cost.cpp
+++ b/src/lab/simulation/cost.cpp
@@ -30,7 +30,7 @@
 constexpr double kMeanResponseTimeS = 0.02, kResponseTimeCv = 0.8;
 constexpr double kMeanRestartIntervalS = 2;  // between two restarts of servers
 constexpr Duration kRestartDowntime = seconds(3);
-constexpr Duration kSweepPeriod = milliseconds(100);  // of the module
+constexpr Duration kSweepPeriod = milliseconds(100);  // interval of the sweeps in the decision module
 constexpr std::size_t kWarmupRequests = 400;          // excluded from the measurement
 
 double processorSeconds() {
--- a/src/lab/simulation/draw.cpp
+++ b/src/lab/simulation/draw.cpp
@@ -41,7 +41,7 @@
         static_cast<double>(requestClass.settings.clientTimeout.count()) * timeScale));
     drawn.share = requestClass.share.draw(random);
     drawn.work = requestClass.workMs.draw(random) / 1000 * timeScale;
-    drawn.workCv = requestClass.cv.draw(random);
+    drawn.workCv = requestClass.workCv.draw(random);
     drawn.attemptNoise = requestClass.attemptNoise.draw(random);
     longestClientTimeout = std::max(longestClientTimeout, inSeconds(drawn.settings.clientTimeout));
     classSum += drawn.share;
--- a/src/lab/simulation/explore.cpp
+++ b/src/lab/simulation/explore.cpp
@@ -69,9 +69,9 @@
     world.inFlight.erase(world.inFlight.begin());
 }
 
-void deliver(World& world, std::size_t which) {
-  const InFlightDatagram datagram = world.inFlight[which];
-  world.inFlight.erase(world.inFlight.begin() + static_cast<std::ptrdiff_t>(which));
+void deliver(World& world, std::size_t index) {
+  const InFlightDatagram datagram = world.inFlight[index];
+  world.inFlight.erase(world.inFlight.begin() + static_cast<std::ptrdiff_t>(index));
   if (!world.members[datagram.to])
     return;
   world.members[datagram.to]->onDatagram(world.now, addressOf(datagram.from), datagram.bytes);
--- a/src/lab/simulation/member_faults.cpp
+++ b/src/lab/simulation/member_faults.cpp
@@ -191,7 +191,7 @@
   return rows;
 }
 
-std::vector<MemberFaultRow> partition(FaultedFleet& fleet, Duration duration) {
+std::vector<MemberFaultRow> partitionZones(FaultedFleet& fleet, Duration duration) {
   std::vector<MemberFaultRow> rows;
   const auto isolated = [](std::size_t i) { return zoneOf(i) < kPartitionedZones; };
   std::size_t affected = 0;
@@ -251,7 +251,7 @@
       fault = loseZone(fleet);
       break;
     case MemberFault::cut:
-      fault = partition(fleet, run.partitionDuration);
+      fault = partitionZones(fleet, run.partitionDuration);
       break;
     case MemberFault::restarts:
       fault = restartInWaves(fleet);
--- a/src/lab/simulation/members.cpp
+++ b/src/lab/simulation/members.cpp
@@ -123,13 +123,13 @@
   if (logic.wakeAt() >= timers_[i])
     return;
   timers_[i] = logic.wakeAt();
-  ScheduledEvent timer;
-  timer.at = std::max(now_, timers_[i]);
-  timer.order = ++order_;
-  timer.node = i;
-  timer.timer = true;
-  timer.startCount = nodes_[i].startCount;
-  schedule_.push(std::move(timer));
+  ScheduledEvent wake;
+  wake.at = std::max(now_, timers_[i]);
+  wake.order = ++order_;
+  wake.node = i;
+  wake.timer = true;
+  wake.startCount = nodes_[i].startCount;
+  schedule_.push(std::move(wake));
 }
 
 void MemberSimulation::runUntil(Time until) {
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -23,13 +23,13 @@
   return HOLLYRUN_SCENARIOS "/short/" + name + ".toml";
 }
 
-class Folder {
+class TemporaryDirectory {
  public:
-  Folder() {
+  TemporaryDirectory() {
     std::string pattern = (std::filesystem::temp_directory_path() / "lab-test-XXXXXX").string();
     path_ = mkdtemp(pattern.data());
   }
-  ~Folder() { std::filesystem::remove_all(path_); }
+  ~TemporaryDirectory() { std::filesystem::remove_all(path_); }
   std::string file(const std::string& name, const std::string& text = {}) const {
     const std::string path = (path_ / name).string();
     if (!text.empty())
@@ -53,11 +53,11 @@
 // --- Scenarios ------------------------------------------------------------------------------------------
 
 TEST(ScenarioTest, ReportsAllErrorsWithFileLineAndKey) {
-  Folder folder;
+  TemporaryDirectory directory;
   const std::string file =
-      folder.file("bad.toml", "extends = \"" + shortScenario("calm") +
-                                  "\"\n[load]\nlevle = 3\nlevel = \"high\"\n[[class]]\nname = \"a\"\n"
-                                  "aim_ms = -1\n[[trouble]]\nkind = \"storm\"\n");
+      directory.file("bad.toml", "extends = \"" + shortScenario("calm") +
+                                     "\"\n[load]\nlevle = 3\nlevel = \"high\"\n[[class]]\nname = \"a\"\n"
+                                     "aim_ms = -1\n[[trouble]]\nkind = \"storm\"\n");
   const std::string errors = errorsOf(file);
   EXPECT_NE(errors.find(file + ":3: load.levle: unknown key"), std::string::npos) << errors;
   EXPECT_NE(errors.find(file + ":4: load.level: expected a number"), std::string::npos) << errors;
@@ -69,16 +69,16 @@
 }
 
 TEST(ScenarioTest, ReportsBrokenTomlMissingFileUnknownZoneAndCyclicExtends) {
-  Folder folder;
-  const std::string file = folder.file("broken.toml", "[load\nlevel = 1\n");
+  TemporaryDirectory directory;
+  const std::string file = directory.file("broken.toml", "[load\nlevel = 1\n");
   EXPECT_NE(errorsOf(file).find(file + ":1"), std::string::npos) << errorsOf(file);
-  EXPECT_NE(errorsOf(folder.file("none.toml")).find("none.toml"), std::string::npos);
+  EXPECT_NE(errorsOf(directory.file("none.toml")).find("none.toml"), std::string::npos);
   const std::string zone =
-      folder.file("zone.toml", "extends = \"" + shortScenario("calm") +
-                                   "\"\n\n[[trouble]]\nkind = \"zone\"\nzone = \"nowhere\"\n");
+      directory.file("zone.toml", "extends = \"" + shortScenario("calm") +
+                                      "\"\n\n[[trouble]]\nkind = \"zone\"\nzone = \"nowhere\"\n");
   EXPECT_EQ(errorsOf(zone),
             zone + ":3: trouble[0].zone: unknown zone 'nowhere', expected one of fleet.zones");
-  const std::string loop = folder.file("loop.toml", "extends = \"loop.toml\"\n");
+  const std::string loop = directory.file("loop.toml", "extends = \"loop.toml\"\n");
   EXPECT_NE(errorsOf(loop).find("cyclic"), std::string::npos) << errorsOf(loop);
 }
 
@@ -268,8 +268,8 @@
 TEST_F(CheckerTest, AttemptToDrainingServerAfterTheGracePeriodBreaksTheDrainRule) {
   settings.idempotency = Idempotency::idempotent;
   checker.endpointAnnounced(at(0), 3, 0, EndpointState::draining);
-  checker.endpointAnnounced(at(0.9), 3, 0,
-                            EndpointState::removed);  // the grace period counts from the first announcement
+  // The grace period counts from the first announcement, not from the later removal.
+  checker.endpointAnnounced(at(0.9), 3, 0, EndpointState::removed);
   checker.requestAccepted(1, settings, at(9));
   checker.attemptSent(at(0.95), 3, 1, 0, here);
   checker.attemptEnded(1, 0, Outcome::rejected);
@@ -283,7 +283,7 @@
 // A policy that breaks one rule on purpose, to test the path from the simulation to the checker.
 class FaultyPolicy final : public Policy {
  public:
-  enum class Fault { silent, repeats, ignoresDrains, floodsCold, none };
+  enum class Fault { silent, repeats, ignoresDrains, floodsWarmingUp, none };
   explicit FaultyPolicy(Fault fault) : fault_(fault) {}
   void onSettings(Time, const Settings&) override {}
   void onEndpoints(Time, EndpointListKind kind, const std::vector<Endpoint>& entries) override {
@@ -332,11 +332,11 @@
   void send(Time now, RequestId id, std::uint32_t attempt) {
     for (std::size_t i = 0; i < hosts_.size(); ++i) {
       const HostId host = static_cast<HostId>((id + i) % hosts_.size());
-      const bool cold = hosts_[host].upSince > Time{};
-      if (hosts_[host].state != EndpointState::serving || (fault_ != Fault::floodsCold && cold))
+      const bool warmingUp = hosts_[host].upSince > Time{};
+      if (hosts_[host].state != EndpointState::serving || (fault_ != Fault::floodsWarmingUp && warmingUp))
         continue;
-      const bool prefersColdHost = fault_ == Fault::floodsCold && !cold && anyCold();
-      if (prefersColdHost)
+      const bool prefersWarmingUpHost = fault_ == Fault::floodsWarmingUp && !warmingUp && anyWarmingUp();
+      if (prefersWarmingUpHost)
         continue;
       // Short time limits make attempts time out, so that the policy has requests to repeat.
       const Duration limit = fault_ == Fault::repeats ? Duration(milliseconds(30)) : deadlines_[id] - now;
@@ -350,7 +350,7 @@
     }
     end(ActionKind::reject, id);
   }
-  bool anyCold() const {
+  bool anyWarmingUp() const {
     for (const Endpoint& host : hosts_)
       if (host.state == EndpointState::serving && host.upSince > Time{})
         return true;
@@ -373,33 +373,33 @@
   const std::pair<FaultyPolicy::Fault, Rule> faults[] = {{FaultyPolicy::Fault::silent, Rule::lost},
                                                          {FaultyPolicy::Fault::repeats, Rule::duplicate},
                                                          {FaultyPolicy::Fault::ignoresDrains, Rule::drain},
-                                                         {FaultyPolicy::Fault::floodsCold, Rule::fall}};
+                                                         {FaultyPolicy::Fault::floodsWarmingUp, Rule::fall}};
   for (const auto& [fault, rule] : faults) {
-    const Result r = playFaulty(fault);
-    ASSERT_FALSE(r.breaches.empty()) << nameOf(rule);
-    for (const Breach& b : r.breaches)
-      EXPECT_EQ(b.rule, rule) << lineOf(b);
+    const Result result = playFaulty(fault);
+    ASSERT_FALSE(result.breaches.empty()) << nameOf(rule);
+    for (const Breach& breach : result.breaches)
+      EXPECT_EQ(breach.rule, rule) << lineOf(breach);
   }
   EXPECT_TRUE(playFaulty(FaultyPolicy::Fault::none).breaches.empty());
 }
 
-// --- Days -----------------------------------------------------------------------------------------------
+// --- Simulated days -------------------------------------------------------------------------------------
 
 TEST(DayTest, ModuleBreaksNoRuleInTheShortScenarios) {
   for (const char* name : {"calm", "release", "troubles"}) {
     const Scenario scenario = readScenario(shortScenario(name));
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-      const Result r = play(scenario, seed, "module", policyNamed("module"));
-      for (const Breach& b : r.breaches)
-        ADD_FAILURE() << name << " seed " << seed << ": " << lineOf(b);
-      EXPECT_GT(r.goodput, 0.3) << name << " seed " << seed;
-      EXPECT_LE(r.goodput, 1.0);
+      const Result result = play(scenario, seed, "module", policyNamed("module"));
+      for (const Breach& breach : result.breaches)
+        ADD_FAILURE() << name << " seed " << seed << ": " << lineOf(breach);
+      EXPECT_GT(result.goodput, 0.3) << name << " seed " << seed;
+      EXPECT_LE(result.goodput, 1.0);
       std::uint64_t calls = 0;
-      for (const ClassRecord& c : r.classes) {
-        EXPECT_EQ(c.calls, c.inTime + c.late + c.rejected + c.failed) << name;
-        calls += c.calls;
+      for (const ClassRecord& record : result.classes) {
+        EXPECT_EQ(record.calls, record.inTime + record.late + record.rejected + record.failed) << name;
+        calls += record.calls;
       }
-      EXPECT_EQ(calls, r.calls);
+      EXPECT_EQ(calls, result.calls);
     }
   }
 }
@@ -457,29 +457,29 @@
 // --- Results --------------------------------------------------------------------------------------------
 
 TEST(ResultsTest, StoredDayIsReadBackUnchanged) {
-  Folder folder;
+  TemporaryDirectory directory;
   const Scenario scenario = readScenario(shortScenario("troubles"));
-  Result r = play(scenario, 2, "module", policyNamed("module"));
-  r.breaches.push_back({Rule::fall, seconds(3), 17, "10.0.0.1:80", "for the test"});
+  Result result = play(scenario, 2, "module", policyNamed("module"));
+  result.breaches.push_back({Rule::fall, seconds(3), 17, "10.0.0.1:80", "for the test"});
   {
-    Store store(folder.file("results.db"));
-    store.put("first", {r, r}, true);
-    store.put("second", {r}, false);
+    Store store(directory.file("results.db"));
+    store.put("first", {result, result}, true);
+    store.put("second", {result}, false);
   }
-  Store store(folder.file("results.db"));
+  Store store(directory.file("results.db"));
   EXPECT_EQ(store.runs().size(), 3u);
   EXPECT_EQ(store.runs("first").size(), 2u);
-  const Result back = store.run(1).result;
-  EXPECT_EQ(textOf(back), textOf(r));
-  EXPECT_EQ(back.servers[1].inFlight, r.servers[1].inFlight);
-  EXPECT_EQ(back.servers[1].states, r.servers[1].states);
+  const Result stored = store.run(1).result;
+  EXPECT_EQ(textOf(stored), textOf(result));
+  EXPECT_EQ(stored.servers[1].inFlight, result.servers[1].inFlight);
+  EXPECT_EQ(stored.servers[1].states, result.servers[1].states);
   EXPECT_TRUE(store.run(3).result.servers.empty());
   EXPECT_THROW(store.run(4), std::runtime_error);
 }
 
 TEST(ResultsTest, OpeningAFileThatIsNotADatabaseThrows) {
-  Folder folder;
-  const std::string file = folder.file("text.db", std::string(4096, 'x'));
+  TemporaryDirectory directory;
+  const std::string file = directory.file("text.db", std::string(4096, 'x'));
   EXPECT_THROW(Store store(file), std::runtime_error);
 }
 
@@ -505,9 +505,10 @@
 }
 
 TEST(ExperimentTest, ConfidenceIntervalUsesStudentsTDistribution) {
-  const Estimate e = estimate({1, 2, 3, 4, 5});
-  EXPECT_DOUBLE_EQ(e.mean, 3);
-  EXPECT_NEAR(e.half, 2.776 * std::sqrt(2.5 / 5), 1e-3);  // t quantile of 97.5 % with 4 degrees of freedom
+  const Estimate estimated = estimate({1, 2, 3, 4, 5});
+  EXPECT_DOUBLE_EQ(estimated.mean, 3);
+  EXPECT_NEAR(estimated.half, 2.776 * std::sqrt(2.5 / 5),
+              1e-3);  // t quantile of 97.5 % with 4 degrees of freedom
   EXPECT_TRUE(std::isinf(estimate({1}).half));
   EXPECT_EQ(estimate({-1, 0, 2}).better, 1u);
 }
