--- a/src/lab/simulation/member_faults.cpp
+++ b/src/lab/simulation/member_faults.cpp
@@ -47,8 +47,8 @@
     for (std::size_t i = 0; i < marks_.size(); ++i) {
       const Traffic traffic = advance(i);
       sent += traffic.sent;
-      row_.sentMost = std::max(row_.sentMost, traffic.sent);
-      row_.receivedMost = std::max(row_.receivedMost, traffic.received);
+      row_.sentMax = std::max(row_.sentMax, traffic.sent);
+      row_.receivedMax = std::max(row_.receivedMax, traffic.received);
     }
     const double members = static_cast<double>(std::max<std::size_t>(simulation_.living().size(), 1));
     const double now = processorMicros();
@@ -145,7 +145,7 @@
     std::sort(agreed.begin(), agreed.end());
     if (row.agreed && !agreed.empty()) {
       row.agreedMedian = *agreed[(agreed.size() - 1) / 2];
-      row.agreedMost = *agreed.back();
+      row.agreedMax = *agreed.back();
     }
     meter_.restart();
     return row;
@@ -270,7 +270,7 @@
     text += fmt::format(
         "{:21}  {:7}  {:7}  {:>12}  {:4.1f}  {:14.0f}  {:4.0f}  {:15.0f}  {:8.0f}  {:11.0f}  {:4.0f}\n",
         row.phase, row.members, row.affected, row.agreed ? fmt::format("{:.1f}", row.agreedMedian) : "never",
-        row.agreedMost, row.sentMean, row.sentPeak, row.sentMost, row.receivedMost, row.microsMean,
+        row.agreedMax, row.sentMean, row.sentPeak, row.sentMax, row.receivedMax, row.microsMean,
         row.microsPeak);
   return text;
 }
--- a/src/lab/simulation/member_faults.hpp
+++ b/src/lab/simulation/member_faults.hpp
@@ -34,11 +34,11 @@
   std::size_t members = 0, affected = 0;
   bool agreed = false;      ///< whether all views became equal
   double agreedMedian = 0;  ///< periods until all views were equal
-  double agreedMost = 0;    ///< the maximum of these
+  double agreedMax = 0;     ///< the maximum of these
   double sentMean = 0;      ///< bytes per member and period
   double sentPeak = 0;      ///< the same in the busiest period
-  double sentMost = 0;      ///< maximum bytes of one member in one period
-  double receivedMost = 0;  ///< the same for received bytes
+  double sentMax = 0;       ///< maximum bytes of one member in one period
+  double receivedMax = 0;   ///< the same for received bytes
   double microsMean = 0;    ///< processor time per member and period
   double microsPeak = 0;    ///< the same in the busiest period
 };
--- a/src/lab/simulation/members.cpp
+++ b/src/lab/simulation/members.cpp
@@ -338,7 +338,7 @@
   row.detectP99 = quantileOf(firstDetection, 0.99);
   row.allP50 = quantileOf(fullDetection, 0.5);
   row.allP99 = quantileOf(fullDetection, 0.99);
-  row.allMost = quantileOf(fullDetection, 1);
+  row.allMax = quantileOf(fullDetection, 1);
   row.joinP99 = quantileOf(join, 0.99);
   clearEvents();
   if (run.trace)
@@ -355,7 +355,7 @@
     text += fmt::format(
         "{:7}  {:4.2f}  {:10.1f}  {:3.0f}  {:12.1f}  {:4.0f}  {:4.0f}  {:12.1f}  {:14.2f}  {:9.1f}  {:5.0f}  "
         "{:11.1f}  {:11.0f}  {:2.0f}",
-        row.members, row.loss, row.detectP50, row.detectP99, row.allP50, row.allP99, row.allMost, row.joinP99,
+        row.members, row.loss, row.detectP50, row.detectP99, row.allP50, row.allP99, row.allMax, row.joinP99,
         row.falseDeaths, row.datagrams, row.bytes, row.micros, row.microsPerPeriod, row.kilobytes);
     text += row.trace == 0 ? "\n" : fmt::format("  trace {:016x}\n", row.trace);
   }
--- a/src/lab/simulation/members.hpp
+++ b/src/lab/simulation/members.hpp
@@ -117,7 +117,7 @@
   double loss = 0;
   double detectP50 = 0, detectP99 = 0;  ///< periods from a kill until the first member reports the death
   double allP50 = 0, allP99 = 0;        ///< periods until all members know of the death
-  double allMost = 0;                   ///< the maximum of these
+  double allMax = 0;                    ///< the maximum of these
   double joinP99 = 0;                   ///< periods until all members know a joined member
   double falseDeaths = 0;               ///< per hour and member without faults, at a period of 1 s
   double datagrams = 0, bytes = 0;      ///< sent per member and period
--- a/src/lab/simulation/scenario.cpp
+++ b/src/lab/simulation/scenario.cpp
@@ -40,22 +40,22 @@
   Section(const Section&) = delete;
   Section& operator=(const Section&) = delete;
 
-  void number(const char* key, double& out, double least = 0, double most = kUnbounded) {
+  void number(const char* key, double& out, double minimum = 0, double maximum = kUnbounded) {
     if (const toml::node* node = read(key)) {
       const auto value = node->value<double>();
       if (!value || !node->is_number())
         return error(node, key, "expected a number");
-      if (checkRange(node, key, *value, least, most))
+      if (checkRange(node, key, *value, minimum, maximum))
         out = *value;
     }
   }
-  void range(const char* key, Range& out, double least = 0, double most = kUnbounded) {
+  void range(const char* key, Range& out, double minimum = 0, double maximum = kUnbounded) {
     const toml::node* node = read(key);
     if (!node)
       return;
     if (node->is_number()) {
       const double value = *node->value<double>();
-      if (checkRange(node, key, value, least, most))
+      if (checkRange(node, key, value, minimum, maximum))
         out = value;
       return;
     }
@@ -63,15 +63,15 @@
     if (!pair || pair->size() != 2 || !pair->get(0)->is_number() || !pair->get(1)->is_number())
       return error(node, key, "expected a number or [low, high]");
     const double low = *pair->get(0)->value<double>(), high = *pair->get(1)->value<double>();
-    if (checkRange(node, key, low, least, most) && checkRange(node, key, high, least, most))
+    if (checkRange(node, key, low, minimum, maximum) && checkRange(node, key, high, minimum, maximum))
       out = {low, high};
   }
-  void count(const char* key, unsigned& out, unsigned least, unsigned most) {
+  void count(const char* key, unsigned& out, unsigned minimum, unsigned maximum) {
     if (const toml::node* node = read(key)) {
       const auto value = node->value_exact<std::int64_t>();
       if (!value)
         return error(node, key, "expected an integer");
-      if (checkRange(node, key, static_cast<double>(*value), least, most))
+      if (checkRange(node, key, static_cast<double>(*value), minimum, maximum))
         out = static_cast<unsigned>(*value);
     }
   }
@@ -158,12 +158,12 @@
     readKeys_.insert(key);
     return table_ ? table_->get(key) : nullptr;
   }
-  bool checkRange(const toml::node* node, const char* key, double value, double least, double most) {
-    if (std::isfinite(value) && value >= least && value <= most)
+  bool checkRange(const toml::node* node, const char* key, double value, double minimum, double maximum) {
+    if (std::isfinite(value) && value >= minimum && value <= maximum)
       return true;
-    std::string text = "is " + trimmed(value) + ", expected " + trimmed(least) + " or more";
-    if (most < kUnbounded)
-      text = "is " + trimmed(value) + ", expected " + trimmed(least) + " to " + trimmed(most);
+    std::string text = "is " + trimmed(value) + ", expected " + trimmed(minimum) + " or more";
+    if (maximum < kUnbounded)
+      text = "is " + trimmed(value) + ", expected " + trimmed(minimum) + " to " + trimmed(maximum);
     error(node, key, text);
     return false;
   }
--- a/src/lab/simulation/simulation.cpp
+++ b/src/lab/simulation/simulation.cpp
@@ -35,12 +35,12 @@
   requestArrival,    // index: request, at its gateway
   answerDue,         // index: request, the time for its answer is over
   attemptArrival,    // index: attempt, at its server
-  serverCompletion,  // index: server, version: of its completion schedule
+  serverCompletion,  // index: server, argument: version of its completion schedule
   serverUpdate,      // index: server
   attemptResult,     // index: attempt, its outcome reaches the gateway
   attemptTimeout,    // index: attempt
-  gatewayWake,       // index: gateway, version: its start count
-  endpointUpdate,    // index: gateway, version: index of the endpoint change
+  gatewayWake,       // index: gateway, argument: its start count
+  endpointUpdate,    // index: gateway, argument: index in endpointChanges_
   callback,          // index: in callbacks_
   sample
 };
@@ -49,7 +49,7 @@
   Time at;
   std::uint64_t order;
   EventKind kind;
-  std::uint32_t index, version;
+  std::uint32_t index, argument;
   bool operator>(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
 };
 
@@ -178,8 +178,8 @@
   static Duration millis(double ms) { return lab::seconds(ms / 1000); }
   double secondsSinceStart(Time time) const { return inSeconds(time - kStart); }
 
-  void schedule(Time when, EventKind kind, std::uint32_t index = 0, std::uint32_t version = 0) {
-    events_.push({std::max(when, now_), nextOrder_++, kind, index, version});
+  void schedule(Time when, EventKind kind, std::uint32_t index = 0, std::uint32_t argument = 0) {
+    events_.push({std::max(when, now_), nextOrder_++, kind, index, argument});
   }
   void schedule(Time when, std::function<void()> callback) {
     callbacks_.push_back(std::move(callback));
@@ -1133,7 +1133,7 @@
         return arriveAtServer(event.index);
       case EventKind::serverCompletion: {
         Machine& machine = machines_[event.index];
-        if (event.version != machine.scheduleVersion)
+        if (event.argument != machine.scheduleVersion)
           return;
         machine.server.advance(now_);
         collectCompleted(event.index);
@@ -1154,13 +1154,13 @@
         return finishAttempt(event.index, Outcome::timeout, true);
       case EventKind::gatewayWake: {
         Gateway& gateway = gateways_[event.index];
-        if (!gateway.up || gateway.startCount != event.version)
+        if (!gateway.up || gateway.startCount != event.argument)
           return;
         gateway.policy->onWake(now_);
         return executeActions(event.index);
       }
       case EventKind::endpointUpdate:
-        return announceChange(event.index, event.version);
+        return announceChange(event.index, event.argument);
       case EventKind::callback: {
         const std::function<void()> callback = std::move(callbacks_[event.index]);
         return callback();
--- a/src/lab/simulation/simulation.hpp
+++ b/src/lab/simulation/simulation.hpp
@@ -19,7 +19,8 @@
 struct Second {
   double offeredValue = 0, inTimeValue = 0, lateValue = 0;  // of the calls that arrived in this second
   std::uint32_t calls = 0, requests = 0, rejected = 0, failed = 0, attempts = 0;
-  std::uint32_t rejectedAttempts = 0, timeouts = 0, connectFailed = 0, resets = 0, errors = 0;  // attempts
+  std::uint32_t rejectedAttempts = 0, timeouts = 0, connectFailed = 0, resets = 0,
+                errors = 0;      // outcomes of attempts
   double sheddingThreshold = 0;  // mean over the gateways, the maximum in this second
   double p50 = 0, p99 = 0;       // ms, of the served calls
 };
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -577,7 +577,7 @@
     for (const MemberFaultRow& row :
          measureMemberFault({fault, kMembers, membership::Duration(std::chrono::seconds(60)), 1})) {
       EXPECT_TRUE(row.agreed) << row.phase;
-      EXPECT_LE(row.agreedMost, kHealPeriods) << row.phase;
+      EXPECT_LE(row.agreedMax, kHealPeriods) << row.phase;
     }
 }
 
