--- a/src/gateway/log.hpp
+++ b/src/gateway/log.hpp
@@ -35,8 +35,8 @@
   using Clock = std::chrono::steady_clock;
   using Fields = std::initializer_list<std::pair<std::string_view, std::string>>;
 
-  /// Every line contains `name`, the gateway's name. Lines are written to `descriptor`, which the log neither
-  /// closes nor sets flags on.
+  /// Every line contains `name`, the gateway's name. Lines are written to `descriptor`, which stays open and
+  /// keeps its flags.
   Log(std::string name, const LogSettings& settings, int descriptor = 2);
   ~Log();
   Log(const Log&) = delete;
--- a/src/gateway/management.cpp
+++ b/src/gateway/management.cpp
@@ -135,7 +135,7 @@
   boost::beast::flat_buffer buffer_{kMaxHeaderBytes + kMaxBodyBytes};
   http::request_parser<http::string_body> parser_;
   Response response_;
-  std::string serializedResponse_;  // while it is written
+  std::string serializedResponse_;  // the buffer of the pending write
   const Clock::time_point openedAt_ = Clock::now();
 };
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -205,7 +205,7 @@
 
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);  // writing to a disconnected peer returns an error instead
-  std::signal(SIGHUP, SIG_IGN);   // until a handler is registered; the configuration is read after that
+  std::signal(SIGHUP, SIG_IGN);   // until the handler is registered, which precedes reading the configuration
   try {
     return run(argc, argv);
   } catch (const ConfigError& error) {
--- a/tests/management_test.cpp
+++ b/tests/management_test.cpp
@@ -238,19 +238,21 @@
     change(file);
     EXPECT_THROW(parseConfig(file, noVariables, &running), ConfigError) << why;
   };
-  expectRejected("no deadline", [](json& f) { f["settings"]["grades"][1].erase("giveUpNs"); });
-  expectRejected("no class", [](json& f) { f["settings"]["grades"] = json::array(); });
-  expectRejected("no attempts", [](json& f) { f["settings"]["ceilings"].erase("maxAttempts"); });
-  expectRejected("no rules", [](json& f) { f["settings"].erase("rules"); });
-  expectRejected("no discovery", [](json& f) { f.erase("discovery"); });
+  expectRejected("missing deadline", [](json& f) { f["settings"]["grades"][1].erase("giveUpNs"); });
+  expectRejected("empty list of classes", [](json& f) { f["settings"]["grades"] = json::array(); });
+  expectRejected("missing maximum of attempts",
+                 [](json& f) { f["settings"]["ceilings"].erase("maxAttempts"); });
+  expectRejected("missing rules", [](json& f) { f["settings"].erase("rules"); });
+  expectRejected("missing discovery address", [](json& f) { f.erase("discovery"); });
   for (const json& bad : {json(0), json(-1), json("soon"), json(nullptr), json(true), json(0.5)}) {
-    expectRejected("deadline", [&](json& f) { f["settings"]["grades"][0]["giveUpNs"] = bad; });
-    expectRejected("aim", [&](json& f) { f["settings"]["grades"][0]["aimNs"] = bad; });
-    expectRejected("attempts", [&](json& f) { f["settings"]["ceilings"]["maxAttempts"] = bad; });
+    expectRejected("invalid deadline", [&](json& f) { f["settings"]["grades"][0]["giveUpNs"] = bad; });
+    expectRejected("invalid latency objective", [&](json& f) { f["settings"]["grades"][0]["aimNs"] = bad; });
+    expectRejected("invalid maximum of attempts",
+                   [&](json& f) { f["settings"]["ceilings"]["maxAttempts"] = bad; });
   }
-  json whole = config;
-  whole.erase("known");  // required only at the start
-  EXPECT_NO_THROW(parseConfig(whole, noVariables, &running));
+  json withoutKnown = config;
+  withoutKnown.erase("known");  // required only at the start
+  EXPECT_NO_THROW(parseConfig(withoutKnown, noVariables, &running));
 }
 
 }  // namespace
