--- a/src/gateway/config.cpp
+++ b/src/gateway/config.cpp
@@ -12,6 +12,7 @@
 #include "gateway/config_fields.hpp"
 #include "gateway/config_reader.hpp"
 #include "gateway/config_reload.hpp"
+#include "gateway/endpoint_text.hpp"
 #include "membership/message.hpp"
 
 namespace hollyrun::gateway {
@@ -25,13 +26,13 @@
 constexpr auto kDefaultConnectTimeout = std::chrono::milliseconds(250);
 constexpr auto kMinMembershipPeriod = std::chrono::milliseconds(10);
 
-/// An object of the configuration whose fields variables override.
+/// An object of the configuration whose fields can be overridden by environment variables.
 class OverridableObject {
  public:
   OverridableObject(const json& object, const Environment& environment)
       : object_(object), environment_(environment) {}
 
-  /// Empty if neither the variable nor the field is given.
+  /// Returns an empty string if neither the variable nor the field is set.
   std::string text(const char* name, const char* variable) const {
     if (const char* value = environment_(variable))
       return value;
@@ -70,24 +71,25 @@
   const auto [end, error] = std::from_chars(text.data(), last, seed, 16);
   if (error != std::errc{} || end != last)
     throw ConfigError(ConfigErrorCode::malformedValue, "seed",
-                      "seed: '" + text + "' is no hexadecimal number");
+                      "seed: expected a hexadecimal number of up to 64 bits, got '" + text + "'");
   return seed;
 }
 
-// The platform enforces the limits on cores and memory; here they are only checked for plausibility.
+// The platform enforces the limits on cores and memory, so they are only checked for plausibility.
 void readLimits(const json& limits, Config& config) {
   readField(limits, "sockets", config.sockets);
   if (config.sockets < kMinSockets)
     throw ConfigError(ConfigErrorCode::outOfRange, "sockets",
-                      "sockets: at least " + std::to_string(kMinSockets) + " are needed");
+                      "sockets: must be at least " + std::to_string(kMinSockets) + ", got " +
+                          std::to_string(config.sockets));
   double cores = 1;
   double megabytes = 64;
   readField(limits, "cores", cores);
   readField(limits, "memory_mb", megabytes);
   if (cores <= 0)
-    throw ConfigError(ConfigErrorCode::outOfRange, "cores", "cores: must be above 0");
+    throw ConfigError(ConfigErrorCode::outOfRange, "cores", "cores: must be greater than 0");
   if (megabytes <= 0)
-    throw ConfigError(ConfigErrorCode::outOfRange, "memory_mb", "memory_mb: must be above 0");
+    throw ConfigError(ConfigErrorCode::outOfRange, "memory_mb", "memory_mb: must be greater than 0");
   config.memoryBytes = static_cast<std::size_t>(megabytes * kBytesPerMegabyte);
 }
 
@@ -102,7 +104,8 @@
     return LogLevel::error;
   if (text == "off")
     return LogLevel::off;
-  throw ConfigError(ConfigErrorCode::unknownValue, "level", "log: unknown level '" + text + "'");
+  throw ConfigError(ConfigErrorCode::unknownValue, "level",
+                    "log.level: unknown value '" + text + "', expected debug, info, warning, error or off");
 }
 
 LogSettings readLog(const json& log) {
@@ -115,15 +118,18 @@
   readField(log, "mostPerSecond", settings.maxLinesPerSecond);
   settings.level = parseLogLevel(level);
   if (format != "text" && format != "json")
-    throw ConfigError(ConfigErrorCode::unknownValue, "format", "log: unknown format '" + format + "'");
+    throw ConfigError(ConfigErrorCode::unknownValue, "format",
+                      "log.format: unknown value '" + format + "', expected text or json");
   settings.format = format == "json" ? LogFormat::json : LogFormat::text;
   return settings;
 }
 
-// A member's record holds an IPv4 address. Any other would end a serving gateway at its reload.
+// Member records only support IPv4 addresses. Another address would terminate a serving gateway when it
+// reloads its configuration.
 udp::endpoint requireIpv4(const tcp::endpoint& endpoint) {
   if (!endpoint.address().is_v4())
-    throw ConfigError(ConfigErrorCode::malformedValue, "membership", "membership: only IPv4 addresses");
+    throw ConfigError(ConfigErrorCode::malformedValue, "membership",
+                      "membership: expected an IPv4 address, got '" + textOf(endpoint) + "'");
   return udp::endpoint(endpoint.address(), endpoint.port());
 }
 
@@ -171,23 +177,23 @@
   return config;
 }
 
-// Texts that travel between gateways are short and printable: a datagram carries many of them.
+// Strings that gateways exchange are short and printable, because one datagram carries many of them.
 void requireMembershipText(const char* name, const std::string& text, std::size_t minLength) {
   const bool hasControlCharacters =
       std::any_of(text.begin(), text.end(), [](unsigned char c) { return c < 0x20 || c == 0x7f; });
   if (text.size() >= minLength && text.size() <= membership::kMaxTextBytes && !hasControlCharacters)
     return;
   throw ConfigError(ConfigErrorCode::outOfRange, name,
-                    std::string(name) + ": for membership it has to be a text of " +
+                    std::string(name) + ": with membership it must be a string of " +
                         std::to_string(minLength) + " to " + std::to_string(membership::kMaxTextBytes) +
-                        " bytes with no control characters");
+                        " bytes without control characters");
 }
 
 void checkMembershipTexts(const Config& config) {
   if (!config.membership)
     return;
   requireMembershipText("name", config.name, 1);
-  requireMembershipText("zone", config.module.zone, 0);
+  requireMembershipText("zone", config.balancer.zone, 0);
   requireMembershipText("region", config.membership->region, 0);
   requireMembershipText("fleet", config.membership->fleet, 1);
 }
@@ -198,23 +204,24 @@
   config.listen = addresses.requiredEndpoint("listen", "GW_LISTEN");
   config.discovery = addresses.requiredEndpoint("discovery", "GW_DISCOVERY");
   config.management = addresses.endpoint("management", "GW_MANAGEMENT");
-  const char* tmp = environment("TMPDIR");
-  if (tmp && *tmp)
-    config.tmp = tmp;
+  const char* directory = environment("TMPDIR");
+  if (directory && *directory)
+    config.temporaryDirectory = directory;
 }
 
 void readSeed(const json& root, Config& config) {
   std::string seed;
   readField(root, "seed", seed);
   if (!seed.empty())
-    config.module.seed = parseSeed(seed);
+    config.balancer.seed = parseSeed(seed);
 }
 
 Duration readConnectTimeout(const json& ceilings) {
   Duration timeout = kDefaultConnectTimeout;
   readField(ceilings, "connectTimeoutNs", timeout);
   if (timeout <= Duration{})
-    throw ConfigError(ConfigErrorCode::outOfRange, "connectTimeoutNs", "connectTimeoutNs: must be above 0");
+    throw ConfigError(ConfigErrorCode::outOfRange, "connectTimeoutNs",
+                      "connectTimeoutNs: must be greater than 0");
   return timeout;
 }
 
@@ -229,7 +236,7 @@
   }
 }
 
-// The decision module checks its own settings when it is made.
+// Constructs a Balancer, which validates its settings.
 void checkBalancerSettings(const balancer::Settings& settings) {
   try {
     balancer::Balancer probe(settings, Duration{});
@@ -262,14 +269,15 @@
 
 Config parseConfig(const json& root, const Environment& environment, const Config* running) {
   if (!root.is_object())
-    throw ConfigError(ConfigErrorCode::wrongType, "", "the configuration is no object");
+    throw ConfigError(ConfigErrorCode::wrongType, "",
+                      std::string("configuration: expected a JSON object, got ") + root.type_name());
   if (running)
     requireRunningKeys(*running->source, root);
   Config config;
   config.source = std::make_shared<const json>(root);
   readAddresses(root, environment, config);
   const json& settings = objectField(root, "settings");
-  config.module = readBalancerSettings(settings);
+  config.balancer = readBalancerSettings(settings);
   config.log = readLog(objectField(root, "log"));
   config.membership = readMembership(objectField(root, "membership"), environment);
   checkMembershipTexts(config);
@@ -277,7 +285,7 @@
   readLimits(objectField(root, "limits"), config);
   config.connectTimeout = readConnectTimeout(objectField(settings, "ceilings"));
   config.cachedEndpoints = readCachedEndpoints(root);
-  checkBalancerSettings(config.module);
+  checkBalancerSettings(config.balancer);
   return config;
 }
 
@@ -286,7 +294,7 @@
   if (!path)
     throw ConfigError(ConfigErrorCode::missingKey, "GW_CONFIG", "GW_CONFIG is not set");
   const ParsedConfigFile file = readConfigFile(path);
-  // The variable names where discovery was at the start; a reloaded file may name its new address.
+  // The variable is the address of discovery at the start; a reloaded file may have its new address.
   const bool fileNamesDiscovery = running && file.json.contains("discovery");
   const Environment overrides = [&](const char* name) -> const char* {
     if (fileNamesDiscovery && std::string_view(name) == "GW_DISCOVERY")
--- a/tests/membership_transport_test.cpp
+++ b/tests/membership_transport_test.cpp
@@ -28,7 +28,7 @@
     return parseConfig(configuration, [](const char*) { return nullptr; });
   }
   std::unique_ptr<Gateway> startMember(const json& configuration) {
-    return std::make_unique<Gateway>(io, parsed(configuration), waits, log);
+    return std::make_unique<Gateway>(io, parsed(configuration), options, log);
   }
   static std::string membershipAddressOf(const Gateway& member) {
     const auto endpoint = member.fleet()->listening();
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -32,7 +32,7 @@
 
 template <class Predicate>
 bool runUntil(asio::io_context& io, const Predicate& predicate) {
-  const auto deadline = std::chrono::steady_clock::now() + kPatience;
+  const auto deadline = std::chrono::steady_clock::now() + kTestTimeout;
   while (!predicate()) {
     if (std::chrono::steady_clock::now() > deadline)
       return false;
@@ -87,7 +87,7 @@
   const pid_t pid = startProgram({"GW_CONFIG=" + path});
   tcp::socket socket(io);
   error_code ec = asio::error::not_connected;
-  const auto deadline = std::chrono::steady_clock::now() + kPatience;
+  const auto deadline = std::chrono::steady_clock::now() + kTestTimeout;
   while (ec && std::chrono::steady_clock::now() < deadline) {
     socket.close();
     socket.connect(freeAddress, ec);
