--- a/src/gateway/balancer_config.cpp
+++ b/src/gateway/balancer_config.cpp
@@ -22,7 +22,7 @@
   if (text == "fragile")
     return balancer::Idempotency::none;
   throw ConfigError(ConfigErrorCode::unknownValue, "effect",
-                    "effect: unknown value '" + text + "', expected retryable, dedup or fragile");
+                    "effect: unknown value '" + text + "', expected one of: retryable, dedup, fragile");
 }
 
 balancer::DeduplicationScope parseDeduplicationScope(const std::string& text) {
@@ -33,7 +33,7 @@
   if (text == "all")
     return balancer::DeduplicationScope::all;
   throw ConfigError(ConfigErrorCode::unknownValue, "group",
-                    "group: unknown value '" + text + "', expected zone, cell or all");
+                    "group: unknown value '" + text + "', expected one of: zone, cell, all");
 }
 
 // An absent list allows everything; an empty list and null allow nothing.
--- a/src/gateway/config.cpp
+++ b/src/gateway/config.cpp
@@ -56,7 +56,8 @@
   tcp::endpoint requiredEndpoint(const char* name, const char* variable) const {
     const auto found = endpoint(name, variable);
     if (!found)
-      throw ConfigError(ConfigErrorCode::missingKey, variable, std::string(variable) + " is not set");
+      throw ConfigError(ConfigErrorCode::missingKey, variable,
+                        std::string(variable) + " is not set, and its key is missing in the configuration");
     return *found;
   }
 
@@ -104,8 +105,9 @@
     return LogLevel::error;
   if (text == "off")
     return LogLevel::off;
-  throw ConfigError(ConfigErrorCode::unknownValue, "level",
-                    "log.level: unknown value '" + text + "', expected debug, info, warning, error or off");
+  throw ConfigError(
+      ConfigErrorCode::unknownValue, "level",
+      "log.level: unknown value '" + text + "', expected one of: debug, info, warning, error, off");
 }
 
 LogSettings readLog(const json& log) {
@@ -119,7 +121,7 @@
   settings.level = parseLogLevel(level);
   if (format != "text" && format != "json")
     throw ConfigError(ConfigErrorCode::unknownValue, "format",
-                      "log.format: unknown value '" + format + "', expected text or json");
+                      "log.format: unknown value '" + format + "', expected one of: text, json");
   settings.format = format == "json" ? LogFormat::json : LogFormat::text;
   return settings;
 }
@@ -184,9 +186,9 @@
   if (text.size() >= minLength && text.size() <= membership::kMaxTextBytes && !hasControlCharacters)
     return;
   throw ConfigError(ConfigErrorCode::outOfRange, name,
-                    std::string(name) + ": with membership it must be a string of " +
-                        std::to_string(minLength) + " to " + std::to_string(membership::kMaxTextBytes) +
-                        " bytes without control characters");
+                    std::string(name) + ": must be a string of " + std::to_string(minLength) + " to " +
+                        std::to_string(membership::kMaxTextBytes) +
+                        " bytes without control characters if membership is enabled");
 }
 
 void checkMembershipTexts(const Config& config) {
@@ -236,7 +238,7 @@
   }
 }
 
-// Constructs a Balancer, which validates its settings.
+// Constructs a temporary Balancer, because its constructor validates the settings.
 void checkBalancerSettings(const balancer::Settings& settings) {
   try {
     balancer::Balancer probe(settings, Duration{});
@@ -294,7 +296,7 @@
   if (!path)
     throw ConfigError(ConfigErrorCode::missingKey, "GW_CONFIG", "GW_CONFIG is not set");
   const ParsedConfigFile file = readConfigFile(path);
-  // The variable is the address of discovery at the start; a reloaded file may have its new address.
+  // GW_DISCOVERY has the address of discovery at the start; a reloaded file may have a new one.
   const bool fileNamesDiscovery = running && file.json.contains("discovery");
   const Environment overrides = [&](const char* name) -> const char* {
     if (fileNamesDiscovery && std::string_view(name) == "GW_DISCOVERY")
--- a/src/gateway/config_reader.cpp
+++ b/src/gateway/config_reader.cpp
@@ -262,7 +262,7 @@
 };
 
 // Returns no value if the file cannot be read completely. The parsers do not read the file themselves,
-// because they take a read error for the end of the file or throw exceptions that are not their own.
+// because they treat a read error as the end of the file or throw exceptions other than their parse errors.
 std::optional<std::string> readWholeFile(const std::string& path) {
   try {
     std::ifstream file(path);
--- a/src/gateway/config_reload.cpp
+++ b/src/gateway/config_reload.cpp
@@ -13,7 +13,8 @@
 
 using nlohmann::json;
 
-// Keys that the platform may omit at any time, and keys that only apply at the start.
+// Keys that a reloaded file may lack: those that the platform may omit at any time, and those that only apply
+// at the start.
 constexpr std::string_view kOptionalKeys[] = {"aimStretch", "staysIn", "boundTo",   "passesDeadline",
                                               "warmKeys",   "known",   "seed",      "name",
                                               "management", "log",     "membership"};
--- a/src/gateway/endpoint_list.cpp
+++ b/src/gateway/endpoint_list.cpp
@@ -38,7 +38,7 @@
   return it == object.end() ? fallback : wholeNumber(*it, maximum);
 }
 
-/// Parses a state as discovery spells it.
+/// Parses the state of a host in the form that discovery sends.
 EndpointState parseState(const std::string& text) {
   if (text == "SERVING")
     return EndpointState::serving;
@@ -46,20 +46,22 @@
     return EndpointState::draining;
   if (text == "DELETED")
     return EndpointState::removed;
-  throw std::invalid_argument("unknown state '" + text + "'; expected SERVING, DRAINING or DELETED");
+  throw std::invalid_argument("state: unknown value '" + text +
+                              "', expected one of: SERVING, DRAINING, DELETED");
 }
 
 ListedEndpoint parseListedEndpoint(const nlohmann::json& target) {
   ListedEndpoint endpoint;
   endpoint.uid = target.at("uid").get<std::string>();
   if (endpoint.uid.empty())
-    throw std::invalid_argument("the uid of a host is empty");
+    throw std::invalid_argument("uid: must not be empty");
   endpoint.state = parseState(target.at("state").get<std::string>());
   // A removed host needs no address.
   if (endpoint.state != EndpointState::removed || target.contains("endpoint")) {
     endpoint.address = parseEndpoint(target.at("endpoint").get<std::string>());
     if (endpoint.address.port() == 0)
-      throw std::invalid_argument("host " + endpoint.uid + ": the port of its endpoint is 0");
+      throw std::invalid_argument("host " + endpoint.uid +
+                                  ": endpoint: the port must be from 1 to 65535, got 0");
   }
   endpoint.zone = target.value("az", std::string());
   endpoint.machineType = target.value("model", std::string());
