--- a/src/gateway/action_executor.cpp
+++ b/src/gateway/action_executor.cpp
@@ -17,8 +17,8 @@
 using balancer::Time;
 using boost::system::error_code;
 
-// Time limit of an attempt whose upload has not been received completely. The connection pool's connect
-// timeout is shorter.
+// Time limit of an attempt whose upload has not been received completely; completeUpload() replaces it.
+// Connecting alone is limited by the connection pool's connect timeout, which is shorter.
 constexpr Duration kUploadConnectTimeout = std::chrono::seconds(10);
 
 }  // namespace
--- a/src/gateway/action_executor.hpp
+++ b/src/gateway/action_executor.hpp
@@ -30,7 +30,8 @@
                  AttemptAdmission& admission, RequestCompletion& completion, Targets targets);
 
   /// Executes all pending actions in order, and those that their results cause. Must be called after each
-  /// event passed to the balancer. A reentrant call does nothing.
+  /// event passed to the balancer. A reentrant call does nothing, because the outer call executes its
+  /// actions.
   void executePending();
   /// Queues the result. The balancer receives it after the current batch of actions is executed.
   void onAttemptComplete(AttemptCompletion completion);
--- a/src/gateway/connection_evictor.cpp
+++ b/src/gateway/connection_evictor.cpp
@@ -12,11 +12,11 @@
 
 // A connection with an incomplete request may be evicted once nothing was received on it for this long.
 constexpr auto kMinSilence = std::chrono::milliseconds(500);
-// Evicted connections that may linger beyond the connection limit. They use descriptors that are reserved for
-// no other purpose.
+// Evicted connections that may linger at the same time. They do not count towards the connection limit; their
+// descriptors are part of the reserve that partitionDescriptors() keeps.
 constexpr std::size_t kMaxEvictedLingering = 8;
-// Connections whose socket is checked for unread bytes in one search. Those with unread bytes are read in the
-// next iteration of the event loop.
+// Limit on the connections whose socket is checked for unread bytes in one search. Connections with unread
+// bytes are not evicted; they are read in the next iteration of the event loop.
 constexpr std::size_t kMaxCandidates = 16;
 
 }  // namespace
--- a/src/gateway/connection_evictor.hpp
+++ b/src/gateway/connection_evictor.hpp
@@ -24,11 +24,12 @@
   using List = std::list<DownstreamConnection*>;
 
   /// Evicts one connection: the one idle for longest; else, of those with an incomplete request, the one that
-  /// has received nothing for longest; else a lingering one. Connections of clients that send slowly and
-  /// connections with a complete request are not evicted. Returns false if no connection may be evicted.
+  /// has received nothing for longest; else the oldest lingering one that was not evicted before. Connections
+  /// of clients that send slowly and connections with a complete request are not evicted. Returns false if no
+  /// connection may be evicted.
   ///
-  /// A request may be in flight to the evicted connection, so it lingers before it is closed. Only when too
-  /// many evicted connections linger is the oldest of them closed immediately.
+  /// A request may be in flight to the evicted connection, so the connection lingers before it is closed. If
+  /// too many evicted connections linger, the oldest of them is closed immediately.
   bool evictForCapacity(EvictionScope scope = EvictionScope::all);
 
   /// Must be called when the connection is closed.
--- a/src/gateway/discovery.cpp
+++ b/src/gateway/discovery.cpp
@@ -126,9 +126,9 @@
 
 void Discovery::switchServer(tcp::endpoint server) {
   server_ = std::move(server);
-  // The new server may count versions from another start, and a delta to a list that it never sent would
-  // leave removed endpoints in the current list forever. So a snapshot is requested, and the current list
-  // stays in effect until the snapshot arrives.
+  // The versions of the new server may be unrelated to those of the old one, and a delta to a list that it
+  // never sent would leave removed endpoints in the current list forever. So a snapshot is requested, and the
+  // current list stays in effect until the snapshot arrives.
   version_.reset();
   watch();
 }
--- a/src/gateway/discovery.hpp
+++ b/src/gateway/discovery.hpp
@@ -50,8 +50,8 @@
 
  private:
   struct Connection;
-  /// The first poll returns at once, so that the balancer learns that the watch works; later polls wait for
-  /// a change.
+  /// The first poll returns at once, so that the balancer is notified that the watch works; later polls wait
+  /// for a change.
   enum class RequestType { snapshot, firstPoll, poll };
 
   void send(RequestType type);
--- a/src/gateway/downstream_connection.cpp
+++ b/src/gateway/downstream_connection.cpp
@@ -222,8 +222,9 @@
   }
 }
 
-// Whether the body arrives at less than the minimum rate. The connection of an invalid first request has to
-// be closed within 3 s of the connect, and the head of a valid one may take most of that time.
+// Whether the body arrives at less than the minimum rate. A connection without a valid first request has to
+// be closed within 3 s of the connect, although the head of a valid one may take most of that time. So the
+// grace period for the body of a first request is the time that its head has left, within limits.
 bool DownstreamConnection::isBodyTooSlow(Clock::time_point now) const {
   const DownstreamServer::Limits& limits = server_.limits_;
   if (awaitingFirstRequest_ && now - connectedAt_ <= limits.firstRequestTimeout)
--- a/src/gateway/downstream_connection.hpp
+++ b/src/gateway/downstream_connection.hpp
@@ -46,9 +46,10 @@
   /// Closes the socket at once. Only the first reason is recorded: that of linger() if the connection
   /// lingers.
   void close(CloseReason reason);
-  /// Half-closes the connection and discards what the client still sends until it closes its side. The kernel
-  /// resets a connection that is closed with unread bytes or receives more bytes after the close, and the
-  /// reset may overtake the response. A client whose request crosses the half-close sends the request again.
+  /// Half-closes the connection and discards what the client still sends, until the client closes its side or
+  /// a limit on time or bytes is exceeded. Closing at once could lose the response: the kernel resets a
+  /// connection that is closed with unread bytes or receives bytes after the close, and the reset may
+  /// overtake the response. A client whose request crosses the half-close sends the request again.
   void linger(CloseReason reason);
   /// Handles a client that disconnected while its request was waiting for its response.
   void handleClientDisconnected();
@@ -136,7 +137,7 @@
   Clock::time_point uploadPausedAt_;
   std::size_t bodyBytes_ = 0;
   std::size_t discardedBytes_ = 0;    // While lingering.
-  bool awaitingFirstRequest_ = true;  // No request has arrived completely yet.
+  bool awaitingFirstRequest_ = true;  // No request has been received completely yet.
   bool readPending_ = false;          // A wait for the socket to become readable is pending.
   bool feedingUpload_ = false;        // Data is being appended to the upload.
 
--- a/src/gateway/downstream_listener.cpp
+++ b/src/gateway/downstream_listener.cpp
@@ -48,8 +48,8 @@
       return;
     if (acceptPending() != AcceptResult::noCapacity)
       return awaitPending();
-    // The listener stays readable while no descriptor or buffer is free, so that waiting for it at once would
-    // make the event loop spin.
+    // The listener stays readable while no descriptor or buffer is free, so waiting for it again without a
+    // delay would make the event loop spin.
     retryTimer_.expires_after(kRetryInterval);
     retryTimer_.async_wait([this](error_code waitError) {
       if (!waitError && acceptor_.is_open())
@@ -58,9 +58,9 @@
   });
 }
 
-// Accepts a batch of connections. At the limit, an idle client is disconnected only once the new connection
-// has been accepted, because a pending connection may turn out to be aborted. So one connection over the
-// limit may be open.
+// Accepts a batch of connections. At the limit, a connection is evicted only once the new one has been
+// accepted: a pending connection may turn out to be aborted, and a client would be disconnected for nothing.
+// So one connection over the limit may be open.
 DownstreamListener::AcceptResult DownstreamListener::acceptPending() {
   for (std::size_t attempts = 0; attempts < kAcceptBatch; ++attempts) {
     if (admission_.isOverLimit() && !admission_.evictForCapacity(EvictionScope::all))
--- a/src/gateway/downstream_request_reader.cpp
+++ b/src/gateway/downstream_request_reader.cpp
@@ -47,8 +47,8 @@
 }
 
 // Waits until the socket is readable, unless a wait is already pending. The wait itself reads nothing, so
-// that the handler reads according to the state at that time. A wait is pending except while no more may be
-// read.
+// that the handler reads according to the state at that time. A wait is always pending, except while the
+// connection must not be read because the upload is paused or the buffer of pipelined input is full.
 void DownstreamConnection::awaitReadable() {
   if (std::exchange(readPending_, true))
     return;
@@ -59,8 +59,8 @@
   });
 }
 
-// Buffers input that arrives before the response for the client's next request. Once the buffer contains as
-// much as one read of a head, further input stays in the socket.
+// Buffers input that arrives before the current response is complete; it belongs to the client's next
+// request. Once the buffer contains as much as one read of a head, further input stays in the socket.
 void DownstreamConnection::awaitPipelined() {
   if (buffer_.size() < kHeadReadSize)
     awaitReadable();
@@ -117,8 +117,8 @@
       return false;
     }
   }
-  // The parser limits the head and the body, but not the head of a chunk. A full buffer would throw, and the
-  // exception would end the process.
+  // The parser limits the head and the body, but not the header of a chunk (its size and extensions). A full
+  // buffer would throw, and the exception would end the process.
   if (!parser_->is_done() && buffer_.size() + kBodyReadSize > buffer_.max_size()) {
     rejectMalformed(http::error::body_limit);
     return false;
@@ -172,8 +172,8 @@
 
 // --- The body -------------------------------------------------------------------------------------------
 
-// Moves the parsed part of the body to the upload, unless the body is buffered completely. Returns false if
-// the request has ended or the upload is paused.
+// Moves the parsed part of the body to the upload, unless the body is still small enough to be buffered.
+// Returns false if the request has ended or the upload is paused.
 bool DownstreamConnection::handleBody() {
   std::string& body = parser_->get().body();
   const std::size_t alreadyCounted = upload_ ? 0 : std::min(bodyBytes_, body.size());
@@ -263,7 +263,7 @@
   return request;
 }
 
-// Responds without the observer. Always returns false, as a result for its callers.
+// Responds without the observer. Always returns false, which the callers return in turn.
 bool DownstreamConnection::reject(http::status status) {
   keepAlive_ = false;
   HttpResponse response;
--- a/src/gateway/downstream_server.hpp
+++ b/src/gateway/downstream_server.hpp
@@ -27,9 +27,12 @@
  public:
   struct Limits {
     std::size_t connections = 640;
-    /// From the connect until the first request is complete.
+    /// From the connect until the head of the first request is complete. From then on the request's body has
+    /// to arrive at a minimum rate.
     std::chrono::milliseconds firstRequestTimeout{2500};
-    /// From the first byte of a later request until it is complete.
+    /// From the first byte of a later request until its head is complete; half of it is the grace period
+    /// before the minimum rate of its body is enforced. Also the time limit for writing a complete response
+    /// or one piece of a streamed response.
     std::chrono::milliseconds requestTimeout{5000};
     /// Between two requests.
     std::chrono::milliseconds idleTimeout{75000};
--- a/src/gateway/endpoint_table.cpp
+++ b/src/gateway/endpoint_table.cpp
@@ -17,7 +17,8 @@
 void EndpointTable::applyEndpointList(const EndpointList& list, EndpointListKind kind) {
   const std::vector<Endpoint> endpoints = convert(list, kind);
   state_.balancer.onEndpoints(state_.clock.now(), kind, endpoints);
-  // An endpoint that a snapshot leaves out is removed.
+  // Only a delta keeps endpoints that it does not list. For any other list all endpoints are marked as
+  // removed before the listed ones are updated.
   if (kind != EndpointListKind::delta)
     for (EndpointStatus& status : statuses_)
       takeOutOfService(status, EndpointState::removed);
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -160,8 +160,8 @@
   actions_.executePending();
 }
 
-// Applies the configured membership. If its address has changed, leaves the fleet under the old address and
-// joins under the new one.
+// Applies the configured membership. If the gateway's addresses or name or the fleet's name have changed,
+// leaves the fleet as the old member and joins as a new one.
 void Gateway::joinFleet(const Config& config) {
   configuredReplicaCount_ = config.balancer.replicaCount;
   if (process_.isShuttingDown())
@@ -178,8 +178,9 @@
   repartitionFleetLimits();
 }
 
-// Divides fleet-wide limits by the number of quota holders, but never by fewer than the configured number of
-// replicas: otherwise the two sides of a network partition would together exceed the limits.
+// Divides fleet-wide limits by the number of quota holders (members that may use a part of them), but never
+// by fewer than the configured number of replicas: otherwise the two sides of a network partition would
+// together exceed the limits.
 void Gateway::repartitionFleetLimits() {
   const std::uint32_t replicas = std::max(configuredReplicaCount_, fleet_ ? fleet_->quotaHolders() : 1);
   if (replicas == state_.settings.replicaCount)
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -34,8 +34,8 @@
   struct Options {
     DownstreamServer::Limits clients;
     Discovery::Timeouts discovery;
-    /// Whether a broken rule aborts the process, so that a test or a soak detects it. In production it is
-    /// counted and logged.
+    /// Whether a violated rule of request handling aborts the process, so that a test or a soak detects the
+    /// violation. In production violations are counted and logged.
     bool abortOnViolation = false;
   };
 
@@ -53,8 +53,9 @@
   /// Null if membership is disabled.
   const MembershipTransport* fleet() const { return fleet_ ? &*fleet_ : nullptr; }
 
-  /// Applies a new configuration; its settings are in effect for new requests. If the address of discovery
-  /// has changed, the current endpoint list stays in effect until the new server responds.
+  /// Applies a new configuration. Requests in progress keep the class settings that they arrived with. If the
+  /// address of discovery has changed, the current endpoint list stays in effect until the new server
+  /// responds.
   void reload(const Config& config);
   /// Counts a reload whose configuration was rejected.
   void reloadFailed() { state_.statistics.recordReload(Statistics::ReloadResult::rejected); }
