--- a/src/gateway/json_number.hpp
+++ b/src/gateway/json_number.hpp
@@ -22,7 +22,7 @@
   const bool isInRange = real >= 0 && real <= static_cast<double>(maximum) && real < kExactIntegerLimit;
   if (isInRange && real == std::floor(real))
     return static_cast<std::int64_t>(real);
-  throw std::invalid_argument("must be a whole number from 0 to " + std::to_string(maximum));
+  throw std::invalid_argument("expected a whole number from 0 to " + std::to_string(maximum));
 }
 
 /// Returns a number from 0 to `maximum`. Throws std::invalid_argument whose message states the allowed range.
@@ -30,7 +30,7 @@
   const double real = value.is_number() ? value.get<double>() : -1;
   if (real >= 0 && real <= maximum)
     return real;
-  throw std::invalid_argument("must be a number from 0 to " +
+  throw std::invalid_argument("expected a number from 0 to " +
                               std::to_string(static_cast<std::int64_t>(maximum)));
 }
 
--- a/src/gateway/membership_transport.cpp
+++ b/src/gateway/membership_transport.cpp
@@ -308,8 +308,8 @@
   if (event.type == EventType::nameConflict)
     log_.write(level, "fleet",
                "another process uses the member name " + self_.name +
-                   (membership_->conceded() ? "; this process concedes it and is not a member"
-                                            : "; the other process has to concede it"));
+                   (membership_->conceded() ? "; this process gives up the name and is not a member"
+                                            : "; the other process is expected to give up the name"));
   log_.write(level, "fleet", std::string("member ") + nameOf(event.type),
              {{"member", member.name},
               {"zone", member.zone},
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,6 +1,7 @@
 /// The gateway program: command line, configuration, signals and exit codes.
 ///
-/// Exit codes: 0 success or requested shutdown; 1 failure at run time; 2 invalid arguments or configuration.
+/// Exit codes: 0 success or requested shutdown; 1 failure at run time, or views that differ for the command
+/// `fleet`; 2 invalid arguments or configuration.
 /// The platform starts the program without arguments, which runs the command `serve`.
 #include <CLI/CLI.hpp>
 #include <boost/asio/io_context.hpp>
@@ -31,7 +32,7 @@
     log.write(LogLevel::warning, "configuration", warning);
 }
 
-// An invalid file must not end a running gateway: it keeps the settings in effect.
+// An invalid file must not end a running gateway: the gateway keeps the settings in effect.
 void reload(Gateway& gateway, Config& running, const Environment& environment, Log& log) {
   try {
     Config config = readConfig(environment, &running);
@@ -76,18 +77,19 @@
   return 0;
 }
 
-/// Reads the file that GW_CONFIG names and prints its warnings and errors. Returns whether there are no
-/// errors.
+/// Reads the file that --config or GW_CONFIG names and prints its warnings and errors. Returns whether there
+/// are no errors.
 bool readAndReport(const Environment& environment, ParsedConfigFile& file) {
   const char* path = environment("GW_CONFIG");
   if (!path)
     throw ConfigError(ConfigErrorCode::missingKey, "GW_CONFIG",
-                      "no configuration file: set --config or GW_CONFIG");
+                      "GW_CONFIG is not set and --config is not given");
   file = readConfigFile(path);
   for (const auto& [key, variable] :
        {std::pair("listen", "GW_LISTEN"), std::pair("discovery", "GW_DISCOVERY")})
     if (file.errors.empty() && !environment(variable) && !file.json.contains(key))
-      file.errors.push_back({path, key, "is missing, and " + std::string(variable) + " is not set"});
+      file.errors.push_back(
+          {path, key, "required key is missing, and " + std::string(variable) + " is not set"});
   if (file.errors.empty())
     try {
       parseConfig(file.json, environment);
