--- a/src/gateway/hot_restart.cpp
+++ b/src/gateway/hot_restart.cpp
@@ -16,8 +16,8 @@
 
 constexpr auto kScanInterval = std::chrono::milliseconds(100);
 
-// Does not wait for the lock: nobody else is expected to hold the lock of a newly created file, and an
-// interrupted call is retried at the next scan.
+// Does not wait for the lock. No other process is expected to hold the lock of a newly created file, a lock
+// held by another process is what a scan looks for, and an interrupted call is retried at the next scan.
 bool tryLock(int file) {
   return ::flock(file, LOCK_EX | LOCK_NB) == 0;
 }
--- a/src/gateway/hot_restart.hpp
+++ b/src/gateway/hot_restart.hpp
@@ -1,5 +1,5 @@
 /// Hot restart: detects the other process of an upgrade. For a while the old and the new process serve the
-/// same address and share its file descriptors and memory.
+/// same address and divide the limits on file descriptors and memory between them.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,8 +10,8 @@
 
 namespace hollyrun::gateway {
 
-/// Tells whether another process serves the same address. Each process announces itself by a locked file in a
-/// common directory and scans the directory periodically for the files of others.
+/// Detects whether another process serves the same address. Each process announces itself by a locked file in
+/// a common directory and scans the directory periodically for the files of others.
 class HotRestart {
  public:
   /// Announces this process as serving `address` by a locked file in `directory`. `onChange` is called when
--- a/src/gateway/process_lifecycle.hpp
+++ b/src/gateway/process_lifecycle.hpp
@@ -20,8 +20,8 @@
 
 namespace hollyrun::gateway {
 
-/// Connections are still accepted for this long after a shutdown was requested, because clients learn of it
-/// late.
+/// Connections are still accepted for this long after a shutdown was requested, because clients notice the
+/// shutdown with a delay.
 inline constexpr std::chrono::milliseconds kStopAcceptingDelay{700};
 
 /// Number of processes that serve the address and share the resources of one.
@@ -54,7 +54,8 @@
   /// process listens at it.
   void enableHotRestart(const std::string& directory);
   /// Starts listening at once, or, if another process serves the address, after discovery's first answer or a
-  /// timeout. Throws boost::system::system_error if listening fails.
+  /// timeout, but not before the other process has had time to reduce its own limits. Throws
+  /// boost::system::system_error if listening fails.
   void start();
   void onDiscoveryAnswer();
 
--- a/src/gateway/request_intake.cpp
+++ b/src/gateway/request_intake.cpp
@@ -127,7 +127,8 @@
   const std::uint32_t attemptsStarted = context->attemptsStarted;
   state_.balancer.onClientDisconnected(state_.clock.now(), id);
   actions_.executePending();
-  // If cancellation is disabled, an attempt that is still connecting would be sent for a client that is gone.
+  // If cancellation is disabled, an attempt that is still connecting would be sent although its client has
+  // disconnected.
   for (std::uint32_t attempt = 0; attempt < attemptsStarted; ++attempt)
     upstream_.abandonIfUnsent({id, attempt});
 }
--- a/src/gateway/request_intake.hpp
+++ b/src/gateway/request_intake.hpp
@@ -28,7 +28,7 @@
   /// Validates further requests against the current settings of the state and registers their classes with
   /// the statistics.
   void applySettings();
-  /// `readiness` is the response to a health check.
+  /// `readiness` determines the response if the request is a health check.
   void receiveRequest(DownstreamRequest request, Readiness readiness);
   /// Starts the time limit for the response, which runs from the last byte of the upload.
   void completeUpload(DownstreamRequestId client);
--- a/src/gateway/request_log.hpp
+++ b/src/gateway/request_log.hpp
@@ -12,8 +12,8 @@
 
 namespace hollyrun::gateway {
 
-/// The reaction to a violated rule of request handling. In production it is counted and logged; in tests and
-/// soaks the process aborts.
+/// The reaction to a violated rule of request handling. In production the violation is counted and logged; in
+/// tests and soaks the process aborts as well.
 enum class ViolationPolicy { log, abort };
 
 class RequestLog {
@@ -35,8 +35,8 @@
   void logAccess(std::string_view clientId, std::string_view className, std::string_view outcome,
                  std::optional<std::chrono::nanoseconds> duration);
 
-  /// Logs that a rule of request handling was violated, or would have been but for a check. Each report is a
-  /// bug in this program.
+  /// Logs that a rule of request handling was violated, or that a check prevented its violation. In both
+  /// cases the cause is a bug in this program.
   void reportViolation(std::string_view rule, const std::string& clientId);
 
  private:
--- a/src/gateway/request_table.hpp
+++ b/src/gateway/request_table.hpp
@@ -23,17 +23,18 @@
   HttpRequest message;
   MemoryReservation reservation;              ///< Memory for a buffered body.
   std::shared_ptr<BodyStream> upload;         ///< The body, if it is streamed.
-  std::optional<std::uint64_t> uploadLength;  ///< In bytes, if known.
-  balancer::Duration timeLimit{};             ///< For the response, counted from `receivedAt`.
+  std::optional<std::uint64_t> uploadLength;  ///< Length of `upload` in bytes, if known.
+  balancer::Duration timeLimit{};             ///< Time limit of the response, from `receivedAt` on.
   bool isReceived = false;                    ///< The last byte of the request has arrived.
   std::chrono::steady_clock::time_point receivedAt{};
   std::size_t statisticsClass = 0;
   std::uint32_t attemptsStarted = 0;  ///< Attempts are numbered from 0.
   std::uint32_t attemptsInFlight = 0;
-  balancer::AttemptHistory history;                  ///< Of the attempts that were written.
-  balancer::AttemptTerms terms;                      ///< Of its class, from the settings at its arrival.
-  std::vector<balancer::AttemptTerms> attemptTerms;  ///< By attempt, from the settings when each was decided.
-  bool isFinished = false;                           ///< Answered, or the client has disconnected.
+  balancer::AttemptHistory history;  ///< The attempts whose first byte was written.
+  balancer::AttemptTerms terms;      ///< The class's terms in the settings at the arrival.
+  /// The terms of each attempt, indexed by attempt: `terms` with the attempt limits in effect at its start.
+  std::vector<balancer::AttemptTerms> attemptTerms;
+  bool isFinished = false;  ///< Answered, or the client has disconnected.
 
   /// The X-Request-Id header.
   std::string clientId() const { return message["X-Request-Id"].to_string(); }
--- a/src/gateway/server_start_times.cpp
+++ b/src/gateway/server_start_times.cpp
@@ -8,8 +8,8 @@
 
 using balancer::Time;
 
-// The earliest start of a host with a stated start, also if that precedes the epoch of the monotonic clock:
-// zero is reserved for hosts without a stated start.
+// Lower bound of the start time of a host whose start is stated. A start before the epoch of the monotonic
+// clock is raised to this bound, because zero is reserved for hosts without a stated start.
 constexpr Time kEarliestStart{1};
 
 std::chrono::nanoseconds unixTimeOf(std::int64_t startUnixMs) {
@@ -47,7 +47,7 @@
   return starts;
 }
 
-// Narrows the bounds of the clock offset by the start time of one listed host.
+// Narrows the bounds of the clock offset, using the start time of one listed host.
 void ServerStartTimes::updateOffsetBounds(const ListedEndpoint& endpoint, const Clocks& now) {
   if (endpoint.startUnixMs <= 0)
     return;
@@ -60,8 +60,8 @@
   minOffset_ = std::max(minOffset_.value_or(bound), bound);
 }
 
-// The offsets at process start and now differ once the wall clock was stepped. Uses the one that makes hosts
-// younger.
+// If the wall clock was stepped, the offset at the start of this process differs from the offset now. Uses
+// the one that makes hosts younger, or the upper bound if that offset lies outside of the bounds.
 ServerStartTimes::Offset ServerStartTimes::estimateOffset(const Clocks& now) const {
   const Offset wallClockOffset = std::max(offsetAtStart_, now.monotonic - now.unix);
   const bool isContradicted = minOffset_ && wallClockOffset < *minOffset_;
--- a/src/gateway/server_start_times.hpp
+++ b/src/gateway/server_start_times.hpp
@@ -9,7 +9,7 @@
 /// that is too old would overload the host.
 ///
 /// One error cannot be detected: if the wall clock is ahead, each host of the first list appears older by the
-/// same amount, and no later fact contradicts that.
+/// same amount, and no bound contradicts that when these start times are estimated.
 #pragma once
 
 #include <chrono>
--- a/src/gateway/socket_io.cpp
+++ b/src/gateway/socket_io.cpp
@@ -15,7 +15,7 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-// The delay before a write is retried for which the kernel had no buffer.
+// Delay before a write is retried after the kernel had no buffer space for it.
 constexpr auto kBufferRetryDelay = std::chrono::milliseconds(5);
 
 bool isBufferShortage(const error_code& error) {
--- a/src/gateway/socket_io.hpp
+++ b/src/gateway/socket_io.hpp
@@ -13,9 +13,9 @@
 
 namespace hollyrun::gateway {
 
-/// The call was interrupted by a signal and is to be repeated at once.
+/// Whether the call was interrupted by a signal and should be repeated at once.
 bool isInterrupted(const boost::system::error_code& error);
-/// The call is to be repeated once the socket is ready.
+/// Whether the call would have blocked and should be repeated once the socket is ready.
 bool wouldBlock(const boost::system::error_code& error);
 /// Whether the error is caused by this machine, which lacks a port, descriptor, buffer or route or
 /// interrupted the call. Such an error says nothing about the peer.
@@ -27,8 +27,8 @@
 using WriteHandler = std::function<void(boost::system::error_code)>;
 
 /// Writes all of `data`, then calls `handler`, but never from within this call. The socket must be
-/// non-blocking. It and the bytes must stay valid until then. Closing the socket ends the write with an
-/// error.
+/// non-blocking. The socket and the bytes must stay valid until `handler` is called. Closing the socket ends
+/// the write with an error.
 void writeAll(boost::asio::ip::tcp::socket& socket, boost::asio::const_buffer data, WriteHandler handler);
 
 }  // namespace hollyrun::gateway
--- a/src/gateway/upstream_connection.cpp
+++ b/src/gateway/upstream_connection.cpp
@@ -257,7 +257,8 @@
 void UpstreamConnection::writeUploadPiece(std::string text) {
   writingPiece_ = true;
   outgoing_ = std::move(text);
-  armTimer(Clock::now() + kStallTimeout, Outcome::connectFailed);  // The last byte is not written yet.
+  // Until its last byte is written the request cannot have been executed, so a stall ends as connectFailed.
+  armTimer(Clock::now() + kStallTimeout, Outcome::connectFailed);
   writeAll(socket_, asio::buffer(outgoing_), [self = shared_from_this()](error_code error) {
     self->writingPiece_ = false;
     if (self->state_ != State::writing)
--- a/src/gateway/upstream_connection.hpp
+++ b/src/gateway/upstream_connection.hpp
@@ -29,8 +29,8 @@
   AttemptKey key;
   HttpRequest request;                 ///< Includes the body, unless that is streamed.
   std::shared_ptr<BodyStream> upload;  ///< The streamed body, or null.
-  balancer::Duration timeLimit{};      ///< For the whole attempt.
-  balancer::Duration latestStart{};    ///< After this time from now, the request is not written.
+  balancer::Duration timeLimit{};      ///< Time limit of the whole attempt.
+  balancer::Duration latestStart{};    ///< Time from now after which the request is not written.
 };
 
 /// Carries attempts one after the other. Each attempt is reported to the pool's observer exactly once, with
@@ -107,7 +107,8 @@
   State state_ = State::connecting;
 
   boost::asio::steady_timer timer_;
-  std::uint64_t timerGeneration_ = 0;  // Identifies expiries of a timer that was rearmed when already due.
+  // Identifies stale expiries: if a timer is already due when it is rearmed, its old handler still runs.
+  std::uint64_t timerGeneration_ = 0;
 
   AttemptKey attempt_;
   HttpRequest request_;
--- a/src/gateway/upstream_observer.hpp
+++ b/src/gateway/upstream_observer.hpp
@@ -35,7 +35,7 @@
   AttemptKey key;
   balancer::HostId host = balancer::kNone;
   AttemptStep step = AttemptStep::connect;
-  balancer::Duration timeLeft{};  ///< Until the time limit of the attempt.
+  balancer::Duration timeLeft{};  ///< Time until the attempt's time limit expires.
 };
 
 struct AdmissionResult {
@@ -50,9 +50,9 @@
   balancer::HostId host = balancer::kNone;
   balancer::Outcome outcome = balancer::Outcome::reset;
   balancer::Duration elapsed{};
-  HttpResponse response;                       ///< With Outcome::served: complete, or the head only.
+  HttpResponse response;                       ///< If served: complete, or only the head if `body` is set.
   std::shared_ptr<BodyStream> body = nullptr;  ///< The response's body, if it is streamed.
-  std::optional<std::uint64_t> length = {};    ///< Of the streamed body in bytes, if known.
+  std::optional<std::uint64_t> length = {};    ///< Length of `body` in bytes, if known.
 };
 
 /// All calls are made on the event loop's thread.
--- a/src/gateway/upstream_pool.hpp
+++ b/src/gateway/upstream_pool.hpp
@@ -25,9 +25,9 @@
 class UpstreamPool {
  public:
   struct Limits {
-    std::size_t connections = 256;        ///< Total over all hosts.
+    std::size_t connections = 256;        ///< Maximum number, over all hosts.
     balancer::Duration connectTimeout{};  ///< For a new connection.
-    balancer::Duration idleTimeout{};     ///< Idle connections are closed before it; 0 disables this.
+    balancer::Duration idleTimeout{};     ///< Idle connections are closed shortly before it; 0: never.
   };
   /// The observer must outlive the pool.
   UpstreamPool(boost::asio::io_context& io, Limits limits, UpstreamObserver& observer,
