--- a/include/hollyrun/actions.hpp
+++ b/include/hollyrun/actions.hpp
@@ -9,13 +9,14 @@
 
 namespace hollyrun::balancer {
 
-/// Why a request is rejected or failed without a further attempt.
+/// Why a request is rejected, or answered as failed, without a further attempt.
 enum class RejectReason : std::uint8_t {
   none,                  ///< the action does not end a request
   belowThreshold,        ///< overload: the request's score is below the shedding threshold
   deadlineExceeded,      ///< an answer can no longer arrive in time to be useful
   attemptsExhausted,     ///< the request has used all its attempts
-  queueTooLong,          ///< the expected wait is too long, in the queue of its key or at any host
+  queueTooLong,          ///< no answer expected in time: too many requests of its key are queued before it,
+                         ///< or, during an overload, the time left is too short for any host
   noEndpoint,            ///< no host may be sent the request now
   retryBudgetExhausted,  ///< a retry is allowed, but the retry budget is used up
   abandoned,             ///< the last attempt was abandoned before it was sent
--- a/include/hollyrun/balancer.hpp
+++ b/include/hollyrun/balancer.hpp
@@ -6,10 +6,12 @@
 /// reads no clock, starts no thread and has no global state: the same seed,
 /// settings and events produce the same actions.
 ///
-/// Invalid input: an event that names an unknown request, attempt or host is
-/// ignored, and so is a request whose id is still in use. A request of an
-/// unknown class is handled as Idempotency::none with the lowest priority. The
-/// constructor rejects invalid settings with std::invalid_argument.
+/// Invalid input: an event that names an unknown request or attempt is ignored,
+/// and so is a request whose id is still in use. The host of an AttemptResult is
+/// not evaluated: an attempt's host is known from its ActionKind::send. A request
+/// of an unknown class is handled as Idempotency::none with the lowest priority.
+/// The constructor and onSettings reject invalid settings with
+/// std::invalid_argument.
 #pragma once
 
 #include <cstddef>
@@ -29,7 +31,8 @@
 struct EndpointCounts {
   /// Endpoints that the latest lists name as serving or draining.
   std::size_t listed = 0;
-  /// Listed endpoints that receive no requests while others are available.
+  /// Listed endpoints that are draining, or that receive no requests while
+  /// others are available.
   std::size_t unavailable = 0;
 };
 
@@ -44,15 +47,16 @@
   Balancer &operator=(Balancer &&) noexcept;
 
   /// Replaces the settings. Open requests keep the class settings that they
-  /// arrived with. The seed and all statistics about hosts and classes are
-  /// kept. Throws std::invalid_argument for invalid settings and then changes
-  /// nothing.
+  /// arrived with. The seed and the statistics about hosts and classes are
+  /// kept; only the clients' usual remaining time is estimated anew for a class
+  /// whose settings have changed. Throws std::invalid_argument for invalid
+  /// settings and then changes nothing.
   void onSettings(Time now, Settings settings);
   /// A list of endpoints has arrived, or the poll for it has failed.
   void onEndpoints(Time now, EndpointListKind kind, const std::vector<Endpoint> &entries);
   /// A request has arrived.
   void onRequest(Time now, const Request &request);
-  /// The last byte of the request has arrived; its client waits for another
+  /// The last byte of the request has arrived; the client will wait for at most
   /// `left` from now.
   void onUploaded(Time now, RequestId request, Duration left);
   /// An attempt's answer is being streamed to the client: no other attempt can
--- a/include/hollyrun/events.hpp
+++ b/include/hollyrun/events.hpp
@@ -45,7 +45,7 @@
   std::uint32_t classIndex = kNone;
   /// Index into Settings::tenants; any index out of range means a tenant without a quota.
   std::uint32_t tenantIndex = kNone;
-  /// Time until the client abandons this try. While `uploading`, the time starts at onUploaded.
+  /// Time until the client abandons this try. While `uploading`, it counts from onUploaded.
   Duration remaining{};
   /// Expected work; zero = unknown.
   Duration cost{};
--- a/include/hollyrun/settings.hpp
+++ b/include/hollyrun/settings.hpp
@@ -86,7 +86,8 @@
   double overQuotaWeight = 0.1;
   /// Discovery sends endpoint lists only after it has been polled.
   bool pollDiscovery = false;
-  /// Endpoint::weight falls with the requests that a host has in flight: size / (1 + requests per core).
+  /// Endpoint::weight falls with the load of a host: it is the host's weight without load, divided by
+  /// 1 + requests in flight per core.
   bool loadAdjustedWeights = false;
   /// A second attempt may be sent while the first is still in flight.
   bool allowHedging = false;
@@ -96,9 +97,10 @@
   bool retryAfter = false;
   /// Attempts may be cancelled.
   bool cancel = false;
-  /// Maximum number of attempts per request; 1 or more.
+  /// Maximum number of attempts per request; 1 or more. A value above 8 has the effect of 8.
   std::uint32_t maxAttempts = 1;
-  /// Number of available hosts that a request's host is selected from; 0 = all, otherwise 4 or more.
+  /// Number of available hosts that a request's host is selected from; 0 = all, or a built-in limit in a
+  /// large fleet; otherwise 4 or more.
   std::uint32_t candidates = 0;
   /// Maximum number of concurrent attempts per connection; 1 or more.
   std::uint32_t streamsPerConnection = 1;
