--- a/src/balancer/client_wait.hpp
+++ b/src/balancer/client_wait.hpp
@@ -26,7 +26,8 @@
   Duration usualRemaining() const { return usualRemaining_; }
 
  private:
-  static constexpr double kTolerance = 0.02;  // fraction of clientTimeout by which equal times may differ
+  // Remaining times that differ by less than this fraction of clientTimeout count as equal.
+  static constexpr double kTolerance = 0.02;
 
   Duration usualRemaining_{};
 };
--- a/src/balancer/concurrency_limit.cpp
+++ b/src/balancer/concurrency_limit.cpp
@@ -13,20 +13,23 @@
 // slow down, and keep them slow. Overload also lengthens the expected service time, and a limit that followed
 // it would keep the endpoints overloaded; the limit therefore follows its recent minimum.
 constexpr double kMaxServiceTimes = 3.5;
-// Lower bound of the limit above. Attempts at an endpoint that has stopped responding are not a sign of
-// queueing, and where service times are short they age by many service times before the silence is detected.
+// Lower bound of the time that kMaxServiceTimes allows. Attempts at an endpoint that has stopped responding
+// are not a sign of queueing, and where service times are short they age by many service times before the
+// silence is detected.
 constexpr Duration kMinAllowedTime = std::chrono::milliseconds(80);
 // An attempt is counted up to an age of this multiple of the allowed mean time in flight, at endpoints that
 // receive kFrequentRate requests per second, enough for a stall to be detected within half a second.
 constexpr double kMaxAgeFactor = 3;
 constexpr double kFrequentRate = 8;  // requests per second and endpoint
-// Bound on the growth of service times; the counted age grows by its third power.
+// Upper bound of the slowdown, the ratio of the expected service time to its recent minimum. The age up to
+// which an attempt is counted grows with the third power of the slowdown.
 constexpr double kMaxSlowdown = 3;
-constexpr double kArrivalGain = 0.05;      // per arrival: averages over the last twenty
-constexpr double kSweepGain = 0.5;         // per sweep
-constexpr double kObjectiveGain = 0.02;    // per arrival
-constexpr double kInitialPerEndpoint = 6;  // attempts in flight, assumed before anything is measured
-constexpr Duration kInitialTime = 10 * kSweepInterval;
+constexpr double kArrivalGain = 0.05;    // per arrival: averages over the last twenty
+constexpr double kSweepGain = 0.5;       // per sweep
+constexpr double kObjectiveGain = 0.02;  // per arrival
+// Attempts that all gateways together may have in flight at an endpoint before anything is measured.
+constexpr double kInitialPerEndpoint = 6;
+constexpr Duration kInitialTime = 10 * kSweepInterval;  // kInitialPerEndpoint applies for this long
 // Attempts that all gateways together may always have in flight at an endpoint: one being served and one
 // waiting. A burst that overloads the endpoints leads to the rejection of nearly all requests and then to
 // idle endpoints; a limit based only on the few answers would never recover.
@@ -36,11 +39,12 @@
 // half a second.
 constexpr double kRejectionFactor = 4;
 constexpr double kMaxRejectionCut = 0.5;
-// Decay, per sweep and over some minutes, of the number of attempts that an endpoint had in flight while
-// nothing was shed. That number stays allowed: when all endpoints slow down together, a limit that followed
-// the falling rate would leave them idle.
+// Decay per sweep of the number of attempts that an endpoint had in flight while nothing was shed; the number
+// decays over some minutes. The decaying number stays allowed: when all endpoints slow down together, a limit
+// that followed the falling rate would leave them idle.
 constexpr double kBaselineDecay = 0.001;
-// Attempts assumed successful, so that a handful of rejections does not change the limit.
+// Attempts assumed successful, so that the fraction of rejections among a handful of attempts is not taken at
+// face value.
 constexpr double kOutcomePrior = 10;
 
 }  // namespace
@@ -80,9 +84,9 @@
   return std::min(time, std::max(kMaxServiceTimes * minExpected, toSeconds(kMinAllowedTime)));
 }
 
-// Ignores old attempts: those that a few stalled endpoints hold until they time out would reach the limit of
-// a pool that is otherwise idle. Where endpoints are used rarely, an attempt is counted up to the allowed
-// mean time in flight, and for longer as all service times grow.
+// Ignores old attempts: those that stay in flight at a few stalled endpoints until they time out would reach
+// the limit of a pool that is otherwise idle. Where endpoints are used rarely, an attempt is counted up to
+// the allowed mean time in flight, and for longer as all service times grow.
 double ConcurrencyLimit::inFlightNow(const EndpointRegistry& endpoints, const RequestTable& requests,
                                      Time now) const {
   const double perEndpoint = arrivals_.perSecond() / std::max(endpoints.servingCount(), 1.0);
--- a/src/balancer/concurrency_limit.hpp
+++ b/src/balancer/concurrency_limit.hpp
@@ -20,7 +20,7 @@
   /// Records an answer. `work` is relative to the mean request; `value` is the fraction of the full value, 0
   /// to 1.
   void recordServed(double work, double value) { timelyWork_ += work * value; }
-  /// Records a rejection, weighted by the selection fraction of the endpoint, 0 to 1.
+  /// Records a rejection. `weight` is the endpoint's selection fraction for the request's class, 0 to 1.
   void recordRejection(double weight) { rejections_ += weight; }
   void recordOutcome() { outcomes_ += 1; }
 
--- a/src/balancer/connection_tracker.hpp
+++ b/src/balancer/connection_tracker.hpp
@@ -1,5 +1,5 @@
-/// Estimates which connections to an endpoint are open, and whether a new one may be dialled. The embedding
-/// proxy owns the connections; this is the Balancer's view of them.
+/// Estimates how many connections to an endpoint are open, and whether a new one may be dialled. The
+/// embedding proxy owns the connections; this is the Balancer's view of them.
 #pragma once
 
 #include "balancer/duration.hpp"
@@ -51,7 +51,8 @@
            now - record.connections.lastUsedAt >= kIdleCloseDelay;
   }
 
-  /// After a failed dial the open connections stay in use; unused connections would be closed or lost.
+  /// Records an attempt's outcome. After a failed dial no new connection is opened for some time, but the
+  /// open ones stay in use; unused, they would be closed or lost.
   void recordResult(EndpointRecord& record, const Attempt& attempt, Outcome outcome, Time now,
                     RandomSource& random);
   void decay() { staleConnections_.decay(); }
--- a/src/balancer/discovery_poller.hpp
+++ b/src/balancer/discovery_poller.hpp
@@ -24,7 +24,7 @@
     nextPollAt_ = now + scaled(backoff, 0.5 + random.drawUnit());
   }
 
-  /// Records a cached list. It may be stale, so discovery is polled at once.
+  /// Records a cached list. It may be stale, so a poll that waits for its backoff is sent at once.
   void recordCachedList(Time now) {
     if (settings_.pollDiscovery)
       nextPollAt_ = now;
--- a/src/balancer/dispatch_guard.hpp
+++ b/src/balancer/dispatch_guard.hpp
@@ -27,7 +27,8 @@
   deadlineExceeded,           ///< no time is left for the attempt
   deduplicationWindowPassed,  ///< servers no longer drop repeats of this keyed request
   notServing,                 ///< the server was listed as draining or removed too long ago
-  restarted,          ///< the server restarted after it was selected, so its slow start was not considered
+  restarted,          ///< the server restarted after it was selected, so the slow start of the new process
+                      ///< was not considered
   attemptsExhausted,  ///< violation: more attempts than the settings allow
   notIdempotent,      ///< violation: an earlier attempt may have been executed, and the class forbids repeats
   outsideDeduplicationScope,  ///< violation: an earlier attempt may have been executed at a server that does
@@ -79,7 +80,7 @@
   Time serverUpSince{};  ///< start of the process that was selected
 };
 
-/// The state that the admission of an attempt depends on, at the time of the request for admission.
+/// The state that the admission of an attempt depends on, read when the admission is requested.
 struct DispatchFacts {
   Time now{};
   bool clientPresent = false;
--- a/src/balancer/endpoint_record.hpp
+++ b/src/balancer/endpoint_record.hpp
@@ -11,7 +11,7 @@
 
 enum class HealthState {
   healthy,
-  ejected,    ///< receives no attempts until the ejection ends
+  ejected,    ///< receives no attempts until the ejection ends, unless no other endpoint is available
   probation,  ///< receives one attempt at a time, whose outcome decides about the next state
 };
 
@@ -26,7 +26,7 @@
   double errors = 0;    // decayed count of failures and rejections
   Time ejectedUntil{};
   Time lastResponseAt{};
-  Time pausedUntil{};  // no attempt is sent before this time
+  Time pausedUntil{};  // no attempt is sent before this time, unless no other endpoint is available
 
   bool isUnhealthy() const { return state != HealthState::healthy || silent; }
   void resetForNewProcess() {
@@ -60,7 +60,7 @@
 
 /// Written by SlowStart.
 struct SlowStartBudget {
-  double tokens = 0;
+  double tokens = 0;  // number of attempts that may be sent
   Time refilledAt{};
 };
 
--- a/src/balancer/endpoint_registry.cpp
+++ b/src/balancer/endpoint_registry.cpp
@@ -9,9 +9,9 @@
 namespace hollyrun::balancer {
 namespace {
 
-// A gateway uses at least this many endpoints, plus this multiple of its share of the pool. Endpoints accept
-// a limited number of connections; if each of many gateways connected to every endpoint, some would be locked
-// out.
+// A gateway uses this many endpoints plus this multiple of its share of the pool or, with a candidate limit,
+// at least kMinSubsetSize endpoints. Endpoints accept a limited number of connections; if each of many
+// gateways connected to every endpoint, some gateways would be locked out.
 constexpr double kMinSubsetSize = 6;
 constexpr double kSubsetFactor = 4;
 constexpr std::uint32_t kGatewaysInRound = 16;  // gateways that divide the pool among themselves
--- a/src/balancer/endpoint_registry.hpp
+++ b/src/balancer/endpoint_registry.hpp
@@ -1,8 +1,9 @@
 /// The known endpoints, this gateway's subset of them and the consistent-hash ring.
 ///
-/// Deterministic subsetting: endpoints are placed on a circle, in a different order for each round of
-/// gateways, and the gateways of a round start at evenly spaced positions. An endpoint that is added or
-/// removed affects only the subsets next to it.
+/// Deterministic subsetting: a round is a group of gateways with consecutive indexes that divide the pool
+/// among themselves. Endpoints are placed on a circle, in a different order for each round, and the subsets
+/// of a round's gateways start at evenly spaced positions. An endpoint that is added or removed affects only
+/// the subsets next to its position.
 #pragma once
 
 #include <algorithm>
@@ -55,7 +56,8 @@
   double servingCount() const { return static_cast<double>(serving_.size()); }
   /// The serving endpoints, this gateway's subset first.
   const std::vector<VirtualNode>& subsetOrder() const { return subsetOrder_; }
-  /// The consistent-hash ring of the serving endpoints; the same at all gateways.
+  /// The consistent-hash ring of the serving endpoints; the same at all gateways. Empty without a candidate
+  /// limit.
   const std::vector<VirtualNode>& ring() const { return ring_; }
   /// Number of endpoints at the front of `subsetOrder` that form the subset.
   std::size_t subsetSize() const { return subsetSize_; }
--- a/src/balancer/endpoint_selector.cpp
+++ b/src/balancer/endpoint_selector.cpp
@@ -9,7 +9,7 @@
 namespace hollyrun::balancer {
 namespace {
 
-// Weight of the local zone: about that of being 1.4 times as fast.
+// Factor on the selection weight of an endpoint in the local zone: the same as for being 1.4 times as fast.
 constexpr double kLocalZoneFactor = 2;
 constexpr std::size_t kMinKeyEndpoints = 3;  // minimum number of endpoints considered for a key
 // Endpoints considered for a frequent key, as a multiple of those that its fraction of the traffic would
@@ -161,6 +161,8 @@
   return chosen;
 }
 
+// Compares the expected loads, each divided by the endpoint's selection fraction. Multiplying each load by
+// the fraction of the other endpoint gives the same order.
 HostId EndpointSelector::selectLessLoaded(const PendingRequest& request, const EndpointRegistry& endpoints,
                                           RandomSource& random) const {
   const HostId first = candidates_[random.drawBelow(candidates_.size())];
--- a/src/balancer/key_frequency.hpp
+++ b/src/balancer/key_frequency.hpp
@@ -23,7 +23,7 @@
   }
 
  private:
-  // Requests: enough to detect a key with one percent of the traffic.
+  // Number of recent requests: enough to detect a key with one percent of the traffic.
   static constexpr std::size_t kWindow = 256;
   std::deque<std::uint64_t> recent_;
 };
--- a/src/balancer/load_shedder.cpp
+++ b/src/balancer/load_shedder.cpp
@@ -15,7 +15,9 @@
 // Fractions of failed attempts at which shedding starts and is total. A few percent are normal.
 constexpr double kErrorThreshold = 0.1;
 constexpr double kErrorMaximum = 0.7;
-constexpr double kErrorPrior = 10;  // attempts assumed successful, so that a few failures shed nothing
+// Attempts assumed successful, so that the fraction of failures among a handful of attempts is not taken at
+// face value.
+constexpr double kErrorPrior = 10;
 
 }  // namespace
 
--- a/src/balancer/load_shedder.hpp
+++ b/src/balancer/load_shedder.hpp
@@ -2,7 +2,7 @@
 ///
 /// A score, 1 to 100, ranks a request by priority within the recent traffic, so that a threshold of t rejects
 /// about t percent of it. The threshold is 100 x^3, where x is the larger of the error overload and the
-/// in-flight overload.
+/// in-flight overload, limited to the range from 0 (nothing is shed) to 1.
 #pragma once
 
 #include <string>
@@ -17,7 +17,8 @@
  public:
   /// Records a request; returns the fraction of the traffic, 0 to 1, that ranks below it. `draw`, 0 to 1,
   /// spreads requests of equal weight over the band of that weight, so that equal weights share the
-  /// rejections and a higher weight is never shed first.
+  /// rejections and a higher weight is never shed first. Weights that differ by less than 0.1 percent count
+  /// as equal.
   double rank(double priorityWeight, double draw);
   void decay(double gain);
 
--- a/src/balancer/outlier_detector.cpp
+++ b/src/balancer/outlier_detector.cpp
@@ -13,7 +13,8 @@
 constexpr double kRecoveredFailureRate = 0.05;
 constexpr double kClassGain = 0.25;  // per outcome of the class at the endpoint: three failures make one half
 constexpr double kPeersGain = 0.02;  // per outcome of the class at any endpoint: averages over about fifty
-// Fraction of the pool that may be ejected, so that a failure of all endpoints never empties the pool.
+// Fraction of the pool that may be ejected or in probation, so that a failure of all endpoints never empties
+// the pool.
 constexpr double kMaxEjected = 0.5;
 constexpr Duration kEjectionTime = std::chrono::seconds(1);  // doubled for each consecutive ejection
 constexpr int kMaxEjectionDoublings = 3;
--- a/src/balancer/outlier_detector.hpp
+++ b/src/balancer/outlier_detector.hpp
@@ -34,9 +34,9 @@
                      Time now) const;
   void ejectOutliers(EndpointRegistry& endpoints, Time now, RandomSource& random, ActionList& actions) const;
 
-  /// Factor on the probability of selecting an endpoint for a class, 0.03 to 1: the lower, the more often the
-  /// endpoint fails this class compared with its peers. An endpoint may fail one class and serve the others,
-  /// which its mean over all classes would hide.
+  /// Factor on the probability of selecting an endpoint for a class, 0.03 to 1: the more often the endpoint
+  /// fails or rejects this class compared with its peers, the lower the factor. An endpoint may fail one
+  /// class and serve the others, which its mean over all classes would hide.
   double selectionFraction(HostId host, const RequestClass& requestClass) const {
     const auto failures = requestClass.endpointFailureRates.find(host);
     if (failures == requestClass.endpointFailureRates.end())
@@ -47,7 +47,7 @@
   }
 
  private:
-  // So many rejections are not a short peak: the endpoint is paused.
+  // After this many consecutive rejections the endpoint is paused: so many are not due to a short load peak.
   static constexpr int kMaxConsecutiveRejections = 3;
   // Multiple of the peers' failure rate that is tolerated as noise.
   static constexpr double kPeerTolerance = 1.5;
--- a/src/balancer/request_class.hpp
+++ b/src/balancer/request_class.hpp
@@ -28,7 +28,7 @@
 class RequestClassTable {
  public:
   /// Open requests keep the class settings that they arrived with: a class whose settings have changed gets a
-  /// new record with a copy of the statistics.
+  /// new record with a copy of the statistics, except clientWait, which starts anew.
   void applySettings(const Settings& settings);
 
   /// An index out of range returns the unknown class.
--- a/src/balancer/request_events.cpp
+++ b/src/balancer/request_events.cpp
@@ -49,7 +49,8 @@
   const Duration waited = requestClass.clientWait.record(event.remaining, settings.clientTimeout);
   request.objectiveAt =
       now_ - waited + settings.latencyObjective + scaled(event.cost, settings.objectiveStretch);
-  // Where late answers have value, the objective is extended by that fraction of the late time.
+  // Where late answers have value, the concurrency limit uses an extended objective: lateValueFraction of the
+  // time after the objective in which the client still waits is added, counting at most one more objective.
   const Duration lateTime = std::min(requestClass.clientWait.usualRemaining() - settings.latencyObjective,
                                      settings.latencyObjective);
   concurrencyLimit_.recordArrival(settings.latencyObjective + scaled(lateTime, settings.lateValueFraction));
--- a/src/balancer/request_table.hpp
+++ b/src/balancer/request_table.hpp
@@ -12,7 +12,8 @@
 
 namespace hollyrun::balancer {
 
-inline constexpr std::size_t kMaxAttempts = 8;  // recorded per request
+/// Maximum number of attempts per request, even if the settings allow more.
+inline constexpr std::size_t kMaxAttempts = 8;
 
 /// Whether the outcome proves that the attempt was not executed.
 inline bool provesNotExecuted(Outcome outcome) {
--- a/src/balancer/retry_policy.hpp
+++ b/src/balancer/retry_policy.hpp
@@ -42,7 +42,8 @@
     return request.attemptCount < std::min<std::size_t>(settings_.maxAttempts, kMaxAttempts);
   }
 
-  /// Latest time at which an answer still has value and reaches the client in time.
+  /// Latest time at which an attempt may be answered so that the answer still has value and reaches the
+  /// client in time.
   Time lastUsefulTime(const PendingRequest& request) const {
     const Time end = request.deadline - 2 * settings_.step;
     if (request.requestClass->settings.lateValueFraction > 0)
--- a/src/balancer/service_time.cpp
+++ b/src/balancer/service_time.cpp
@@ -14,7 +14,8 @@
 // Weight of an endpoint's first samples relative to those of the prior while samples are sparse. One of many
 // gateways sends to an endpoint only every few seconds, so an average over ten answers would adapt too late.
 constexpr double kSparseInitialGain = 2;
-constexpr double kRejectedFactor = 2;       // a rejection counts as a sample of this multiple
+// A rejection counts as a sample of this multiple of the endpoint's relative service time.
+constexpr double kRejectedFactor = 2;
 constexpr double kMeanGain = 0.05;          // per sweep
 constexpr double kMinExpectedRise = 0.001;  // per sweep: the minimum rises by one percent per second
 
--- a/src/balancer/service_time.hpp
+++ b/src/balancer/service_time.hpp
@@ -20,6 +20,8 @@
   /// Adds the request's expected work to the mean over the recent arrivals; called after recordCost.
   void recordArrival(const PendingRequest& request);
 
+  /// Record an attempt's outcome. `cost` is PendingRequest::cost, `seconds` the time that the attempt took
+  /// and `confidence` ArrivalRate::sampleConfidence.
   void recordServed(EndpointRecord& record, RequestClass& requestClass, double cost, double seconds,
                     double confidence);
   void recordRejected(EndpointRecord& record, double confidence);
@@ -33,9 +35,10 @@
   void updateMedian(const EndpointRegistry& endpoints);
   void sweepClasses(const RequestClassTable& classes);
 
-  /// Relative service time assumed for an endpoint without samples: that of its machine type and, while the
-  /// endpoint is cold, a speed of the fourth root of its ramp fraction. The selection weight is the inverse
-  /// square of the relative service time.
+  /// Relative service time assumed for an endpoint without samples: the mean of its machine type, divided by
+  /// the fourth root of the endpoint's ramp fraction while it is cold. The selection weight is the inverse
+  /// square of the relative service time, so a cold endpoint's weight falls by the square root of the ramp
+  /// fraction.
   double assumedRelative(const EndpointRecord& record, Time now) const {
     return record.machineType->relativeServiceTime /
            std::sqrt(std::sqrt(slowStart_.rampFraction(record, now)));
@@ -48,7 +51,7 @@
   double medianRelative() const { return medianRelative_; }
   /// Mean of the expected service time over the classes, in seconds; 0 before the first answer.
   double expected() const { return expected_; }
-  /// Recent minimum of the expected service time, averaged over two seconds; in seconds.
+  /// Recent minimum of the expected service time's average over two seconds; in seconds.
   double minExpected() const { return minExpected_; }
 
  private:
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -14,8 +14,8 @@
 
 // All gateways together can overload a cold endpoint. In every overload window each gateway therefore sends
 // at most its own share, rejected attempts included: the ramp fraction of what it sends to a warm endpoint of
-// the same machine type. The share may be less than one request; a minimum of one, times hundreds of
-// gateways, would overload the endpoint.
+// the same machine type, times overloadMultiple and kColdLoad. The share may be less than one request; a
+// minimum of one, times hundreds of gateways, would overload the endpoint.
 double SlowStart::refill(EndpointRecord& record, double fallbackRate, Time now) const {
   SlowStartBudget& budget = record.slowStart;
   const double window = std::max(toSeconds(settings_.overloadWindow), kMinWindowSeconds);
--- a/src/balancer/slow_start.hpp
+++ b/src/balancer/slow_start.hpp
@@ -11,8 +11,9 @@
 
 namespace hollyrun::balancer {
 
-/// The capacity that endpoints in slow start lack, in units of a warm endpoint. The sum is updated as
-/// endpoints are added and become warm, so the cost of reading it does not depend on their number.
+/// Sums the remaining fractions of the slow start over the cold endpoints. The capacity that these endpoints
+/// lack, in units of a warm endpoint, is proportional to the sum. The sum is updated as endpoints are added
+/// and become warm, so the cost of reading it does not depend on their number.
 class RampDeficit {
  public:
   /// Replaces the start times of the cold endpoints, in seconds.
--- a/src/balancer/tenant_quota.hpp
+++ b/src/balancer/tenant_quota.hpp
@@ -1,4 +1,5 @@
-/// Enforces this gateway's share of each tenant's quota with token buckets that need no periodic refill.
+/// Checks requests against this gateway's share of their tenant's quota, with token buckets that need no
+/// periodic refill.
 #pragma once
 
 #include <algorithm>
