--- a/include/hollyrun/events.hpp
+++ b/include/hollyrun/events.hpp
@@ -17,7 +17,7 @@
 
 /// An entry of an endpoint list.
 struct Endpoint {
-  /// Identifies the endpoint across restarts.
+  /// Identifies the endpoint across restarts; any unique text, not necessarily a network address.
   std::string address;
   std::string zone;
   std::string machineType;
