--- a/src/simulator_adapter/action_encoder.cpp
+++ b/src/simulator_adapter/action_encoder.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// The longest text of a 64-bit number has 20 characters.
+/// A 64-bit number has at most 20 characters, the sign included.
 constexpr std::size_t kNumberBufferSize = 24;
 
 void appendNumber(std::string& reply, std::int64_t number) {
--- a/src/simulator_adapter/action_encoder.hpp
+++ b/src/simulator_adapter/action_encoder.hpp
@@ -1,4 +1,4 @@
-/// The balancer's actions as lines of the protocol.
+/// Encodes the balancer's actions as lines of the simulator's protocol.
 #pragma once
 
 #include <string>
@@ -9,17 +9,17 @@
 
 namespace hollyrun::simulator_adapter {
 
-/// What an action's ids stand for: the gateway that sends it, its requests and its endpoints.
+/// Resolves the ids in an action to the names of the gateway, its requests and its endpoints.
 struct EncodingContext {
   const std::string& gatewayName;
   const RequestIds& requests;
   const balancer::Balancer& balancer;
 };
 
-/// Appends the action's line with its line end to `reply`.
+/// Appends the action's line, terminated by a newline, to `reply`.
 void appendAction(std::string& reply, const balancer::Action& action, const EncodingContext& context);
 
-/// Appends the error that answers a request which the balancer never got.
+/// Appends the error response to a malformed request, which is not passed to the balancer.
 void appendInvalidRequest(std::string& reply, const std::string& gatewayName, std::string_view requestName);
 
 }  // namespace hollyrun::simulator_adapter
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -14,15 +14,15 @@
 
 namespace {
 
-/// How much of a bad line is repeated in its report, in bytes.
-constexpr std::size_t kReportedLineLength = 120;
+/// Longest part of a rejected line that its error report quotes.
+constexpr std::size_t kMaxReportedLineBytes = 120;
 
 }  // namespace
 
 Adapter::Adapter(std::ostream& errors) : errors_(errors) {}
 
 void Adapter::report(std::string_view line, std::string_view cause) {
-  errors_ << "line " << lineNumber_ << ": " << cause << ": " << line.substr(0, kReportedLineLength) << '\n';
+  errors_ << "line " << lineNumber_ << ": " << cause << ": " << line.substr(0, kMaxReportedLineBytes) << '\n';
 }
 
 bool Adapter::feed(std::string_view line, std::string& reply) {
@@ -44,7 +44,7 @@
     else if (insideBatch_)
       applyEvent(lineName, fields);
     else
-      throw LineError(LineErrorCode::outsideBatch, "outside a batch");
+      throw LineError(LineErrorCode::outsideBatch, "event outside a batch, expected FRAME first");
   } catch (const LineError& error) {
     report(line, error.what());
   }
@@ -55,12 +55,12 @@
   if (missingRows_ == 0 || lineName == "ROW")
     return;
   missingRows_ = 0;
-  report(line, "rows missing from the list before this line");
+  report(line, "the endpoint list before this line has fewer ROW lines than its LEDGER announced");
 }
 
 void Adapter::beginBatch(std::string_view line, std::string_view fields) {
   if (insideBatch_)
-    report(line, "a batch begins inside another");
+    report(line, "FRAME inside a batch, expected EOF_BATCH first");
   insideBatch_ = true;
   bool hasClock = false;
   FieldReader reader(fields);
@@ -71,12 +71,12 @@
     hasClock = true;
   }
   if (!hasClock)
-    throw LineError(LineErrorCode::missingField, "no tNs");
+    throw LineError(LineErrorCode::missingField, "missing field tNs");
 }
 
 void Adapter::endBatch(std::string_view line, std::string& reply) {
   if (!insideBatch_)
-    report(line, "a batch ends that never began");
+    report(line, "EOF_BATCH without a preceding FRAME");
   insideBatch_ = false;
   for (SimulatedGateway* gateway : batchGateways_)
     gateway->finishBatch(reply);
@@ -89,7 +89,7 @@
     std::string_view lineName;
     void (Adapter::*apply)(std::string_view fields);
   };
-  // The most frequent ones first.
+  // Searched in order, so the most frequent events come first.
   static constexpr EventHandler kHandlers[] = {
       {"REQ", &Adapter::forward<&SimulatedGateway::onRequest>},
       {"SETTLED", &Adapter::forward<&SimulatedGateway::onResult>},
@@ -108,17 +108,17 @@
       std::find_if(std::begin(kHandlers), std::end(kHandlers),
                    [lineName](const EventHandler& candidate) { return candidate.lineName == lineName; });
   if (handler == std::end(kHandlers))
-    throw LineError(LineErrorCode::unknownEvent, "unknown event");
+    throw LineError(LineErrorCode::unknownEvent, "unknown event '" + std::string(lineName) + "'");
   (this->*handler->apply)(fields);
 }
 
-SimulatedGateway& Adapter::gatewayNamedIn(std::string_view fields) {
+SimulatedGateway& Adapter::gatewayOf(std::string_view fields) {
   const std::optional<std::string_view> name = findValue(fields, "i");
   if (!name)
-    throw LineError(LineErrorCode::missingField, "no instance");
+    throw LineError(LineErrorCode::missingField, "missing field i");
   const auto found = gateways_.find(*name);
   if (found == gateways_.end())
-    throw LineError(LineErrorCode::unknownInstance, "unknown instance");
+    throw LineError(LineErrorCode::unknownGateway, "no gateway named '" + std::string(*name) + "'");
   SimulatedGateway& gateway = *found->second;
   if (!gateway.inBatch()) {
     gateway.enterBatch();
@@ -129,7 +129,7 @@
 
 template <void (SimulatedGateway::*handle)(balancer::Time, std::string_view)>
 void Adapter::forward(std::string_view fields) {
-  (gatewayNamedIn(fields).*handle)(now(), fields);
+  (gatewayOf(fields).*handle)(now(), fields);
 }
 
 void Adapter::enlist(std::string_view fields) {
@@ -141,7 +141,7 @@
       break;
     }
   if (name.empty())
-    throw LineError(LineErrorCode::missingField, "no instance");
+    throw LineError(LineErrorCode::missingField, "missing or empty field i");
   const auto previous = gateways_.find(name);
   if (previous != gateways_.end()) {
     std::erase(batchGateways_, previous->second.get());
@@ -150,15 +150,15 @@
   try {
     gateways_.emplace(std::string(name),
                       std::make_unique<SimulatedGateway>(name, readSettings(fields), now()));
-  } catch (const std::invalid_argument& error) {  // LineError is one, too
+  } catch (const std::invalid_argument& error) {  // includes the LineErrors of readSettings
     throw LineError(LineErrorCode::invalidSettings, error.what());
   }
-  gatewayNamedIn(fields);
+  gatewayOf(fields);
 }
 
 /// Removes the gateway and discards its actions of this batch.
 void Adapter::retire(std::string_view fields) {
-  SimulatedGateway& gateway = gatewayNamedIn(fields);
+  SimulatedGateway& gateway = gatewayOf(fields);
   std::erase(batchGateways_, &gateway);
   gateways_.erase(gateways_.find(gateway.name()));
 }
@@ -166,7 +166,8 @@
 void Adapter::beginEndpointList(std::string_view fields) {
   const EndpointListHeader header = parseEndpointListHeader(fields);
   if (!header.index || *header.index >= lists_.size())
-    throw LineError(LineErrorCode::unknownList, "list number missing or out of range");
+    throw LineError(LineErrorCode::unknownList, "field buffer is missing or out of range, expected 0 to " +
+                                                    std::to_string(kListCount - 1));
   openList_ = &lists_[*header.index];
   openList_->known = true;
   openList_->endpoints.clear();
@@ -175,28 +176,29 @@
 
 void Adapter::addEndpoint(std::string_view fields) {
   if (missingRows_ == 0)
-    throw LineError(LineErrorCode::unexpectedRow, "a row outside a list");
+    throw LineError(LineErrorCode::unexpectedRow, "ROW without a LEDGER that announced it");
   --missingRows_;
   openList_->endpoints.push_back(parseEndpoint(fields));
 }
 
 void Adapter::updateEndpoints(std::string_view fields) {
-  SimulatedGateway& gateway = gatewayNamedIn(fields);
+  SimulatedGateway& gateway = gatewayOf(fields);
   const EndpointUpdate update = parseEndpointUpdate(fields);
   if (update.kind == EndpointListKind::unavailable)
     return gateway.onEndpoints(now(), update.kind, {});
   if (!update.listIndex || *update.listIndex >= lists_.size() || !lists_[*update.listIndex].known)
-    throw LineError(LineErrorCode::unknownList, "unknown list");
+    throw LineError(LineErrorCode::unknownList,
+                    "field buffer is missing or names an endpoint list that no LEDGER has defined");
   gateway.onEndpoints(now(), update.kind, lists_[*update.listIndex].endpoints);
 }
 
 void Adapter::wake(std::string_view fields) {
-  gatewayNamedIn(fields).onWake(now());
+  gatewayOf(fields).onWake(now());
 }
 
-/// An event of a known gateway that no decision depends on.
+/// Handles an event that no decision depends on: only checks that its gateway exists.
 void Adapter::ignore(std::string_view fields) {
-  gatewayNamedIn(fields);
+  gatewayOf(fields);
 }
 
 }  // namespace hollyrun::simulator_adapter
--- a/src/simulator_adapter/adapter.hpp
+++ b/src/simulator_adapter/adapter.hpp
@@ -1,10 +1,10 @@
-/// The simulator's line protocol in front of the balancer: assembles batches and endpoint lists and passes
-/// each event to its gateway. No load-balancing decision is made here.
+/// Connects the simulator's line protocol to the balancer: assembles batches and endpoint lists and passes
+/// each event to its gateway. Makes no load-balancing decisions.
 ///
-/// A batch is a line FRAME with the clock, event lines, and a line EOF_BATCH, which is answered with the
-/// actions of all gateways that had an event, in the order of their first one, and a line OK. An endpoint
-/// list is a line LEDGER, which names one of 16 lists, and as many ROW lines as it announces; MEMBERSHIP
-/// sends a list to a gateway.
+/// A batch consists of a FRAME line with the current time, event lines and an EOF_BATCH line. The reply to
+/// EOF_BATCH contains the actions of all gateways that had an event in the batch, ordered by their first
+/// event, and an OK line. An endpoint list consists of a LEDGER line, which selects one of 16 lists, and as
+/// many ROW lines as it announces. A MEMBERSHIP line sends a list to a gateway.
 #pragma once
 
 #include <array>
@@ -21,18 +21,18 @@
 
 namespace hollyrun::simulator_adapter {
 
-/// Hosts many gateways, each with a Balancer of its own. A line that can't be applied is reported and
+/// Hosts any number of gateways, each with its own Balancer. A line that can't be applied is reported and
 /// skipped.
 class Adapter {
  public:
-  /// Reports of skipped lines go to `errors`, one line each, with the input line's number.
+  /// Writes one report for each skipped line, with its line number, to `errors`.
   explicit Adapter(std::ostream& errors);
 
-  /// Applies one line, given without its line end. If the line closes a batch, appends the reply to `reply`
-  /// and returns true.
+  /// Applies one line, passed without its newline. If the line ends a batch, appends the reply to `reply` and
+  /// returns true.
   bool feed(std::string_view line, std::string& reply);
   bool insideBatch() const { return insideBatch_; }
-  /// Lines fed so far.
+  /// Number of lines fed so far.
   std::size_t lineNumber() const { return lineNumber_; }
 
  private:
@@ -58,18 +58,19 @@
   void forward(std::string_view fields);
   void ignore(std::string_view fields);
 
-  /// The gateway that the fields name; its reply is part of this batch. Throws LineError if there is none.
-  SimulatedGateway& gatewayNamedIn(std::string_view fields);
+  /// Returns the gateway that the fields name and includes it in this batch's reply. Throws LineError if
+  /// there is no such gateway.
+  SimulatedGateway& gatewayOf(std::string_view fields);
   void report(std::string_view line, std::string_view cause);
   balancer::Time now() const { return balancer::Time(clockNs_); }
 
   std::ostream& errors_;
   TextMap<std::unique_ptr<SimulatedGateway>> gateways_;
-  std::vector<SimulatedGateway*> batchGateways_;  // those with an event in this batch, by their first one
+  std::vector<SimulatedGateway*> batchGateways_;  // gateways with an event in this batch, by first event
   std::array<EndpointList, kListCount> lists_;
-  EndpointList* openList_ = nullptr;  // receives the rows
-  std::size_t missingRows_ = 0;       // rows of the open list that are still to come
-  std::int64_t clockNs_ = 0;          // the simulator's; never goes back
+  EndpointList* openList_ = nullptr;  // the list that ROW lines are appended to
+  std::size_t missingRows_ = 0;       // ROW lines announced for the open list and not received yet
+  std::int64_t clockNs_ = 0;          // latest time of the simulator; never decreases
   std::size_t lineNumber_ = 0;
   bool insideBatch_ = false;
 };
--- a/src/simulator_adapter/event_parser.cpp
+++ b/src/simulator_adapter/event_parser.cpp
@@ -46,7 +46,8 @@
     return EndpointState::draining;
   if (field.value == "OUT")
     return EndpointState::removed;
-  throw LineError(LineErrorCode::unknownPhase, "unknown phase");
+  throw LineError(LineErrorCode::unknownPhase,
+                  "unknown phase '" + std::string(field.value) + "', expected IN, LAME or OUT");
 }
 
 EndpointListKind parseListKind(std::string_view kind) {
@@ -58,13 +59,16 @@
     return EndpointListKind::snapshot;
   if (kind == "restored")
     return EndpointListKind::cached;
-  throw LineError(LineErrorCode::unknownListKind, "unknown kind of news");
+  throw LineError(LineErrorCode::unknownListKind, "unknown kind '" + std::string(kind) +
+                                                      "', expected unavailable, update, replace or restored");
 }
 
 std::uint64_t parseKey(const Field& field) {
   std::uint64_t key = 0;
-  if (!readWhole(field.value, key, kHexadecimal))
-    throw LineError(LineErrorCode::invalidKey, "bad routeKey");
+  if (!parseWhole(field.value, key, kHexadecimal))
+    throw LineError(LineErrorCode::invalidKey,
+                    "field routeKey: expected a hexadecimal number of up to 64 bits, got '" +
+                        std::string(field.value) + "'");
   return key;
 }
 
@@ -105,7 +109,7 @@
   while (const std::optional<Field> field = reader.next())
     storeEndpointField(endpoint, *field);
   if (endpoint.address.empty())
-    throw LineError(LineErrorCode::missingField, "no host");
+    throw LineError(LineErrorCode::missingField, "missing field host");
   return endpoint;
 }
 
@@ -141,13 +145,13 @@
       event.request.key = parseKey(*field);
       event.request.hasKey = true;
     } else if (field->key == "repeat") {
-      parseBool(*field);  // only checked: the remaining time says more about a client's repeat
+      parseBool(*field);  // only validated: the remaining time says more about a client's retry
     }
   }
   if (!remaining)
-    throw LineError(LineErrorCode::missingField, "no leftNs");
+    throw LineError(LineErrorCode::missingField, "missing field leftNs");
   if (!className)
-    throw LineError(LineErrorCode::missingField, "no tierClass");
+    throw LineError(LineErrorCode::missingField, "missing field tierClass");
   event.request.remaining = *remaining;
   event.className = *className;
   return event;
@@ -174,7 +178,7 @@
     }
   }
   if (event.requestName.empty() || !hasAttempt || !hasOutcome)
-    throw LineError(LineErrorCode::missingField, "ref, go or disposition missing");
+    throw LineError(LineErrorCode::missingField, "missing field, expected ref, go and disposition");
   return event;
 }
 
@@ -188,7 +192,7 @@
       reference.attempt = parseNumber<std::uint32_t>(*field);
   }
   if (reference.requestName.empty())
-    throw LineError(LineErrorCode::missingField, "no ref");
+    throw LineError(LineErrorCode::missingField, "missing field ref");
   return reference;
 }
 
--- a/src/simulator_adapter/event_parser.hpp
+++ b/src/simulator_adapter/event_parser.hpp
@@ -1,5 +1,5 @@
-/// The events of the protocol as typed messages: one function a line's name. They throw LineError if the line
-/// is malformed and know nothing of what came before it.
+/// Parses the protocol's event lines into typed messages, with one function for each line name. Each line is
+/// parsed on its own, without state; a malformed line throws LineError.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace hollyrun::simulator_adapter {
 
-/// LEDGER: announces `rowCount` ROW lines that fill the endpoint list `index`.
+/// LEDGER: announces `rowCount` ROW lines, which form the endpoint list `index`.
 struct EndpointListHeader {
   std::optional<std::size_t> index;
   std::size_t rowCount = 0;
@@ -22,27 +22,27 @@
   std::optional<std::size_t> listIndex;
 };
 
-/// REQ, but for its id. Class and tenant are names that the gateway's settings resolve.
+/// REQ, without the request's id. Class and tenant are names, to be resolved by the gateway's settings.
 struct RequestEvent {
   balancer::Request request;
   std::string_view className;
   std::optional<std::string_view> tenantName;
 };
 
-/// SETTLED: an attempt is over. `result.request` is not set yet.
+/// SETTLED: an attempt has ended. `result.request` is not set: the request is identified by name.
 struct ResultEvent {
   std::string_view requestName;
   balancer::AttemptResult result;
 };
 
-/// LEFT and HEAD_RECEIVED: names a request, and an attempt where the event is one of an attempt.
+/// LEFT and HEAD_RECEIVED: identifies a request and, for HEAD_RECEIVED, one of its attempts.
 struct AttemptReference {
   std::string_view requestName;
   std::uint32_t attempt = 0;
 };
 
 EndpointListHeader parseEndpointListHeader(std::string_view fields);
-/// ROW.
+/// Parses a ROW line.
 balancer::Endpoint parseEndpoint(std::string_view fields);
 EndpointUpdate parseEndpointUpdate(std::string_view fields);
 RequestEvent parseRequest(std::string_view fields);
--- a/src/simulator_adapter/line_parser.cpp
+++ b/src/simulator_adapter/line_parser.cpp
@@ -16,7 +16,7 @@
       continue;
     const std::size_t separator = word.find('=');
     if (separator == std::string_view::npos)
-      throw LineError(LineErrorCode::missingSeparator, "no '=' in '" + std::string(word) + "'");
+      throw LineError(LineErrorCode::missingSeparator, "expected key=value, got '" + std::string(word) + "'");
     return Field{word.substr(0, separator), word.substr(separator + 1)};
   }
   return std::nullopt;
@@ -40,8 +40,9 @@
     return true;
   if (field.value == "0" || field.value == "false")
     return false;
-  throw LineError(LineErrorCode::invalidBool,
-                  "'" + std::string(field.value) + "' is no bool (" + std::string(field.key) + ")");
+  throw LineError(LineErrorCode::invalidBool, "field " + std::string(field.key) +
+                                                  ": expected 1, true, 0 or false, got '" +
+                                                  std::string(field.value) + "'");
 }
 
 }  // namespace hollyrun::simulator_adapter
--- a/src/simulator_adapter/line_parser.hpp
+++ b/src/simulator_adapter/line_parser.hpp
@@ -1,5 +1,5 @@
-/// Syntax of one line of the simulator's protocol: a name, then fields `key=value`, set apart by spaces.
-/// Knows no event; what the fields mean is decided by the callers.
+/// Parses the syntax of a line of the simulator's protocol: a name followed by `key=value` fields, separated
+/// by spaces. The meaning of the fields is up to the callers.
 #pragma once
 
 #include <charconv>
@@ -13,7 +13,7 @@
 
 namespace hollyrun::simulator_adapter {
 
-/// Why a line is rejected.
+/// Reason why a line is rejected.
 enum class LineErrorCode {
   missingSeparator,
   invalidNumber,
@@ -25,14 +25,14 @@
   unknownPhase,
   unknownListKind,
   unknownList,
-  unknownInstance,
+  unknownGateway,
   unknownEvent,
   duplicateRequest,
   unexpectedRow,
   outsideBatch,
 };
 
-/// A line that can't be applied. `what()` is the cause as it is reported on standard error.
+/// Thrown for a line that can't be applied. `what()` is the cause that is reported on standard error.
 class LineError : public std::invalid_argument {
  public:
   LineError(LineErrorCode code, const std::string& cause) : std::invalid_argument(cause), code_(code) {}
@@ -42,33 +42,34 @@
   LineErrorCode code_;
 };
 
-/// One `key=value` of a line. Views into the line.
+/// One `key=value` of a line; both are views into the line.
 struct Field {
   std::string_view key;
   std::string_view value;
 };
 
-/// Removes the first word of `rest` and the space behind it, and returns the word.
+/// Removes the first word and the space after it from `rest`, and returns the word.
 std::string_view popWord(std::string_view& rest);
 
-/// Goes over the fields of a line, in order; empty words are skipped.
+/// Iterates over the fields of a line in order, skipping empty words.
 class FieldReader {
  public:
   explicit FieldReader(std::string_view fields) : rest_(fields) {}
-  /// The next field; nothing at the line's end. Throws LineError if a word has no '='.
+  /// Returns the next field, or nothing at the end of the line. Throws LineError if a word has no '='.
   std::optional<Field> next();
 
  private:
   std::string_view rest_;
 };
 
-/// The value of the first field `key`. Checks no other word, so that a line which is otherwise malformed can
-/// still be assigned to its gateway and request.
+/// Returns the value of the first field named `key`. Does not validate the other words, so that a malformed
+/// line can still be attributed to its gateway and request.
 std::optional<std::string_view> findValue(std::string_view fields, std::string_view key);
 
-/// Reads all of `text` into `number`, in base 10 or as given by `base`; false if any of it isn't part of one.
+/// Parses all of `text` into `number`, in base 10 or the given `base`. Returns false if the text is not a
+/// number, is followed by other characters or is out of range.
 template <class Number, class... Base>
-bool readWhole(std::string_view text, Number& number, Base... base) {
+bool parseWhole(std::string_view text, Number& number, Base... base) {
   const char* const end = text.data() + text.size();
   const auto [stopped, error] = std::from_chars(text.data(), end, number, base...);
   return error == std::errc{} && stopped == end;
@@ -77,16 +78,17 @@
 template <class Number>
 Number parseNumber(const Field& field) {
   Number number{};
-  if (!readWhole(field.value, number))
-    throw LineError(LineErrorCode::invalidNumber,
-                    "'" + std::string(field.value) + "' is no number (" + std::string(field.key) + ")");
+  if (!parseWhole(field.value, number))
+    throw LineError(LineErrorCode::invalidNumber, "field " + std::string(field.key) +
+                                                      ": expected a number in range, got '" +
+                                                      std::string(field.value) + "'");
   return number;
 }
 
-/// A whole number of nanoseconds.
+/// Parses a whole number of nanoseconds.
 balancer::Duration parseDuration(const Field& field);
 
-/// `1` or `true`, `0` or `false`.
+/// Parses `1` or `true`, `0` or `false`.
 bool parseBool(const Field& field);
 
 }  // namespace hollyrun::simulator_adapter
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,6 +1,6 @@
-/// Runs the balancer behind the simulator's line protocol: batches on standard input, replies on standard
-/// output, reports of bad lines on standard error. Exit codes: 0 at the input's end; 1 if the input ends
-/// within a batch or a reply can't be written.
+/// Serves the simulator's line protocol: reads batches from standard input, writes replies to standard output
+/// and reports of rejected lines to standard error. Exits with 0 at the end of the input, and with 1 if the
+/// input ends inside a batch or a reply can't be written.
 #include <unistd.h>
 
 #include <cerrno>
@@ -15,7 +15,7 @@
 
 using hollyrun::simulator_adapter::Adapter;
 
-constexpr std::size_t kReadSize = 1 << 16;
+constexpr std::size_t kReadBufferBytes = 1 << 16;
 
 bool writeAll(const std::string& text) {
   std::size_t done = 0;
@@ -30,8 +30,8 @@
   return true;
 }
 
-/// Feeds the whole lines at the front of `pending`, removes them and writes the replies; false if one can't
-/// be written.
+/// Feeds the complete lines at the front of `pending` to the adapter, removes them and writes the replies.
+/// Returns false if a reply can't be written.
 bool feedLines(Adapter& adapter, std::string& pending) {
   std::string reply;
   std::size_t start = 0;
@@ -50,7 +50,7 @@
 
 int main() {
   Adapter adapter(std::cerr);
-  std::vector<char> block(kReadSize);
+  std::vector<char> block(kReadBufferBytes);
   std::string pending;
   for (;;) {
     const ssize_t received = read(STDIN_FILENO, block.data(), block.size());
@@ -63,7 +63,7 @@
       return 1;
   }
   if (!pending.empty() || adapter.insideBatch()) {
-    std::cerr << "line " << adapter.lineNumber() + 1 << ": input ended within a batch\n";
+    std::cerr << "line " << adapter.lineNumber() + 1 << ": input ended inside a line or a batch\n";
     return 1;
   }
   return 0;
--- a/src/simulator_adapter/request_ids.cpp
+++ b/src/simulator_adapter/request_ids.cpp
@@ -46,7 +46,7 @@
     --slot.attemptsInFlight;
 }
 
-void RequestIds::releaseIfOver(RequestId id) {
+void RequestIds::releaseIfEnded(RequestId id) {
   Slot& slot = slots_[slotOf(id)];
   if (slot.name.empty() || !slot.ended || slot.attemptsInFlight > 0)
     return;
--- a/src/simulator_adapter/settings_reader.cpp
+++ b/src/simulator_adapter/settings_reader.cpp
@@ -17,10 +17,10 @@
 
 namespace {
 
-/// A larger index in a key is not a list's: it would only grow the list to that size.
+/// Keys with a larger index are ignored, so that one key cannot make a list arbitrarily large.
 constexpr std::size_t kMaxListIndex = 1000;
 
-/// A key of the protocol and how its value is stored in `Target`.
+/// A key of the protocol and the function that stores its value in `Target`.
 template <class Target>
 struct Entry {
   std::string_view key;
@@ -48,7 +48,7 @@
   return field.value == "ask";
 }
 
-/// Names set apart by commas; an empty value is an empty list.
+/// Parses names separated by commas; an empty value yields an empty list.
 std::vector<std::string> parseNames(const Field& field) {
   std::vector<std::string> names;
   std::string_view rest = field.value;
@@ -122,7 +122,7 @@
     {"quotaRps", storeAs<&TenantSettings::quotaPerSecond, parseNumber<double>>},
 };
 
-/// Stores the field under `key` if the table names it; returns whether it does.
+/// Stores the field if the table contains `key`; returns whether it does.
 template <class Target, std::size_t size>
 bool store(const Entry<Target> (&table)[size], std::string_view key, Target& target, const Field& field) {
   const auto entry = std::find_if(std::begin(table), std::end(table),
@@ -138,21 +138,21 @@
   std::string_view key;
 };
 
-/// Splits a key `<list>.<index>.<key>`; nothing if it is not of this form.
+/// Splits a path of the form `<list>.<index>.<key>`; returns nothing for any other form.
 std::optional<ListKey> parseListKey(std::string_view path, std::string_view list) {
   if (!path.starts_with(list) || path.size() <= list.size() || path[list.size()] != '.')
     return std::nullopt;
   path.remove_prefix(list.size() + 1);
   const std::size_t dot = path.find('.');
   ListKey parsed;
-  if (dot == std::string_view::npos || !readWhole(path.substr(0, dot), parsed.index) ||
+  if (dot == std::string_view::npos || !parseWhole(path.substr(0, dot), parsed.index) ||
       parsed.index > kMaxListIndex)
     return std::nullopt;
   parsed.key = path.substr(dot + 1);
   return parsed;
 }
 
-/// Stores a field of one element of `list`, which grows to the element's index.
+/// Stores a field of one element of `list`, which is extended to hold the element's index.
 template <class Target, std::size_t size>
 void storeInList(const Entry<Target> (&table)[size], std::string_view listName, std::vector<Target>& list,
                  const Field& field) {
--- a/src/simulator_adapter/settings_reader.hpp
+++ b/src/simulator_adapter/settings_reader.hpp
@@ -1,4 +1,4 @@
-/// The balancer's settings as an ENLIST line states them.
+/// Reads the balancer's settings from an ENLIST line.
 #pragma once
 
 #include <string_view>
@@ -7,8 +7,8 @@
 
 namespace hollyrun::simulator_adapter {
 
-/// Reads the fields of an ENLIST line. Unknown keys are skipped: the simulator may add some. Throws LineError
-/// if a value is malformed; whether the values make sense is checked by the Balancer.
+/// Reads the fields of an ENLIST line. Skips unknown keys, since later versions of the simulator may add
+/// some. Throws LineError if a value is malformed; the Balancer validates the values.
 balancer::Settings readSettings(std::string_view fields);
 
 }  // namespace hollyrun::simulator_adapter
--- a/src/simulator_adapter/simulated_gateway.cpp
+++ b/src/simulator_adapter/simulated_gateway.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// The index of each element by its name; the first one if several have the same.
+/// Maps each name to the index of its first element.
 template <class Named>
 TextMap<std::uint32_t> indexByName(const std::vector<Named>& elements) {
   TextMap<std::uint32_t> indexes;
@@ -48,12 +48,13 @@
 }
 
 void SimulatedGateway::onRequest(Time now, std::string_view fields) {
-  // The name is read first, so that a request which is otherwise malformed can still be answered.
+  // The name is read first, so that an otherwise malformed request can still be answered.
   const std::string_view requestName = findValue(fields, "ref").value_or(std::string_view{});
   if (requestName.empty())
-    throw LineError(LineErrorCode::missingField, "no ref");
+    throw LineError(LineErrorCode::missingField, "missing field ref");
   if (requests_.find(requestName))
-    throw LineError(LineErrorCode::duplicateRequest, "an id that is still open");
+    throw LineError(LineErrorCode::duplicateRequest,
+                    "duplicate ref '" + std::string(requestName) + "', the earlier request is still open");
   RequestEvent event;
   try {
     event = parseRequest(fields);
@@ -80,14 +81,14 @@
     requests_.markEnded(*request);
   balancer_.onResult(now, event.result);
   collectActions();
-  requests_.releaseIfOver(*request);
+  requests_.releaseIfEnded(*request);
 }
 
 void SimulatedGateway::onResponseStarted(Time now, std::string_view fields) {
   const AttemptReference reference = parseAttemptReference(fields);
   const std::optional<RequestId> request = requests_.find(reference.requestName);
   if (!request)
-    return;  // it may have ended already
+    return;  // the request has ended already
   balancer_.onResponseStarted(now, *request, reference.attempt);
   collectActions();
 }
@@ -96,11 +97,11 @@
   const AttemptReference reference = parseAttemptReference(fields);
   const std::optional<RequestId> request = requests_.find(reference.requestName);
   if (!request)
-    return;  // it may have ended already
+    return;  // the request has ended already
   balancer_.onClientDisconnected(now, *request);
   requests_.markEnded(*request);
   collectActions();
-  requests_.releaseIfOver(*request);
+  requests_.releaseIfEnded(*request);
 }
 
 void SimulatedGateway::onWake(Time now) {
@@ -126,7 +127,7 @@
   // Names are released only after all actions that use them are encoded.
   for (const Action& action : balancer_.actions())
     if (endsRequest(action))
-      requests_.releaseIfOver(action.request);
+      requests_.releaseIfEnded(action.request);
   balancer_.actions().clear();
 }
 
--- a/src/simulator_adapter/simulated_gateway.hpp
+++ b/src/simulator_adapter/simulated_gateway.hpp
@@ -1,5 +1,5 @@
-/// One gateway that the simulator has enlisted: a Balancer, the names that its events use, and the lines that
-/// it answers in this batch.
+/// A gateway that the simulator has enlisted: a Balancer, the request, class and tenant names that its events
+/// use, and its reply lines of the current batch.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +13,8 @@
 
 namespace hollyrun::simulator_adapter {
 
-/// Each event passes its line's fields and throws LineError if they are malformed or refer to an unknown
-/// object.
+/// Event handlers that take a line's fields throw LineError if the fields are malformed or incomplete, or if
+/// a request uses the name of one that is still open.
 class SimulatedGateway {
  public:
   /// Throws std::invalid_argument if the balancer rejects the settings.
@@ -24,22 +24,22 @@
 
   void onEndpoints(balancer::Time now, balancer::EndpointListKind kind,
                    const std::vector<balancer::Endpoint>& endpoints);
-  /// A request whose id can be read is answered with an error line if the rest is malformed.
+  /// Answers a malformed request with an error line if its name can be read.
   void onRequest(balancer::Time now, std::string_view fields);
   void onResult(balancer::Time now, std::string_view fields);
   void onResponseStarted(balancer::Time now, std::string_view fields);
   void onClientDisconnected(balancer::Time now, std::string_view fields);
   void onWake(balancer::Time now);
 
-  /// Whether an event of this batch is the gateway's. The adapter collects the replies of those that have
-  /// one.
+  /// Whether this gateway has had an event in the current batch. The adapter collects the replies of such
+  /// gateways.
   bool inBatch() const { return inBatch_; }
   void enterBatch() { inBatch_ = true; }
-  /// Appends the gateway's lines of this batch to `reply` and ends the batch.
+  /// Appends the gateway's reply lines of this batch to `reply` and leaves the batch.
   void finishBatch(std::string& reply);
 
  private:
-  /// Encodes the balancer's new actions.
+  /// Appends the balancer's new actions to the gateway's reply.
   void collectActions();
 
   std::string name_;
--- a/src/simulator_adapter/text_map.hpp
+++ b/src/simulator_adapter/text_map.hpp
@@ -1,4 +1,4 @@
-/// A hash map with text keys that is searched by std::string_view without a copy.
+/// A hash map with string keys that can be searched by std::string_view without a copy.
 #pragma once
 
 #include <functional>
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -21,7 +21,7 @@
     "rules.coldNs=9000000000 rules.coldShare=0.32 rules.fallMultiple=3.0 rules.fallNs=2000000000 "
     "stepNs=5000000 tenants= zone=north zones=north,south";
 
-/// An adapter and what it reported on standard error.
+/// An adapter and its error reports.
 struct Session {
   std::ostringstream errors;
   Adapter adapter{errors};
@@ -56,7 +56,7 @@
   return "REQ i=" + gateway + " ref=" + ref + " leftNs=1000000000 tierClass=plan" + more + "\n";
 }
 
-TEST(SimulatorAdapter, EmptyBatchIsAnsweredWithOk) {
+TEST(SimulatorAdapter, AnswersEmptyBatchWithOk) {
   Session session;
   EXPECT_EQ(session.feed("FRAME tNs=8412250000\nEOF_BATCH\n"), "OK\n");
 }
@@ -69,8 +69,8 @@
   EXPECT_TRUE(settings.classes[0].orderedPerKey);
   EXPECT_FALSE(settings.classes[1].orderedPerKey);
   EXPECT_EQ(settings.classes[0].zones, (std::vector<std::string>{"north", "south"}));
-  EXPECT_FALSE(settings.classes[0].machineTypes);  // absent: no bound
-  ASSERT_TRUE(settings.classes[1].machineTypes);   // empty: nothing is allowed
+  EXPECT_FALSE(settings.classes[0].machineTypes);  // absent: no restriction
+  ASSERT_TRUE(settings.classes[1].machineTypes);   // empty: no machine type is allowed
   EXPECT_TRUE(settings.classes[1].machineTypes->empty());
   EXPECT_EQ(settings.keyCooldown, std::chrono::milliseconds(100));
 }
@@ -98,9 +98,9 @@
   EXPECT_THROW(readSettings("groupSize=many"), std::invalid_argument);
 }
 
-// A gateway of a large fleet that had to send outside its subset of endpoints closes those connections
-// afterwards.
-TEST(SimulatorAdapter, ConnectionsOutsideTheSubsetAreClosed) {
+// A gateway of a large fleet that had to send to endpoints outside its subset must close the connections to
+// them afterwards.
+TEST(SimulatorAdapter, ClosesConnectionsOutsideTheSubset) {
   Session session;
   std::string text = "FRAME tNs=1000000000\nLEDGER buffer=0 rowsIn=20\n";
   for (int i = 0; i < 20; ++i)
@@ -131,7 +131,7 @@
   EXPECT_NE(later.find("CLOSE i=gateway-1 host=10.0.0."), std::string::npos);
 }
 
-TEST(SimulatorAdapter, RejectedAttemptIsRetriedOnTheOtherEndpoint) {
+TEST(SimulatorAdapter, RetriesRejectedAttemptOnTheOtherEndpoint) {
   Session session;
   EXPECT_EQ(count(session.start("gateway-0"), "SUBSCRIBE i=gateway-0 active=1"), 1u);
   std::string reply =
@@ -151,7 +151,7 @@
   EXPECT_EQ(session.errors.str(), "");
 }
 
-TEST(SimulatorAdapter, BadLinesAreReportedAndTheBatchIsAnswered) {
+TEST(SimulatorAdapter, ReportsBadLinesAndAnswersTheBatch) {
   const char* bad[] = {"NOISE x=1",
                        "REQ ref=q leftNs=5 tierClass=plan",
                        "REQ i=gateway-9 ref=q leftNs=5 tierClass=plan",
@@ -174,7 +174,7 @@
   }
 }
 
-TEST(SimulatorAdapter, MalformedRequestIsAnsweredWithAnError) {
+TEST(SimulatorAdapter, AnswersMalformedRequestWithAnError) {
   for (const char* rest : {" leftNs=abc tierClass=plan", " tierClass=plan", " leftNs=5",
                            " leftNs=5 tierClass=plan repeat=maybe"}) {
     Session session;
@@ -186,7 +186,7 @@
   }
 }
 
-TEST(SimulatorAdapter, RetiredGatewaysActionsAreDropped) {
+TEST(SimulatorAdapter, DropsActionsOfRetiredGateway) {
   Session session;
   session.start("gateway-0 gateway-1");
   const std::string reply =
@@ -194,12 +194,12 @@
                    requestLine("gateway-1", "keep-1") + "RETIRE i=gateway-0\nENLIST i=gateway-0" + kSettings +
                    "\nMEMBERSHIP i=gateway-0 generation=1 buffer=0 kind=restored\n" +
                    requestLine("gateway-0", "new-1") + "EOF_BATCH\n");
-  EXPECT_EQ(count(reply, "old-1"), 0u) << "the gateway that was sent the request is retired";
+  EXPECT_EQ(count(reply, "old-1"), 0u) << "the gateway that received the request is retired";
   EXPECT_EQ(count(reply, "ref=keep-1"), 1u);
   EXPECT_EQ(count(reply, "ref=new-1"), 1u);
 }
 
-TEST(SimulatorAdapter, EndpointListsAreResolvedInLineOrder) {
+TEST(SimulatorAdapter, AppliesEndpointListAsItWasAtTheUpdateLine) {
   Session session;
   session.start("gateway-0", 1);
   const std::string reply = session.feed(
@@ -211,7 +211,7 @@
   EXPECT_EQ(count(reply, "ref=c-1 host=10.9.9.9:80"), 1u);
 }
 
-TEST(SimulatorAdapter, GatewaysOfOneProcessActAsInSeparateOnes) {
+TEST(SimulatorAdapter, GatewaysInOneProcessActAsInSeparateProcesses) {
   const auto events = [](const std::string& gateway) {
     std::string text;
     for (int i = 0; i < 60; ++i)
@@ -233,7 +233,7 @@
   EXPECT_GT(count(together, "FORWARD"), 10u);
 }
 
-TEST(SimulatorAdapter, EveryRequestOfALongBatchIsAnswered) {
+TEST(SimulatorAdapter, AnswersEveryRequestOfALongBatch) {
   Session session;
   session.start("gateway-0", 16);
   std::string text = "FRAME tNs=1005000000\n";
--- a/tests/simulator_protocol_test.cpp
+++ b/tests/simulator_protocol_test.cpp
@@ -14,7 +14,7 @@
 using balancer::Outcome;
 using balancer::RequestId;
 
-/// The code of the LineError that `parse` throws; nothing if it throws none.
+/// Returns the code of the LineError that `parse` throws, or nothing if it throws none.
 std::optional<LineErrorCode> errorOf(const std::function<void()>& parse) {
   try {
     parse();
@@ -24,7 +24,7 @@
   return std::nullopt;
 }
 
-TEST(LineParser, FieldsAreReadInOrderAndEmptyWordsSkipped) {
+TEST(LineParser, ReadsFieldsInOrderAndSkipsEmptyWords) {
   FieldReader reader("  a=1   b=  c=x=y ");
   const std::optional<Field> first = reader.next();
   ASSERT_TRUE(first);
@@ -41,13 +41,13 @@
   EXPECT_FALSE(reader.next());
 }
 
-TEST(LineParser, WordWithoutSeparatorIsAnErrorForTheReaderOnly) {
+TEST(LineParser, WordWithoutSeparatorFailsFieldReaderButNotFindValue) {
   EXPECT_EQ(errorOf([] { FieldReader("noise a=1").next(); }), LineErrorCode::missingSeparator);
   EXPECT_EQ(findValue("noise a=1 a=2", "a"), "1");
   EXPECT_EQ(findValue("noise ab=1", "a"), std::nullopt);
 }
 
-TEST(LineParser, NumbersAndBoolsHaveToBeWhole) {
+TEST(LineParser, RejectsMalformedNumbersAndBools) {
   EXPECT_EQ(parseNumber<int>({"key", "-7"}), -7);
   for (const char* value : {"", "x", "7x", " 7", "99999999999"})
     EXPECT_EQ(errorOf([value] { parseNumber<int>({"key", value}); }), LineErrorCode::invalidNumber) << value;
@@ -56,7 +56,7 @@
   EXPECT_EQ(errorOf([] { parseBool({"key", "yes"}); }), LineErrorCode::invalidBool);
 }
 
-TEST(EventParser, RequestHasItsNamesAndKey) {
+TEST(EventParser, ParsesRequestNamesAndKey) {
   const RequestEvent event =
       parseRequest("i=g ref=r leftNs=5 costNs=3 tierClass=plan realm=acme routeKey=ff repeat=1 future=x");
   EXPECT_EQ(event.request.remaining, balancer::Duration(5));
@@ -67,14 +67,14 @@
   EXPECT_EQ(event.request.key, 255u);
 }
 
-TEST(EventParser, RequestWithoutARequiredFieldOrWithAMalformedOneIsAnError) {
+TEST(EventParser, RejectsRequestWithMissingOrMalformedField) {
   EXPECT_EQ(errorOf([] { parseRequest("tierClass=plan"); }), LineErrorCode::missingField);
   EXPECT_EQ(errorOf([] { parseRequest("leftNs=5"); }), LineErrorCode::missingField);
   EXPECT_EQ(errorOf([] { parseRequest("leftNs=5 tierClass=p routeKey=xyz"); }), LineErrorCode::invalidKey);
   EXPECT_EQ(errorOf([] { parseRequest("leftNs=5 tierClass=p repeat=maybe"); }), LineErrorCode::invalidBool);
 }
 
-TEST(EventParser, EveryDispositionIsAnOutcome) {
+TEST(EventParser, MapsEachDispositionToAnOutcome) {
   const struct {
     const char* code;
     Outcome outcome;
@@ -91,7 +91,7 @@
   EXPECT_EQ(errorOf([] { parseResult("ref=r go=0"); }), LineErrorCode::missingField);
 }
 
-TEST(EventParser, EndpointsAndTheirListsAreTyped) {
+TEST(EventParser, ParsesEndpointStatesAndListKinds) {
   EXPECT_EQ(parseEndpoint("host=h:1 phase=LAME").state, EndpointState::draining);
   EXPECT_EQ(parseEndpoint("host=h:1 phase=OUT").state, EndpointState::removed);
   EXPECT_EQ(errorOf([] { parseEndpoint("host=h:1 phase=GONE"); }), LineErrorCode::unknownPhase);
@@ -102,19 +102,19 @@
   EXPECT_EQ(errorOf([] { parseEndpointUpdate("kind=odd buffer=0"); }), LineErrorCode::unknownListKind);
 }
 
-TEST(RequestIds, NameIsKeptUntilTheRequestAndItsAttemptsAreOver) {
+TEST(RequestIds, KeepsNameUntilRequestAndItsAttemptsHaveEnded) {
   RequestIds requests;
   const RequestId id = requests.add("r");
   requests.countAttemptSent(id);
   requests.markEnded(id);
-  requests.releaseIfOver(id);
+  requests.releaseIfEnded(id);
   EXPECT_EQ(requests.find("r"), id);
   requests.countAttemptEnded(id);
-  requests.releaseIfOver(id);
+  requests.releaseIfEnded(id);
   EXPECT_EQ(requests.find("r"), std::nullopt);
-  requests.releaseIfOver(id);  // a second release has no effect
+  requests.releaseIfEnded(id);  // releasing twice has no effect
   const RequestId again = requests.add("r");
-  EXPECT_NE(again, id) << "an id is never used again";
+  EXPECT_NE(again, id) << "ids must not be reused";
   EXPECT_EQ(requests.name(again), "r");
   EXPECT_NE(requests.add("s"), again);
 }
