--- a/src/membership/anti_entropy.cpp
+++ b/src/membership/anti_entropy.cpp
@@ -5,7 +5,8 @@
 
 constexpr std::size_t kMaxDifferingNames = 8;
 
-// Appends the records after the pull's cursor whose buckets differ; whether more than a datagram's worth do.
+// Appends the records after the pull's cursor whose buckets differ, up to kMaxUpdatesPerDatagram. Returns
+// whether there are more.
 bool appendDifferingRecords(Message& view, const Message& pull, const MemberTable& table,
                             const MemberRecord& self) {
   const BucketDigests own = table.bucketDigests(self);
@@ -41,7 +42,7 @@
 void fillView(Message& view, const Message& pull, const MemberTable& table, const MemberRecord& self,
               std::string_view fleet) {
   const bool moreThanCandidates = appendDifferingRecords(view, pull, table, self);
-  // The cursor is known only once it is known how many records fit, so the longest possible one is tried.
+  // The cursor depends on how many records fit, so the trial encoding uses the longest possible cursor.
   std::size_t encodedUpdates = 0;
   view.cursor = std::string(kMaxTextBytes, '~');
   encode(view, fleet, encodedUpdates);
--- a/src/membership/anti_entropy.hpp
+++ b/src/membership/anti_entropy.hpp
@@ -1,5 +1,5 @@
-/// Anti-entropy: members whose view digests differ compare digests by bucket, and the records of the buckets
-/// that differ are sent.
+/// Anti-entropy: two members whose view digests differ compare the digests of each bucket and exchange the
+/// records of the buckets that differ.
 #pragma once
 
 #include <string>
@@ -12,12 +12,13 @@
 
 namespace hollyrun::membership {
 
+/// Limits how often a member pulls records from others.
 class AntiEntropy {
  public:
-  /// The first pull may be made at once.
+  /// The first pull is allowed immediately.
   AntiEntropy(Time now, Duration probeInterval) { allowPull(now, probeInterval); }
 
-  /// At most one comparison is begun in a probe interval.
+  /// Allows at most one comparison to begin in each probe interval.
   bool mayPull(Time now, Duration probeInterval) const { return now - lastPull_ >= probeInterval; }
   void onPull(Time now) { lastPull_ = now; }
   void allowPull(Time now, Duration probeInterval) { lastPull_ = now - probeInterval; }
@@ -26,12 +27,13 @@
   Time lastPull_{};
 };
 
-/// Up to a few names in buckets that differ from the requester's, for operators.
+/// Returns a limited number of names in buckets whose digests differ from the requester's. They are shown to
+/// operators.
 std::vector<std::string> differingNames(const Message& pull, const MemberTable& table,
                                         const MemberRecord& self);
 
-/// Completes `view`, the response to `pull`, with the records that differ: as many as fit into one datagram,
-/// and the cursor where the next pull begins.
+/// Adds to `view`, the response to `pull`, as many records of differing buckets as fit into one datagram, and
+/// the cursor for the next pull.
 void fillView(Message& view, const Message& pull, const MemberTable& table, const MemberRecord& self,
               std::string_view fleet);
 
--- a/src/membership/failure_detector.hpp
+++ b/src/membership/failure_detector.hpp
@@ -1,5 +1,5 @@
-/// The failure detector's probe schedule: one member an interval, in a shuffled round, so that each is probed
-/// once in as many intervals as there are members; and the state of the probe under way.
+/// The failure detector's probe schedule and the state of the current probe. One member is probed in each
+/// interval, in the order of a shuffled round, so that each of n members is probed once in n intervals.
 #pragma once
 
 #include <cstddef>
@@ -16,39 +16,41 @@
 
 class FailureDetector {
  public:
-  /// The next present member of the round, which is drawn anew where it is over; null: nobody is present.
+  /// Returns the next present member of the round, and starts a new round if none is left. Returns null if no
+  /// other member is present.
   const Member* nextTarget(const MemberTable& table, RandomSource& random);
-  /// Puts a new member at a random place of the running round.
+  /// Inserts a new member at a random position of the current round.
   void addTarget(const std::string& name, RandomSource& random);
 
-  /// A direct ping was sent; indirect ones follow at `indirectAt` unless it is answered.
+  /// Called when a direct ping was sent. If it is not acknowledged, indirect pings follow at `indirectAt`.
   void startProbe(std::uint64_t nonce, Time indirectAt);
   void endProbe() { nonce_ = 0; }
-  /// Drops the probe and the round, after this process was held up.
+  /// Discards the current probe and round, after this process was stalled.
   void reset();
 
   bool isProbing() const { return nonce_ != 0; }
   std::uint64_t nonce() const { return nonce_; }
-  /// Whether only the direct ping was sent so far.
+  /// Whether a direct ping is unanswered and no proxy was sent an indirect ping yet.
   bool awaitsDirectAck() const { return nonce_ != 0 && expectedNacks_ == 0; }
   Time indirectAt() const { return indirectAt_; }
 
-  /// Up to `count` other members, drawn among those that are not suspect, to probe `target` for us.
+  /// Draws up to `count` members other than `target` that are not suspect, to send it indirect pings.
   std::vector<Address> selectProxies(const MemberTable& table, const std::string& target, unsigned count,
                                      RandomSource& random) const;
-  /// `proxies` members were asked; with none, the next attempt waits for `nextInterval`.
+  /// Called after `proxies` members were sent indirect pings. If there were none, the next attempt is made at
+  /// `nextInterval`.
   void onIndirectPingsSent(unsigned proxies, Time nextInterval);
   void onNack() { ++receivedNacks_; }
-  /// Whether proxies were silent too, or there was none: the fault may be our own.
-  bool lacksNacks() const { return expectedNacks_ == 0 || receivedNacks_ < expectedNacks_; }
+  /// Whether some proxy sent no nack either, or there was no proxy: the fault may be this member's own.
+  bool isMissingNacks() const { return expectedNacks_ == 0 || receivedNacks_ < expectedNacks_; }
 
   void addTo(Fingerprint& fingerprint, Time now) const;
 
  private:
   void startRound(const MemberTable& table, RandomSource& random);
 
-  std::vector<std::string> round_;  // still to be probed, the next last
-  std::uint64_t nonce_ = 0;         // of this interval's probe; 0: none, or answered
+  std::vector<std::string> round_;  // members still to be probed in this round; the next one is at the back
+  std::uint64_t nonce_ = 0;         // nonce of the current probe; 0 if there is none or it was answered
   Time indirectAt_{};
   unsigned expectedNacks_ = 0, receivedNacks_ = 0;
 };
--- a/src/membership/fingerprint.hpp
+++ b/src/membership/fingerprint.hpp
@@ -1,4 +1,5 @@
-/// Collects the state that decides the next steps, so that exhaustive exploration recognizes equal states.
+/// Serializes the state that determines the next steps, so that exhaustive exploration recognizes equal
+/// states.
 #pragma once
 
 #include <concepts>
@@ -18,7 +19,8 @@
     text_ += name;
     text_ += '|';
   }
-  /// Ends a list of unknown length, so that its elements cannot be read as the next part's.
+  /// Terminates a list of variable length, so that its elements cannot be confused with those of the next
+  /// list.
   void endPart() { text_ += ';'; }
   std::string text() && { return std::move(text_); }
 
--- a/src/membership/gossip_queue.cpp
+++ b/src/membership/gossip_queue.cpp
@@ -9,7 +9,7 @@
 namespace hollyrun::membership {
 namespace {
 
-// 3 log2 n transmissions reach all members but for a probability of 1/n^2.
+// With 3 log2 n transmissions, an update fails to reach all members with a probability of 1/n^2.
 constexpr unsigned kRetransmitMultiplier = 3;
 
 }  // namespace
@@ -38,8 +38,8 @@
   for (auto entry = updates_.begin(); entry != updates_.end();) {
     auto& [name, update] = *entry;
     if (receiver.hasSameView && !suspicions.isSuspect(name)) {
-      const bool done = ++update.transmissions >= limit;
-      entry = done ? updates_.erase(entry) : std::next(entry);
+      const bool isFullyTransmitted = ++update.transmissions >= limit;
+      entry = isFullyTransmitted ? updates_.erase(entry) : std::next(entry);
       continue;
     }
     if (std::find(excluded.begin(), excluded.end(), name) == excluded.end())
--- a/src/membership/gossip_queue.hpp
+++ b/src/membership/gossip_queue.hpp
@@ -1,5 +1,5 @@
-/// Dissemination: updates that are piggybacked on probes and acks until each was transmitted often enough for
-/// all members to have it.
+/// Dissemination: updates are piggybacked on probes and acks until each was transmitted often enough to reach
+/// all members.
 #pragma once
 
 #include <cstddef>
@@ -15,27 +15,29 @@
 
 class GossipQueue {
  public:
-  /// To whom updates are sent.
+  /// Describes the member that updates are sent to.
   struct Receiver {
-    /// Its view digest is ours, so it has all updates but suspicions, which no digest covers.
+    /// Its view digest equals this member's, so it lacks no updates except suspicions, which the digest does
+    /// not cover.
     bool hasSameView = false;
-    std::vector<std::string> excluded;  ///< names that the datagram covers otherwise
+    std::vector<std::string> excluded;  ///< members whose records the datagram contains already
   };
 
-  /// Transmissions of one update in a fleet of so many present members, ourselves included.
+  /// Returns how often an update is transmitted in a fleet of `presentCount` members, this one included.
   static unsigned retransmitLimit(std::size_t presentCount);
 
-  /// The record of that name changed; its transmissions are counted from 0.
+  /// Queues an update for the member `name`, whose record changed; its transmission count restarts at 0.
   void add(const std::string& name);
   void remove(const std::string& name) { updates_.erase(name); }
   void removeAllExcept(const std::string& name);
   void clear() { updates_.clear(); }
 
-  /// Names to send, the least transmitted first, then the latest; updates that the receiver has by its view
-  /// count as transmitted to it. Valid until the queue changes.
+  /// Selects the names whose records to send: the least transmitted first, then the latest. Updates that the
+  /// receiver has already, as its view is the same, count as transmitted. The result is valid until the queue
+  /// changes.
   std::vector<const std::string*> select(const Receiver& receiver, const SuspicionTracker& suspicions,
                                          unsigned limit);
-  /// Counts a transmission of that name and drops the update at the limit.
+  /// Counts a transmission of the update and removes it once it reaches `limit`.
   void onTransmitted(const std::string& name, unsigned limit);
 
   void addTo(Fingerprint& fingerprint) const;
@@ -43,9 +45,9 @@
  private:
   struct GossipUpdate {
     unsigned transmissions = 0;
-    std::uint64_t order = 0;  // rises with each update
+    std::uint64_t order = 0;  // increases with each queued update
   };
-  std::map<std::string, GossipUpdate> updates_;  // by the name of the member that changed
+  std::map<std::string, GossipUpdate> updates_;  // keyed by the name of the changed member
   std::uint64_t lastOrder_ = 0;
 };
 
--- a/src/membership/local_health.hpp
+++ b/src/membership/local_health.hpp
@@ -1,4 +1,5 @@
-/// Local health awareness (Lifeguard): a member that hears or answers late probes and accuses more slowly.
+/// Local health awareness (Lifeguard): a member that receives or answers messages late probes and suspects
+/// others more slowly.
 #pragma once
 
 #include <algorithm>
@@ -11,12 +12,12 @@
  public:
   void improve() { score_ -= score_ > 0 ? 1 : 0; }
   void degrade() { score_ = std::min(score_ + 1, kMaxScore); }
-  /// 0: healthy; at most kMaxScore.
+  /// From 0 (healthy) to kMaxScore.
   unsigned score() const { return score_; }
   Duration scaled(Duration duration) const { return duration * (score_ + 1); }
 
  private:
-  static constexpr unsigned kMaxScore = 8;  // as published: probes are nine times slower at the most
+  static constexpr unsigned kMaxScore = 8;  // the published value: timeouts grow to nine times their length
   unsigned score_ = 0;
 };
 
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -44,7 +44,7 @@
   }
 }
 
-std::optional<std::string> MemberTable::evictOldestGone() {
+std::optional<std::string> MemberTable::evictLongestAbsent() {
   auto oldest = members_.end();
   for (auto member = members_.begin(); member != members_.end(); ++member)
     if (!isPresent(member->second.record.state) &&
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -7,15 +7,19 @@
 namespace hollyrun::membership {
 namespace {
 
-// Of a probe interval: an answer over the network takes far less, and two thirds are left for indirect
-// probes.
+// Timeout of a direct ping in tenths of a probe interval. An ack over the network takes far less, and more
+// than two thirds of the interval remain for indirect probes.
 constexpr int kAckTimeoutTenths = 3;
-// Woken so late, this process knows nothing of who answered meanwhile.
-constexpr int kStallIntervals = 3;
-constexpr std::size_t kMaxLeaveMessages = 16;  // sent directly; the receivers spread it
+// After a delay of this many probe intervals, this process cannot tell which members answered in the
+// meantime.
+constexpr int kStallThresholdIntervals = 3;
+// The receivers of leave messages spread them further by gossip.
+constexpr std::size_t kMaxLeaveMessages = 16;
 constexpr std::size_t kMaxSeedsAtStart = 8;
-constexpr std::uint64_t kContactIntervals = 4;   // between contacts with missing seeds, or with the dead
-constexpr std::uint64_t kConflictIntervals = 5;  // between questions whether our name is free again
+// Probe intervals between contacts with missing seeds, and between contacts with dead members.
+constexpr std::uint64_t kContactIntervals = 4;
+// Probe intervals between checks whether our name is free again.
+constexpr std::uint64_t kConflictCheckIntervals = 5;
 
 }  // namespace
 
@@ -30,7 +34,7 @@
       self_(std::move(self)),
       random_(seed),
       now_(now),
-      nextIntervalAt_(now),  // the seeds are contacted at once
+      nextIntervalAt_(now),  // seeds are contacted immediately
       antiEntropy_(now, settings_.probeInterval) {
   self_.epoch = random_.draw();
   self_.incarnation = 1;
@@ -56,7 +60,7 @@
   updated.epoch = self_.epoch;
   updated.state = self_.state;
   updated.startedMs = self_.startedMs;
-  updated.incarnation = self_.incarnation + 1;  // supersedes what others hold of us
+  updated.incarnation = self_.incarnation + 1;  // supersedes the record that others have of this member
   self_ = std::move(updated);
   gossip_.add(self_.name);
 }
@@ -67,7 +71,7 @@
   now_ = std::max(now_, now);
   hasLeft_ = true;
   if (conceded())
-    return;  // the name belongs to another process
+    return;  // the name belongs to the other process
   self_.state = MemberState::left;
   std::vector<Address> present;
   for (const auto& [name, member] : table_.members())
@@ -109,27 +113,27 @@
   updateWakeTime();
 }
 
-// True if this process was held up so long that nothing may be concluded from silence meanwhile.
+// Returns true if this process was stalled for so long that missing messages prove nothing.
 bool Membership::advance(Time now) {
   now_ = std::max(now_, now);
-  const Duration late = now_ - wakeAt_;
-  if (late <= health_.scaled(settings_.probeInterval) * kStallIntervals)
+  const Duration delay = now_ - wakeAt_;
+  if (delay <= health_.scaled(settings_.probeInterval) * kStallThresholdIntervals)
     return false;
-  recoverFromStall(late);
+  recoverFromStall(delay);
   return true;
 }
 
-void Membership::recoverFromStall(Duration late) {
+void Membership::recoverFromStall(Duration delay) {
   ++counters_.stalls;
   requests_.clear();
   detector_.reset();
-  suspicions_.postpone(late);
-  // Updates in the queue are as old as the stall: sent now, they would accuse members that refuted since.
+  suspicions_.postpone(delay);
+  // Queued updates date from before the stall and may accuse members that have refuted since.
   gossip_.removeAllExcept(self_.name);
   antiEntropy_.allowPull(now_, settings_.probeInterval);
   nextIntervalAt_ = now_;
   health_.degrade();
-  raise(EventType::stalled, self_);
+  emitEvent(EventType::stalled, self_);
 }
 
 void Membership::runTimers() {
@@ -148,12 +152,12 @@
   removeExpiredMembers();
   nextIntervalAt_ = now_ + health_.scaled(settings_.probeInterval);
   if (conceded()) {
-    if (intervals_ % kConflictIntervals == 0)
+    if (intervals_ % kConflictCheckIntervals == 0)
       contactAboutNameConflict();
     return;
   }
   probeNextMember();
-  contactMissing();
+  contactMissingMembers();
 }
 
 void Membership::updateWakeTime() {
@@ -161,19 +165,19 @@
       std::min({nextIntervalAt_, requests_.nextDeadline(), suspicions_.nextDeadline(suspicionTiming())});
   if (detector_.awaitsDirectAck())
     wakeAt_ = std::min(wakeAt_, detector_.indirectAt());
-  // A suspicion that a further confirmation shortens may be over already; that must not count as a late wake.
+  // A confirmation may shorten a suspicion's deadline to a time in the past, which must not count as a stall.
   wakeAt_ = std::max(wakeAt_, now_);
 }
 
 void Membership::sendNacks() {
-  for (const PendingRequest& request : requests_.takeExpired(now_))
+  for (const PendingRequest& request : requests_.removeExpired(now_))
     if (request.type == RequestType::relay)
       sendWithGossip(request.requester, MessageType::nack, request.requesterNonce);
 }
 
 void Membership::expireSuspicions() {
   for (const std::string& name : suspicions_.expired(now_, suspicionTiming()))
-    accuse(name, MemberState::dead);
+    reportFailure(name, MemberState::dead);
 }
 
 void Membership::removeExpiredMembers() {
@@ -199,7 +203,7 @@
   const Duration timeout = health_.scaled(settings_.probeInterval);
   const std::uint64_t nonce = addRequest(RequestType::probe, record.name, record.address, timeout);
   detector_.startProbe(nonce, now_ + health_.scaled(ackTimeout()));
-  // A suspect learns of the suspicion from the probe itself, so that it can refute.
+  // The probe tells a suspect member about the suspicion, so that it can refute it.
   sendWithGossip(record.address, MessageType::ping, nonce, record.name);
 }
 
@@ -222,17 +226,17 @@
   const auto probe = requests_.find(detector_.nonce());
   requests_.remove(detector_.nonce());
   detector_.endProbe();
-  // Where we wake late ourselves, the answer may lie unread in our socket: it proves nothing against the
-  // target.
+  // If this process was woken late, the ack may be unread in its socket, so a missing ack proves nothing
+  // about the target.
   const bool wokenLate = now_ - nextIntervalAt_ > ackTimeout();
   if (wokenLate)
     return health_.degrade();
-  if (detector_.lacksNacks())
+  if (detector_.isMissingNacks())
     health_.degrade();
-  accuse(probe->target, MemberState::suspect);
+  reportFailure(probe->target, MemberState::suspect);
 }
 
-void Membership::accuse(const std::string& name, MemberState state) {
+void Membership::reportFailure(const std::string& name, MemberState state) {
   const Member* member = table_.find(name);
   if (!member)
     return;
@@ -242,10 +246,11 @@
   applyUpdate(claim, ClaimSource::gossip);
 }
 
-// --- Contact with those that are missing --------------------------------------------------------------
+// --- Contact with missing members ---------------------------------------------------------------------
 
-// Seeds while they are missing, and the dead now and then, so that the sides of a partition find each other.
-void Membership::contactMissing() {
+// Contacts missing seeds, and dead members at intervals, so that the sides of a healed partition find each
+// other.
+void Membership::contactMissingMembers() {
   const std::vector<Address> missing = missingSeeds();
   if (intervals_ == 1)
     return contactAllSeeds(missing);
@@ -282,11 +287,12 @@
   const MemberRecord& record = *dead[nextDeadMember_++ % dead.size()];
   const std::uint64_t nonce =
       addRequest(RequestType::contact, record.name, record.address, settings_.probeInterval);
-  // The ping begins with the claim that it is dead, which it answers with a higher incarnation.
+  // The ping's first update is the claim that the member is dead, which it refutes with a higher incarnation.
   sendWithGossip(record.address, MessageType::ping, nonce, record.name);
 }
 
-// The process that has our name learns that we still serve, and any other member knows whether it is there.
+// Pings the process that uses our name, so that it knows that this one still serves, and a random member,
+// which knows whether that process is still present.
 void Membership::contactAboutNameConflict() {
   pingAddress(nameConflict_.address());
   const std::vector<Address> present = table_.presentAddressesExcept(self_.address);
@@ -330,7 +336,7 @@
   message.viewDigest = digest();
   message.sender = self_;
   if (conceded())
-    message.sender.incarnation = 0;  // below every claim that others know of our name
+    message.sender.incarnation = 0;  // lower than any claim on our name that others know
   return message;
 }
 
@@ -339,7 +345,7 @@
   sendWithGossip(to, createMessage(type, nonce), subject);
 }
 
-// The update about `subject` goes first: the receiver needs it to act on the message.
+// Places the update about `subject` first: the receiver needs it to act on the message.
 void Membership::sendWithGossip(const Address& to, Message message, const std::string& subject,
                                 Receiver receiver) {
   const unsigned limit = GossipQueue::retransmitLimit(presentCount());
@@ -354,7 +360,7 @@
     gossip_.onTransmitted(message.updates[i].name, limit);
 }
 
-// Whether that member is at this address and last announced our view, so that it lacks no more than
+// Whether the member is at this address and last announced our view digest, so that it lacks at most
 // suspicions.
 bool Membership::hasSameView(const Address& to, MessageType type, const std::string& name) const {
   if (type != MessageType::ping && type != MessageType::ack)
@@ -364,7 +370,7 @@
          member->viewDigest == digest();
 }
 
-// The number of updates that went into the datagram.
+// Sends the message and returns the number of updates that fitted into the datagram.
 std::size_t Membership::transmit(const Address& to, Message& message) {
   message.sequence = ++lastSequence_;
   std::size_t encodedUpdates = 0;
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -1,7 +1,7 @@
-/// Who is in the fleet: SWIM with suspicion, incarnations, local health awareness (Lifeguard) and
-/// anti-entropy. Sans-I/O: datagrams and the time go in, datagrams and events come out; it reads no clock.
-/// The gateway, the simulation in virtual time and exhaustive exploration run the same code; a copy is an
-/// independent state. docs/membership.md describes the protocol.
+/// Membership of a fleet: SWIM with suspicion, incarnations, local health awareness (Lifeguard) and
+/// anti-entropy. Performs no I/O and reads no clock: datagrams and the time are passed in, datagrams and
+/// events are returned. The gateway, the simulation in virtual time and the exhaustive exploration run the
+/// same code. A copied Membership is an independent instance. docs/membership.md describes the protocol.
 #pragma once
 
 #include <array>
@@ -29,26 +29,27 @@
 namespace hollyrun::membership {
 
 struct MembershipSettings {
-  std::string fleet = "fleet";  ///< messages of another one are dropped
-  std::vector<Address> seeds;   ///< contacted at the start, and while they are missing
+  std::string fleet = "fleet";  ///< messages of other fleets are dropped
+  std::vector<Address> seeds;   ///< contacted at the start and while no member is present at their address
   Duration probeInterval = std::chrono::seconds(1);
-  unsigned indirectProbes = 3;    ///< members asked to probe one that did not answer
-  std::size_t maxMembers = 1024;  ///< kept in the view, those that left or died included
-  Duration tombstoneTimeout =
-      std::chrono::hours(1);  ///< a member that left or died is remembered for so long
+  unsigned indirectProbes = 3;    ///< number of members that probe an unresponsive one on our behalf
+  std::size_t maxMembers = 1024;  ///< limit of the view, including members that left or died
+  /// How long a member that left or died is remembered.
+  Duration tombstoneTimeout = std::chrono::hours(1);
 };
 
 enum class EventType {
-  joined,        ///< also one that returns, or a new process of a known name
-  suspected,     ///< did not answer a probe
-  refuted,       ///< answered a suspicion
-  died,          ///< the suspicion timed out
-  left,          ///< announced that it goes
-  changed,       ///< its settings, version, zone or address did
-  nameConflict,  ///< another process lives under our name
-  stalled,       ///< this process was held up; says nothing of others
+  joined,        ///< a member joined or returned, or a new process of a known member started
+  suspected,     ///< a member did not answer a probe
+  refuted,       ///< a member refuted its suspicion
+  died,          ///< the suspicion of a member timed out
+  left,          ///< a member announced that it leaves
+  changed,       ///< the settings, version, region, zone or address of a member changed
+  nameConflict,  ///< another process uses this member's name
+  stalled,       ///< this process was not scheduled for long; implies nothing about other members
 };
-/// The text in logs, which is older than two enumerators: refuted is "cleared" and nameConflict is "rival".
+/// Returns the name used in logs. The names are kept for compatibility, so two of them differ from the
+/// enumerators: refuted is "cleared" and nameConflict is "rival".
 const char* nameOf(EventType type);
 
 struct Event {
@@ -64,23 +65,25 @@
 struct Counters {
   std::uint64_t received = 0, sent = 0, bytesIn = 0, bytesOut = 0;
   std::array<std::uint64_t, kDecodeErrorCount> decodeErrors{};
-  std::uint64_t stale = 0;  ///< well formed, but no proof that the sender is alive: its updates were ignored
-  std::uint64_t full = 0;   ///< members ignored because the view holds settings.maxMembers
+  /// Valid datagrams that do not prove that their sender is alive; their updates were ignored.
+  std::uint64_t stale = 0;
+  std::uint64_t full = 0;  ///< new members that were ignored because the view has settings.maxMembers members
   std::uint64_t refuted = 0, suspicions = 0, deaths = 0, stalls = 0;
 };
 
+/// One member's instance of the protocol.
 class Membership {
  public:
-  /// `self`: name, address, zone, region, version, settings digest and start time; epoch, incarnation and
-  /// state are set here.
+  /// `self` provides name, address, zone, region, version, settings digest and start time; the constructor
+  /// sets epoch, incarnation and state.
   Membership(MembershipSettings settings, MemberRecord self, std::uint64_t seed, Time now);
 
   void onDatagram(Time now, const Address& from, std::string_view bytes);
-  /// At or after wakeAt(); extra calls do no harm.
+  /// Must be called at or soon after wakeAt(); additional calls are harmless.
   void onWake(Time now);
-  /// New seeds, probe interval, settings digest, zone or region. The fleet and our name stay.
+  /// Applies new settings and a new description of this member. The fleet and the name do not change.
   void onSettings(Time now, MembershipSettings settings, const MemberRecord& self);
-  /// Announces that it goes; from then on nothing is answered.
+  /// Announces that this member leaves. Messages are ignored from then on.
   void leave(Time now);
 
   Time wakeAt() const { return wakeAt_; }
@@ -88,13 +91,13 @@
   std::vector<Event>& events() { return events_; }
 
   const MemberRecord& self() const { return self_; }
-  /// All known members but ourselves, by name.
+  /// All known members except this one, keyed by name.
   const MemberTable::Members& others() const { return table_.members(); }
-  /// Of who is present, by epoch and incarnation; equal views have equal digests.
+  /// Digest of the names, epochs and incarnations of the present members; equal views have equal digests.
   std::uint64_t digest() const { return table_.viewDigest(self_); }
-  /// Ourselves included.
+  /// Number of present members, including this one.
   std::size_t presentCount() const { return table_.presentCount() + 1; }
-  /// Ourselves included.
+  /// Number of present members in each zone, including this one.
   std::map<std::string, std::size_t> presentByZone() const { return table_.presentByZone(self_); }
   /// All that may hold a part of the fleet's quota, ourselves included: the dead may live beyond a partition,
   /// so they count until they are forgotten, and so does another process of our name.
@@ -103,22 +106,23 @@
   std::vector<std::string> disagreeing() const { return table_.disagreeing(digest()); }
   /// Another process has our name; this one is no member.
   bool conceded() const { return nameConflict_.conceded(); }
-  /// 0: healthy; higher: we answer or hear late ourselves.
+  /// 0 if healthy; rises while this member sends or receives messages late.
   unsigned healthScore() const { return health_.score(); }
   const Counters& counters() const { return counters_; }
 
-  /// All state that decides what happens next, with times relative to `now`, for exhaustive exploration.
+  /// Serializes all state that determines the next steps, with times relative to `now`, for exhaustive
+  /// exploration.
   std::string fingerprint(Time now) const;
 
  private:
-  /// Who claims something about a member.
+  /// Origin of a claim about a member.
   enum class ClaimSource { gossip, memberItself };
-  /// Whether the process that a datagram goes to is the one that the view describes.
+  /// Whether the view describes the process that a datagram is sent to, or only a former process of its name.
   enum class Receiver { knownProcess, unknownProcess };
 
   // Time
   bool advance(Time now);
-  void recoverFromStall(Duration late);
+  void recoverFromStall(Duration delay);
   void runTimers();
   void startInterval();
   void updateWakeTime();
@@ -131,11 +135,11 @@
   void probeNextMember();
   void sendIndirectPings();
   void finishProbe();
-  void accuse(const std::string& name, MemberState state);
+  void reportFailure(const std::string& name, MemberState state);
   SuspicionTracker::Timing suspicionTiming() const;
 
-  // Contact with seeds, dead members and the process that has our name
-  void contactMissing();
+  // Contact with missing members: seeds, dead members and the process that uses our name
+  void contactMissingMembers();
   std::vector<Address> missingSeeds() const;
   void contactAllSeeds(const std::vector<Address>& seeds);
   void contactDeadMember();
@@ -160,10 +164,10 @@
   // Claims about members
   void applyUpdate(const MemberRecord& claim, ClaimSource source);
   void addMember(const MemberRecord& claim);
-  bool makeCapacity();
+  bool ensureCapacity();
   void confirmSuspicion(Member& member, const MemberRecord& claim);
   void replaceRecord(Member& member, const MemberRecord& claim);
-  void raiseChange(const MemberRecord& before, const MemberRecord& after);
+  void emitChangeEvent(const MemberRecord& before, const MemberRecord& after);
   void applyUpdateAboutSelf(const MemberRecord& claim);
   void applyClaimOfOtherProcess(const MemberRecord& claim);
   void concedeName();
@@ -181,14 +185,14 @@
   bool hasSameView(const Address& to, MessageType type, const std::string& name) const;
   std::size_t transmit(const Address& to, Message& message);
   const MemberRecord* findRecord(const std::string& name) const;
-  void raise(EventType type, const MemberRecord& record) { events_.push_back({type, record}); }
+  void emitEvent(EventType type, const MemberRecord& record) { events_.push_back({type, record}); }
 
   MembershipSettings settings_;
   MemberRecord self_;
   RandomSource random_;
   Time now_{}, wakeAt_{};
-  Time nextIntervalAt_{};        // when the next probe interval begins
-  std::uint64_t intervals_ = 0;  // begun so far
+  Time nextIntervalAt_{};        // start of the next probe interval
+  std::uint64_t intervals_ = 0;  // number of probe intervals that have started
   bool hasLeft_ = false;
 
   MemberTable table_;
@@ -200,9 +204,9 @@
   AntiEntropy antiEntropy_;
   NameConflict nameConflict_;
 
-  std::uint64_t lastSequence_ = 0;                 // of our datagrams
-  std::size_t nextSeed_ = 0, nextDeadMember_ = 0;  // to be contacted
-  std::size_t verifications_ = 0;                  // pings of unverified senders in this interval
+  std::uint64_t lastSequence_ = 0;                 // sequence number of the last datagram sent
+  std::size_t nextSeed_ = 0, nextDeadMember_ = 0;  // rotating indexes of the next ones to contact
+  std::size_t verifications_ = 0;                  // pings sent to unverified senders in this interval
   std::vector<Datagram> datagrams_;
   std::vector<Event> events_;
   Counters counters_;
--- a/src/membership/membership_updates.cpp
+++ b/src/membership/membership_updates.cpp
@@ -1,4 +1,4 @@
-// The part of Membership that processes received messages and the claims in them.
+// The part of Membership that processes received messages and their claims about members.
 #include <algorithm>
 #include <tuple>
 #include <utility>
@@ -8,9 +8,10 @@
 namespace hollyrun::membership {
 namespace {
 
-constexpr std::size_t kMaxUpdatesRead = 64;    // of one datagram; a well-formed one holds fewer
-constexpr std::size_t kMaxVerifications = 64;  // in an interval: a flood of strangers costs no more
-// No sequence of lost messages lets a member's incarnation rise so far unnoticed.
+constexpr std::size_t kMaxUpdatesPerMessage = 64;  // well-formed messages contain fewer
+// Limits the pings to unverified senders, and so the cost of a flood of messages from unknown processes.
+constexpr std::size_t kMaxVerificationsPerInterval = 64;
+// Even if messages are lost, the incarnation of a member cannot rise so far without being noticed.
 constexpr std::uint64_t kMaxIncarnationJump = 100'000;
 
 }  // namespace
@@ -58,7 +59,7 @@
 
 void Membership::onPing(const Message& message, const Address& from) {
   processSender(message, from, false);
-  // What the view knows of a former process of that name, or of another one, this sender may not know.
+  // The view may describe a former or another process of that name, so the sender may not know its content.
   const Receiver receiver =
       table_.knowsProcess(message.sender) ? Receiver::knownProcess : Receiver::unknownProcess;
   sendWithGossip(from, createMessage(MessageType::ack, message.nonce), message.sender.name, receiver);
@@ -66,12 +67,12 @@
 
 void Membership::onIndirectPing(const Message& message, const Address& from) {
   processSender(message, from, false);
-  // Only known members are pinged, at the address that we know: nobody may direct our pings at third parties.
+  // Pings only known members at their recorded address, so that nobody can direct our pings at third parties.
   const Member* target = table_.find(message.target);
   if (!target || requests_.full())
     return;
   PendingRequest request;
-  // Without a nonce the requester could not recognize an answer, so none is sent.
+  // Without a nonce the requester could not match an answer, so none is sent.
   request.type = message.nonce != 0 ? RequestType::relay : RequestType::contact;
   request.target = message.target;
   request.address = target->record.address;
@@ -93,7 +94,7 @@
 
 void Membership::onResponse(const Message& message, const Address& from) {
   const std::optional<PendingRequest> request = requests_.find(message.nonce);
-  // An address may have passed to another member, whose answer proves nothing of the one that was asked.
+  // The address may belong to another member by now, whose answer proves nothing about the requested one.
   const bool fromTarget = request && (request->target.empty() || request->target == message.sender.name);
   const bool fromProxy = request && request->type == RequestType::probe && message.type != MessageType::ack;
   processSender(message, from, fromTarget || fromProxy);
@@ -132,8 +133,9 @@
   health_.improve();
 }
 
-// Updates are accepted only from a sender that is alive: it answers a request of ours, or it is a present
-// member and this datagram is newer than all before. Any other datagram may be a copy that is hours old.
+// Accepts updates only from a sender that is known to be alive: it answers one of our requests, or it is a
+// present member and the datagram is newer than all its earlier ones. Any other datagram may be a copy that
+// is hours old.
 void Membership::processSender(const Message& message, const Address& from, bool isResponse) {
   const MemberRecord& sender = message.sender;
   const bool hasOurName = sender.name == self_.name;
@@ -159,14 +161,14 @@
 
 void Membership::processUnverified(const Message& message, const Address& from) {
   ++counters_.stale;
-  // A claim against ourselves does no harm, however old: our refutation is newer.
+  // A claim about this member is safe to apply however old it is, since our refutation supersedes it.
   for (const MemberRecord& claim : message.updates)
     if (claim.name == self_.name && claim.epoch == self_.epoch)
       applyUpdateAboutSelf(claim);
   const bool isRequest = message.type == MessageType::ping || message.type == MessageType::pull ||
                          message.type == MessageType::indirectPing;
   const MemberRecord& sender = message.sender;
-  if (!isRequest || sender.state == MemberState::left || verifications_ >= kMaxVerifications ||
+  if (!isRequest || sender.state == MemberState::left || verifications_ >= kMaxVerificationsPerInterval ||
       sender.name == self_.name)
     return;
   ++verifications_;
@@ -182,21 +184,23 @@
 }
 
 void Membership::applyGossip(const Message& message, bool isResponse) {
-  // After a partition each side holds the other dead. Deaths from there are applied as suspicions, which
-  // those alive refute; applied as they are, all members would die a second time.
+  // After a partition, each side regards the members of the other as dead. Deaths reported by the other side
+  // are applied as suspicions, which living members refute; otherwise all members would be declared dead
+  // again.
   const Member* sender = table_.find(message.sender.name);
-  const bool deathsAreDoubtful =
+  const bool treatDeathsAsSuspicions =
       message.type == MessageType::view || (sender && !isPresent(sender->record.state));
   bool nameIsClaimed = conceded() && message.sender.name == self_.name;
-  const std::size_t count = std::min(kMaxUpdatesRead, message.updates.size());
+  const std::size_t count = std::min(kMaxUpdatesPerMessage, message.updates.size());
   for (std::size_t i = 0; i < count; ++i) {
     MemberRecord claim = message.updates[i];
     nameIsClaimed = nameIsClaimed || claim.name == self_.name;
-    if (deathsAreDoubtful && claim.state == MemberState::dead)
+    if (treatDeathsAsSuspicions && claim.state == MemberState::dead)
       claim.state = MemberState::suspect;
     applyUpdate(claim, ClaimSource::gossip);
   }
-  // An ack begins with what its sender knows of our name: it does not remember the other process.
+  // The first update of an ack is its sender's record of our name. Without one, the sender does not know the
+  // other process any more.
   if (conceded() && isResponse && !nameIsClaimed && message.type == MessageType::ack)
     nameConflict_.resolve();
 }
@@ -238,23 +242,23 @@
 }
 
 void Membership::addMember(const MemberRecord& claim) {
-  // An accusation or an end of a member that was never known carries no address and is of no use.
+  // Claims that a member is suspect, dead or has left carry no address, so an unknown member cannot be added.
   if (claim.state == MemberState::suspect || !isPresent(claim.state))
     return;
-  if (!makeCapacity()) {
+  if (!ensureCapacity()) {
     ++counters_.full;
     return;
   }
   table_.insert(claim, now_);
   gossip_.add(claim.name);
   detector_.addTarget(claim.name, random_);
-  raise(EventType::joined, claim);
+  emitEvent(EventType::joined, claim);
 }
 
-bool Membership::makeCapacity() {
+bool Membership::ensureCapacity() {
   if (table_.size() < settings_.maxMembers)
     return true;
-  const std::optional<std::string> evicted = table_.evictOldestGone();
+  const std::optional<std::string> evicted = table_.evictLongestAbsent();
   if (evicted)
     gossip_.remove(*evicted);
   return evicted.has_value();
@@ -284,29 +288,29 @@
   else
     suspicions_.cancel(after.name);
   gossip_.add(claim.name);
-  raiseChange(before, after);
+  emitChangeEvent(before, after);
 }
 
-void Membership::raiseChange(const MemberRecord& before, const MemberRecord& after) {
+void Membership::emitChangeEvent(const MemberRecord& before, const MemberRecord& after) {
   const bool wasPresent = isPresent(before.state);
   if (isPresent(after.state)) {
     if (!wasPresent || before.epoch != after.epoch) {
-      raise(EventType::joined, after);
+      emitEvent(EventType::joined, after);
     } else if (after.state == MemberState::suspect) {
       ++counters_.suspicions;
-      raise(EventType::suspected, after);
+      emitEvent(EventType::suspected, after);
     } else if (before.state == MemberState::suspect) {
-      raise(EventType::refuted, after);
+      emitEvent(EventType::refuted, after);
     } else if (!sameDescription(before, after)) {
-      raise(EventType::changed, after);
+      emitEvent(EventType::changed, after);
     }
     return;
   }
   if (after.state == MemberState::dead && wasPresent) {
     ++counters_.deaths;
-    raise(EventType::died, after);
+    emitEvent(EventType::died, after);
   } else if (after.state == MemberState::left && before.state != MemberState::left) {
-    raise(EventType::left, after);
+    emitEvent(EventType::left, after);
   }
 }
 
@@ -320,7 +324,7 @@
   refute(claim.incarnation);
 }
 
-// A claim on our name by, or about, a former process or one that lives beside us.
+// Handles a claim on our name by or about another process, either a former one or one that is still running.
 void Membership::applyClaimOfOtherProcess(const MemberRecord& claim) {
   if (conceded()) {
     if (isPresent(claim.state))
@@ -333,8 +337,8 @@
   if (isPresent(claim.state)) {
     const NameConflict::Finding finding = nameConflict_.onClaim(claim, now_);
     if (finding == NameConflict::Finding::established)
-      raise(EventType::nameConflict, claim);
-    // Both processes know both epochs, so exactly one concedes.
+      emitEvent(EventType::nameConflict, claim);
+    // Both processes know both epochs, so exactly one of them concedes.
     if (finding != NameConflict::Finding::possible && self_.epoch < nameConflict_.epoch())
       return concedeName();
   }
--- a/src/membership/message.cpp
+++ b/src/membership/message.cpp
@@ -10,9 +10,9 @@
 namespace hollyrun::membership {
 
 std::string checksumOf(std::string_view bytes) {
-  constexpr char kEightByteNumber = 0x1b;
+  constexpr char kCborEightByteInteger = 0x1b;
   const std::uint64_t hash = XXH3_64bits(bytes.data(), bytes.size());
-  std::string checksum(1, kEightByteNumber);
+  std::string checksum(1, kCborEightByteInteger);
   checksum.reserve(kChecksumBytes);
   for (int shift = 56; shift >= 0; shift -= 8)
     checksum.push_back(static_cast<char>(hash >> shift & 0xff));
--- a/src/membership/message_decoder.cpp
+++ b/src/membership/message_decoder.cpp
@@ -9,11 +9,12 @@
 
 using nlohmann::json;
 
-// No process comes near it, and a claim above it could not be refuted any more.
+// Far above the incarnation of any real process. A claim above it could not be refuted, since receivers would
+// reject the refutation.
 constexpr std::uint64_t kMaxIncarnation = std::uint64_t{1} << 48;
 
-// Reads element after element of an array. A missing element or one of another type makes the reader fail,
-// and what it returns from then on means nothing.
+// Reads the elements of an array in order. A missing element or one of the wrong type invalidates the reader;
+// values returned from then on are meaningless.
 class ArrayReader {
  public:
   explicit ArrayReader(const json& array) : array_(array), valid_(array.is_array()) {}
@@ -62,7 +63,7 @@
   }
 
  private:
-  // Texts are written to logs and shown to operators.
+  // Texts with control characters are rejected, since texts are logged and shown to operators.
   static bool hasControlCharacter(const std::string& value) {
     for (const unsigned char byte : value)
       if (byte < 0x20 || byte == 0x7f)
@@ -97,14 +98,14 @@
   return reader.valid() ? std::optional(record) : std::nullopt;
 }
 
-// Removes the checksum from the end of `bytes`.
+// Removes the checksum from the end of `bytes` and returns whether it matches.
 bool removeChecksum(std::string_view& bytes) {
   const std::string_view checksum = bytes.substr(bytes.size() - kChecksumBytes);
   bytes.remove_suffix(kChecksumBytes);
   return checksum == checksumOf(bytes);
 }
 
-// A declared length beyond all memory throws also where the parser's exceptions are turned off.
+// A declared length that exceeds the memory throws even though the parser's exceptions are disabled.
 json parseCbor(std::string_view bytes) {
   try {
     return json::from_cbor(bytes, true, false);
--- a/src/membership/message_encoder.cpp
+++ b/src/membership/message_encoder.cpp
@@ -9,16 +9,16 @@
 
 using nlohmann::json;
 
-// Two array heads and the checksum, with a margin.
-constexpr std::size_t kFrameBytes = 16 + kChecksumBytes;
+// Upper bound for the two array heads and the checksum.
+constexpr std::size_t kFramingBytes = 16 + kChecksumBytes;
 
 json toJson(const MemberRecord& record) {
-  const bool accused = record.state == MemberState::suspect || record.state == MemberState::dead;
+  const bool isReported = record.state == MemberState::suspect || record.state == MemberState::dead;
   json array =
       json::array({static_cast<unsigned>(record.state), record.name, record.incarnation, record.epoch});
-  if (accused)
+  if (isReported)
     array.push_back(record.reportedBy);
-  if (accused || record.state == MemberState::left)
+  if (isReported || record.state == MemberState::left)
     return array;
   array.push_back(record.address.ip);
   array.push_back(record.address.port);
@@ -30,13 +30,13 @@
   return array;
 }
 
-// The head of a CBOR array of fewer than 256 elements.
+// Returns the head of a CBOR array with fewer than 256 elements.
 std::string arrayHead(std::size_t elements) {
-  constexpr std::size_t kInFirstByte = 24;
-  constexpr char kArray = '\x80', kArrayLengthByte = '\x98';
-  if (elements < kInFirstByte)
-    return std::string(1, static_cast<char>(kArray + elements));
-  return {kArrayLengthByte, static_cast<char>(elements)};
+  constexpr std::size_t kMinLengthInSecondByte = 24;
+  constexpr char kArrayHead = '\x80', kArrayHeadWithLengthByte = '\x98';
+  if (elements < kMinLengthInSecondByte)
+    return std::string(1, static_cast<char>(kArrayHead + elements));
+  return {kArrayHeadWithLengthByte, static_cast<char>(elements)};
 }
 
 void appendElements(std::string& bytes, const json& array) {
@@ -44,14 +44,14 @@
     json::to_cbor(element, bytes);
 }
 
-// The sender's own record; what others claim against it is not for it to say.
+// Returns the sender's own record. A member announces itself as alive; only others report it suspect or dead.
 json senderRecord(MemberRecord sender) {
   if (sender.state == MemberState::suspect || sender.state == MemberState::dead)
     sender.state = MemberState::alive;
   return toJson(sender);
 }
 
-// The elements after the header that depend on the message's type.
+// Returns the elements at the end of the array that depend on the message type.
 json typeElements(const Message& message) {
   switch (message.type) {
     case MessageType::indirectPing:
@@ -65,8 +65,8 @@
   }
 }
 
-// Encodes as many updates as fit into `available` bytes; each record is encoded once, to learn whether it
-// fits.
+// Encodes as many updates as fit into `available` bytes. Each record is encoded once: if it does not fit, its
+// bytes are removed again.
 std::string encodeUpdates(const std::vector<MemberRecord>& updates, std::size_t available,
                           std::size_t& encodedUpdates) {
   std::string bytes;
@@ -94,7 +94,7 @@
   appendElements(bytes, header);
   std::string tail;
   appendElements(tail, trailing);
-  const std::size_t used = bytes.size() + arrayHead(0).size() + tail.size() + kFrameBytes;
+  const std::size_t used = bytes.size() + arrayHead(0).size() + tail.size() + kFramingBytes;
   const std::size_t available = used < kMaxDatagramBytes ? kMaxDatagramBytes - used : 0;
   const std::string updates = encodeUpdates(message.updates, available, encodedUpdates);
   bytes += arrayHead(encodedUpdates) + updates + tail;
--- a/src/membership/name_conflict.cpp
+++ b/src/membership/name_conflict.cpp
@@ -3,10 +3,11 @@
 namespace hollyrun::membership {
 namespace {
 
-// One claim above our own incarnation may be a former process's; one that rises above our answer twice is
-// alive.
-constexpr unsigned kEstablishingClaims = 3;
-constexpr int kServingIntervals = 60;
+// A single claim above our incarnation may stem from a former process. A claimant that reaches the
+// incarnation of our answer twice is alive.
+constexpr unsigned kClaimsToEstablish = 3;
+// Probe intervals without a datagram after which the other process no longer counts as serving.
+constexpr int kServingTimeoutIntervals = 60;
 
 }  // namespace
 
@@ -16,14 +17,14 @@
     answeredIncarnation_ = 0;
   }
   epoch_ = claim.epoch;
-  if (claim.state != MemberState::suspect)  // a suspicion carries no address
+  if (claim.state != MemberState::suspect)  // a suspicion has no address
     address_ = claim.address;
   if (claim.incarnation >= answeredIncarnation_)
     ++claims_;
-  if (claims_ < kEstablishingClaims)
+  if (claims_ < kClaimsToEstablish)
     return Finding::possible;
   lastHeard_ = now;
-  return claims_ == kEstablishingClaims ? Finding::established : Finding::known;
+  return claims_ == kClaimsToEstablish ? Finding::established : Finding::known;
 }
 
 void NameConflict::onHeard(const MemberRecord& sender, Time now) {
@@ -38,7 +39,7 @@
 }
 
 bool NameConflict::isServing(Time now, Duration probeInterval) const {
-  return lastHeard_ > Time{} && now - lastHeard_ < probeInterval * kServingIntervals;
+  return lastHeard_ > Time{} && now - lastHeard_ < probeInterval * kServingTimeoutIntervals;
 }
 
 void NameConflict::addTo(Fingerprint& fingerprint) const {
--- a/src/membership/name_conflict.hpp
+++ b/src/membership/name_conflict.hpp
@@ -1,6 +1,6 @@
-/// Name conflicts: another process claims to be the member of our name. A claim may be a former process's,
-/// still remembered by others; one that rises above our answers again and again is alive, and of two living
-/// processes the one with the smaller epoch concedes the name.
+/// Name conflicts: another process claims this member's name. A claim may stem from a former process that
+/// other members still remember. If its incarnation repeatedly reaches that of this member's refutations, the
+/// other process is alive. Of two living processes, the one with the smaller epoch concedes the name.
 #pragma once
 
 #include <cstdint>
@@ -14,38 +14,38 @@
 class NameConflict {
  public:
   enum class Finding {
-    possible,     ///< may be a former process of our name
-    established,  ///< has just been shown to be alive
-    known,        ///< was shown to be alive before
+    possible,     ///< the claim may stem from a former process
+    established,  ///< this claim proves that the other process is alive
+    known,        ///< an earlier claim proved it
   };
-  /// A present process of another epoch claims our name, at least at our incarnation.
+  /// Called when a present process of another epoch claims the name with at least our incarnation.
   Finding onClaim(const MemberRecord& claim, Time now);
-  /// We refuted its claim with this incarnation of our own.
+  /// Called when this member refuted the claim by raising its own incarnation to `incarnation`.
   void onRefuted(std::uint64_t incarnation) { answeredIncarnation_ = incarnation; }
-  /// A datagram of a process of our name.
+  /// Called for each datagram from another process of the same name.
   void onHeard(const MemberRecord& sender, Time now);
 
-  /// The name is the other process's; this one goes on serving and is no member.
+  /// Leaves the name to the other process. This process keeps serving but is no longer a member.
   void concede() { conceded_ = true; }
-  /// The other process is gone and the name is free.
+  /// Called when the other process has ended and the name is free again.
   void resolve();
 
   bool conceded() const { return conceded_; }
   std::uint64_t epoch() const { return epoch_; }
   const Address& address() const { return address_; }
-  /// Whether the other process was heard of lately, so that it still holds its part of the quota.
+  /// Whether the other process was heard from recently, so that it still counts as a quota holder.
   bool isServing(Time now, Duration probeInterval) const;
 
   void addTo(Fingerprint& fingerprint) const;
 
  private:
   bool conceded_ = false;
-  // Of the other process:
+  // The other process:
   std::uint64_t epoch_ = 0;
   Address address_;
   Time lastHeard_{};
-  unsigned claims_ = 0;                    // above our answers
-  std::uint64_t answeredIncarnation_ = 0;  // our answer to its last claim
+  unsigned claims_ = 0;                    // claims that were not below our answers
+  std::uint64_t answeredIncarnation_ = 0;  // our incarnation in the answer to its last claim
 };
 
 }  // namespace hollyrun::membership
--- a/src/membership/pending_requests.cpp
+++ b/src/membership/pending_requests.cpp
@@ -27,7 +27,7 @@
   return requests_.size() >= kMaxRequests;
 }
 
-std::vector<PendingRequest> PendingRequests::takeExpired(Time now) {
+std::vector<PendingRequest> PendingRequests::removeExpired(Time now) {
   std::vector<PendingRequest> expired;
   for (auto entry = requests_.begin(); entry != requests_.end();) {
     PendingRequest& request = entry->second;
--- a/src/membership/pending_requests.hpp
+++ b/src/membership/pending_requests.hpp
@@ -1,5 +1,5 @@
-/// Requests that were sent and not answered yet, by nonce. A response proves that its sender is alive only
-/// where it repeats such a nonce.
+/// Unanswered requests, keyed by nonce. A response proves that its sender is alive only if it repeats the
+/// nonce of such a request.
 #pragma once
 
 #include <cstddef>
@@ -17,34 +17,35 @@
 namespace hollyrun::membership {
 
 enum class RequestType {
-  contact,  ///< a ping of a seed, a dead member or an unverified sender
-  probe,    ///< the failure detector's ping of this probe interval
-  pull,     ///< for records that differ
-  relay,    ///< a ping on behalf of another member's probe
+  contact,  ///< a ping to a seed, a dead member or an unverified sender
+  probe,    ///< the failure detector's ping in this probe interval
+  pull,     ///< a request for differing records
+  relay,    ///< a ping on behalf of another member
 };
 
 struct PendingRequest {
   RequestType type = RequestType::contact;
-  std::string target;  ///< the member's name; empty: only its address is known
+  std::string target;  ///< the member's name; empty if only its address is known
   Address address;
   Time deadline{};
-  Address requester;                 ///< relay: whom to answer
-  std::uint64_t requesterNonce = 0;  ///< relay: of that member's request
+  Address requester;                 ///< relay: the address to answer to
+  std::uint64_t requesterNonce = 0;  ///< relay: the nonce of the requester's message
 };
 
 class PendingRequests {
  public:
-  /// Its nonce, which is never 0.
+  /// Adds the request and returns its nonce, which is never 0.
   std::uint64_t add(PendingRequest request, RandomSource& random);
   std::optional<PendingRequest> find(std::uint64_t nonce) const;
   void remove(std::uint64_t nonce) { requests_.erase(nonce); }
   void clear() { requests_.clear(); }
-  /// Whether no more requests are made for others' sake, so that a flood of messages costs bounded memory.
+  /// Whether no further relays and pulls are sent, which bounds the memory that a flood of messages can use.
   bool full() const;
 
-  /// Removes those whose deadline has passed, but for the probe, which the failure detector ends.
-  std::vector<PendingRequest> takeExpired(Time now);
-  /// Time::max() where nothing but a probe is pending.
+  /// Removes and returns the requests whose deadline has passed, except probes, which the failure detector
+  /// ends.
+  std::vector<PendingRequest> removeExpired(Time now);
+  /// Returns the earliest deadline except that of probes; Time::max() if there is none.
   Time nextDeadline() const;
 
   void addTo(Fingerprint& fingerprint, Time now) const;
--- a/src/membership/random_source.hpp
+++ b/src/membership/random_source.hpp
@@ -1,4 +1,4 @@
-/// The random numbers of one membership instance, reproducible by seed.
+/// Random numbers of a membership instance, reproducible from its seed.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +15,7 @@
     const std::uint64_t high = engine_();
     return high << 32 | engine_();
   }
-  /// Uniform in [0, bound); `bound` is above 0.
+  /// Draws a number uniformly from [0, bound); `bound` must be positive.
   std::size_t drawBelow(std::size_t bound) {
     return static_cast<std::size_t>(engine_(static_cast<std::uint32_t>(bound)));
   }
--- a/src/membership/suspicion.cpp
+++ b/src/membership/suspicion.cpp
@@ -6,8 +6,8 @@
 namespace hollyrun::membership {
 namespace {
 
-// As published: at the least 4 log10 n probe intervals, at the most six times that, shortened by three
-// confirmations.
+// Published values: the timeout is at least 4 log10 n probe intervals and at most six times as long. Three
+// confirmations shorten it from the maximum to the minimum.
 constexpr double kSuspicionMultiplier = 4, kMaxTimeoutMultiplier = 6;
 constexpr std::size_t kExpectedConfirmations = 3;
 
--- a/src/membership/suspicion.hpp
+++ b/src/membership/suspicion.hpp
@@ -1,5 +1,5 @@
-/// Suspicion (SWIM, Lifeguard): a member that did not answer is declared dead only after a time in which it
-/// can refute; confirmations by further members shorten that time.
+/// Suspicion (SWIM, Lifeguard): a member that did not answer a probe is declared dead only after a timeout in
+/// which it can refute the suspicion. Confirmations by further members shorten the timeout.
 #pragma once
 
 #include <cstddef>
@@ -14,29 +14,31 @@
 
 namespace hollyrun::membership {
 
-/// How long a member stays suspect before it is declared dead; `presentCount` includes ourselves.
+/// Returns how long a member stays suspect before it is declared dead; `presentCount` includes this member.
 Duration suspicionTimeout(Duration probeInterval, std::size_t presentCount, std::size_t confirmations);
 
 class SuspicionTracker {
  public:
-  /// What all deadlines depend on.
+  /// Parameters that all deadlines depend on.
   struct Timing {
     Duration probeInterval{};
-    std::size_t presentCount = 0;  ///< ourselves included
-    LocalHealth health;            ///< of the member that holds the suspicion
+    std::size_t presentCount = 0;  ///< includes this member
+    LocalHealth health;            ///< health of this member, which tracks the suspicions
   };
 
   bool isSuspect(const std::string& name) const { return suspicions_.count(name) > 0; }
-  /// Begins a suspicion, or begins it anew.
+  /// Starts or restarts a suspicion.
   void start(const std::string& name, const std::string& reportedBy, Time now);
   void cancel(const std::string& name) { suspicions_.erase(name); }
-  /// Whether this is a further confirmation: by another member, and not more than shorten the timeout.
+  /// Records a confirmation. Returns whether it counts: it comes from a further member, and the number of
+  /// confirmations that shorten the timeout is not reached yet.
   bool confirm(const std::string& name, const std::string& reportedBy);
-  /// Gives all suspects more time, after this process was held up and could not hear them.
+  /// Extends all deadlines after this process was stalled and could not receive refutations.
   void postpone(Duration delay);
 
+  /// Returns the members whose timeout has passed.
   std::vector<std::string> expired(Time now, const Timing& timing) const;
-  /// Time::max() where nobody is suspect.
+  /// Returns the earliest deadline; Time::max() if no member is suspect.
   Time nextDeadline(const Timing& timing) const;
 
   void addTo(Fingerprint& fingerprint, Time now) const;
@@ -48,7 +50,7 @@
   };
   static Time deadline(const Suspicion& suspicion, const Timing& timing);
 
-  std::map<std::string, Suspicion> suspicions_;  // by the suspect's name
+  std::map<std::string, Suspicion> suspicions_;  // keyed by the suspect's name
 };
 
 }  // namespace hollyrun::membership
--- a/src/membership/time.hpp
+++ b/src/membership/time.hpp
@@ -1,4 +1,4 @@
-/// Durations and points in time of the membership module.
+/// Duration and time types of the membership module.
 #pragma once
 
 #include <chrono>
@@ -6,6 +6,6 @@
 namespace hollyrun::membership {
 
 using Duration = std::chrono::nanoseconds;
-using Time = std::chrono::nanoseconds;  ///< of a monotonic clock; its origin means nothing
+using Time = std::chrono::nanoseconds;  ///< reading of a monotonic clock with an arbitrary origin
 
 }  // namespace hollyrun::membership
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -196,7 +196,7 @@
   gatewayOf(fields).onWake(now());
 }
 
-/// Handles an event that no decision depends on: only checks that its gateway exists.
+/// Handles an event that no decision depends on: its gateway must exist and takes part in the batch.
 void Adapter::ignore(std::string_view fields) {
   gatewayOf(fields);
 }
--- a/tests/membership_parts_test.cpp
+++ b/tests/membership_parts_test.cpp
@@ -78,10 +78,10 @@
     table.insert(recordOf(name), kNow);
   table.update(*table.find("c"), recordOf("c", MemberState::dead), kNow + kInterval);
   table.update(*table.find("b"), recordOf("b", MemberState::left), kNow + 2 * kInterval);
-  EXPECT_EQ(table.evictOldestGone(), "c");
+  EXPECT_EQ(table.evictLongestAbsent(), "c");
   EXPECT_TRUE(table.removeExpired(kNow + 3 * kInterval, kInterval).empty());
   EXPECT_EQ(table.removeExpired(kNow + 4 * kInterval, kInterval), std::vector<std::string>{"b"});
-  EXPECT_EQ(table.evictOldestGone(), std::nullopt);
+  EXPECT_EQ(table.evictLongestAbsent(), std::nullopt);
   EXPECT_EQ(table.size(), 1u);
 }
 
@@ -181,8 +181,8 @@
   const std::uint64_t relay = requests.add(request, random);
   EXPECT_NE(relay, probe);
   EXPECT_EQ(requests.nextDeadline(), kNow);
-  EXPECT_TRUE(requests.takeExpired(kNow - Duration(1)).empty());
-  ASSERT_EQ(requests.takeExpired(kNow).size(), 1u);
+  EXPECT_TRUE(requests.removeExpired(kNow - Duration(1)).empty());
+  ASSERT_EQ(requests.removeExpired(kNow).size(), 1u);
   EXPECT_FALSE(requests.find(relay));
   EXPECT_TRUE(requests.find(probe));
 }
@@ -218,13 +218,13 @@
   FailureDetector detector;
   detector.startProbe(5, kNow);
   EXPECT_TRUE(detector.awaitsDirectAck());
-  EXPECT_TRUE(detector.lacksNacks()) << "no proxy was asked";
+  EXPECT_TRUE(detector.isMissingNacks()) << "no proxy was asked";
   detector.onIndirectPingsSent(2, kNow + kInterval);
   EXPECT_FALSE(detector.awaitsDirectAck());
   detector.onNack();
-  EXPECT_TRUE(detector.lacksNacks());
+  EXPECT_TRUE(detector.isMissingNacks());
   detector.onNack();
-  EXPECT_FALSE(detector.lacksNacks());
+  EXPECT_FALSE(detector.isMissingNacks());
 }
 
 TEST(NameConflict, IsEstablishedByClaimsThatRiseAboveOurAnswers) {
