--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -71,140 +71,142 @@
 constexpr double kHealPeriods = 60;
 
 TEST(Membership, ThreeMembersJoinAndDetectADeath) {
-  Fleet f(3);
-  ASSERT_TRUE(f.agreeWithin(5));
-  EXPECT_EQ(f.at(0).presentCount(), 3u);
-  f.kill(1);
-  ASSERT_TRUE(f.agreeWithin(kDeathPeriods));
-  EXPECT_EQ(f.stateInView(0, 1), MemberState::dead);
-  EXPECT_EQ(f.stateInView(2, 1), MemberState::dead);
-  EXPECT_EQ(f.at(0).quotaHolders(), 3u) << "a dead member may be alive beyond a partition";
+  Fleet fleet(3);
+  ASSERT_TRUE(fleet.agreeWithin(5));
+  EXPECT_EQ(fleet.at(0).presentCount(), 3u);
+  fleet.kill(1);
+  ASSERT_TRUE(fleet.agreeWithin(kDeathPeriods));
+  EXPECT_EQ(fleet.stateInView(0, 1), MemberState::dead);
+  EXPECT_EQ(fleet.stateInView(2, 1), MemberState::dead);
+  EXPECT_EQ(fleet.at(0).quotaHolders(), 3u) << "a dead member may be alive beyond a partition";
 }
 
 TEST(Membership, LeavingMemberIsRemovedAtOnceAndHoldsNoQuota) {
-  Fleet f(5);
-  ASSERT_TRUE(f.agreeWithin(10));
-  f.leave(3);
-  ASSERT_TRUE(f.agreeWithin(1));
-  EXPECT_EQ(f.stateInView(0, 3), MemberState::left);
-  EXPECT_EQ(f.at(0).quotaHolders(), 4u);
-  EXPECT_EQ(f.count(EventType::suspected), 0u);
+  Fleet fleet(5);
+  ASSERT_TRUE(fleet.agreeWithin(10));
+  fleet.leave(3);
+  ASSERT_TRUE(fleet.agreeWithin(1));
+  EXPECT_EQ(fleet.stateInView(0, 3), MemberState::left);
+  EXPECT_EQ(fleet.at(0).quotaHolders(), 4u);
+  EXPECT_EQ(fleet.count(EventType::suspected), 0u);
 }
 
 // --- Failure cases ------------------------------------------------------------------------------------
 
 TEST(MembershipFailureCase, OneOfTwoProcessesWithTheSameNameConcedes) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Fleet f(4, seed);
-    ASSERT_TRUE(f.agreeWithin(10));
-    const std::size_t duplicate = f.add("m2");
-    f.start(duplicate);
-    f.runFor(f.periods(60));
+    Fleet fleet(4, seed);
+    ASSERT_TRUE(fleet.agreeWithin(10));
+    const std::size_t duplicate = fleet.add("m2");
+    fleet.start(duplicate);
+    fleet.runFor(fleet.periods(60));
     // Exactly one of the processes is a member, the others see one member, and incarnations stay low.
-    EXPECT_NE(f.at(2).conceded(), f.at(duplicate).conceded()) << seed;
-    const std::size_t winner = f.at(2).conceded() ? duplicate : 2,
+    EXPECT_NE(fleet.at(2).conceded(), fleet.at(duplicate).conceded()) << seed;
+    const std::size_t winner = fleet.at(2).conceded() ? duplicate : 2,
                       other = winner == duplicate ? 2 : duplicate;
-    EXPECT_EQ(f.at(0).presentCount(), 4u);
-    EXPECT_LT(f.at(winner).self().incarnation, 30u);
-    EXPECT_EQ(f.at(winner).quotaHolders(), 5u) << "both processes serve, so both hold quota";
+    EXPECT_EQ(fleet.at(0).presentCount(), 4u);
+    EXPECT_LT(fleet.at(winner).self().incarnation, 30u);
+    EXPECT_EQ(fleet.at(winner).quotaHolders(), 5u) << "both processes serve, so both hold quota";
     // Once the winner has left, the other process regains the name.
-    f.leave(winner);
-    f.runFor(f.periods(40));
-    EXPECT_FALSE(f.at(other).conceded()) << seed;
-    EXPECT_EQ(f.at(0).presentCount(), 4u);
-    EXPECT_EQ(f.at(0).others().at("m2").record.epoch, f.at(other).self().epoch);
+    fleet.leave(winner);
+    fleet.runFor(fleet.periods(40));
+    EXPECT_FALSE(fleet.at(other).conceded()) << seed;
+    EXPECT_EQ(fleet.at(0).presentCount(), 4u);
+    EXPECT_EQ(fleet.at(0).others().at("m2").record.epoch, fleet.at(other).self().epoch);
   }
 }
 
 TEST(MembershipFailureCase, UpgradedProcessReplacesItsPredecessorWithoutDeathEvent) {
-  Fleet f(4);
-  ASSERT_TRUE(f.agreeWithin(10));
-  f.seen().clear();
-  f.kill(2);  // the old process closes its socket without a leave message; the new one starts 50 ms later
-  f.runFor(std::chrono::milliseconds(50));
-  f.start(2);
-  ASSERT_TRUE(f.agreeWithin(10));
-  EXPECT_EQ(f.count(EventType::died), 0u);
-  EXPECT_EQ(f.count(EventType::left), 0u);
-  EXPECT_EQ(f.count(EventType::nameConflict), 0u);
+  Fleet fleet(4);
+  ASSERT_TRUE(fleet.agreeWithin(10));
+  fleet.seen().clear();
+  fleet.kill(2);  // the old process closes its socket without a leave message; the new one starts 50 ms later
+  fleet.runFor(std::chrono::milliseconds(50));
+  fleet.start(2);
+  ASSERT_TRUE(fleet.agreeWithin(10));
+  EXPECT_EQ(fleet.count(EventType::died), 0u);
+  EXPECT_EQ(fleet.count(EventType::left), 0u);
+  EXPECT_EQ(fleet.count(EventType::nameConflict), 0u);
 }
 
 TEST(MembershipFailureCase, ProcessRestartedDuringSuspicionIsNotDeclaredDead) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Fleet f(5, seed);
-    ASSERT_TRUE(f.agreeWithin(10));
-    f.kill(2);
-    ASSERT_TRUE(f.runUntil(
+    Fleet fleet(5, seed);
+    ASSERT_TRUE(fleet.agreeWithin(10));
+    fleet.kill(2);
+    ASSERT_TRUE(fleet.runUntil(
         [&] {
-          return f.stateInView(0, 2) == MemberState::suspect || f.stateInView(1, 2) == MemberState::suspect;
+          return fleet.stateInView(0, 2) == MemberState::suspect ||
+                 fleet.stateInView(1, 2) == MemberState::suspect;
         },
-        f.periods(30)));
-    f.start(2);
-    ASSERT_TRUE(f.agreeWithin(20)) << seed;
-    f.seen().clear();
-    f.runFor(f.periods(60));
-    EXPECT_EQ(f.count(EventType::died), 0u)
+        fleet.periods(30)));
+    fleet.start(2);
+    ASSERT_TRUE(fleet.agreeWithin(20)) << seed;
+    fleet.seen().clear();
+    fleet.runFor(fleet.periods(60));
+    EXPECT_EQ(fleet.count(EventType::died), 0u)
         << "the suspicion of the old process must not apply to the new one, seed " << seed;
   }
 }
 
 TEST(MembershipFailureCase, MemberStoppedForTwentySecondsRejoinsWithoutDeclaringDeaths) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Fleet f(8, seed);
-    ASSERT_TRUE(f.agreeWithin(20));
-    f.stop(3);
-    f.runFor(f.periods(20));
-    f.seen().clear();
-    f.wake(3);
-    ASSERT_TRUE(f.agreeWithin(20)) << seed;
-    f.runFor(f.periods(60));
-    for (const auto& observed : f.seen())
+    Fleet fleet(8, seed);
+    ASSERT_TRUE(fleet.agreeWithin(20));
+    fleet.stop(3);
+    fleet.runFor(fleet.periods(20));
+    fleet.seen().clear();
+    fleet.wake(3);
+    ASSERT_TRUE(fleet.agreeWithin(20)) << seed;
+    fleet.runFor(fleet.periods(60));
+    for (const auto& observed : fleet.seen())
       EXPECT_NE(observed.event.type, EventType::died)
           << observed.event.member.name << " at " << observed.node << ", seed " << seed;
-    EXPECT_TRUE(f.agreed());
+    EXPECT_TRUE(fleet.agreed());
   }
 }
 
 TEST(MembershipFailureCase, OneWayLossBetweenTwoMembersCausesNoDeath) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    Fleet f(6, seed);
-    ASSERT_TRUE(f.agreeWithin(20));
-    f.seen().clear();
+    Fleet fleet(6, seed);
+    ASSERT_TRUE(fleet.agreeWithin(20));
+    fleet.seen().clear();
     // 1 still receives from 2.
-    f.passes = [](std::size_t from, std::size_t to) { return !(from == 1 && to == 2); };
-    f.runFor(f.periods(300));
-    EXPECT_EQ(f.count(EventType::died), 0u) << "other members relay the probes, seed " << seed;
+    fleet.passes = [](std::size_t from, std::size_t to) { return !(from == 1 && to == 2); };
+    fleet.runFor(fleet.periods(300));
+    EXPECT_EQ(fleet.count(EventType::died), 0u) << "other members relay the probes, seed " << seed;
   }
 }
 
 TEST(MembershipFailureCase, MemberThatCannotSendIsDeclaredDeadAndRejoins) {
-  Fleet f(5);
-  ASSERT_TRUE(f.agreeWithin(10));
-  f.passes = [](std::size_t from, std::size_t) { return from != 2; };
-  f.runFor(f.periods(kDeathPeriods));
+  Fleet fleet(5);
+  ASSERT_TRUE(fleet.agreeWithin(10));
+  fleet.passes = [](std::size_t from, std::size_t) { return from != 2; };
+  fleet.runFor(fleet.periods(kDeathPeriods));
   for (const std::size_t i : {0, 1, 3, 4})
-    EXPECT_EQ(f.stateInView(i, 2), MemberState::dead);
+    EXPECT_EQ(fleet.stateInView(i, 2), MemberState::dead);
   for (const std::size_t i : {0, 1, 3, 4})
-    EXPECT_EQ(f.at(i).presentCount(), 4u) << "the others do not receive its suspicions";
-  f.passes = [](std::size_t, std::size_t) { return true; };
-  EXPECT_TRUE(f.agreeWithin(kHealPeriods));
+    EXPECT_EQ(fleet.at(i).presentCount(), 4u) << "the others do not receive its suspicions";
+  fleet.passes = [](std::size_t, std::size_t) { return true; };
+  EXPECT_TRUE(fleet.agreeWithin(kHealPeriods));
 }
 
 void partitionAndHeal(std::size_t members, std::size_t parts, std::uint64_t seed) {
-  Fleet f(members, seed);
-  ASSERT_TRUE(f.agreeWithin(60));
-  f.passes = [parts](std::size_t from, std::size_t to) { return from % parts == to % parts; };
-  f.runFor(f.periods(kDeathPeriods + 20));
+  Fleet fleet(members, seed);
+  ASSERT_TRUE(fleet.agreeWithin(60));
+  fleet.passes = [parts](std::size_t from, std::size_t to) { return from % parts == to % parts; };
+  fleet.runFor(fleet.periods(kDeathPeriods + 20));
   for (std::size_t i = 0; i < members; ++i)
-    EXPECT_EQ(f.at(i).presentCount(), (members - i % parts + parts - 1) / parts) << "seed " << seed;
+    EXPECT_EQ(fleet.at(i).presentCount(), (members - i % parts + parts - 1) / parts) << "seed " << seed;
   for (std::size_t i = 0; i < members; ++i)
-    EXPECT_EQ(f.at(i).quotaHolders(), members);
-  f.passes = [](std::size_t, std::size_t) { return true; };
-  EXPECT_TRUE(f.agreeWithin(kHealPeriods)) << members << " members in " << parts << " parts, seed " << seed;
-  EXPECT_EQ(f.count(EventType::stalled), 0u) << "no member was stalled, seed " << seed;
-  f.seen().clear();
-  f.runFor(f.periods(100));
-  EXPECT_EQ(f.count(EventType::died), 0u) << "no deaths may follow the partition, seed " << seed;
+    EXPECT_EQ(fleet.at(i).quotaHolders(), members);
+  fleet.passes = [](std::size_t, std::size_t) { return true; };
+  EXPECT_TRUE(fleet.agreeWithin(kHealPeriods))
+      << members << " members in " << parts << " parts, seed " << seed;
+  EXPECT_EQ(fleet.count(EventType::stalled), 0u) << "no member was stalled, seed " << seed;
+  fleet.seen().clear();
+  fleet.runFor(fleet.periods(100));
+  EXPECT_EQ(fleet.count(EventType::died), 0u) << "no deaths may follow the partition, seed " << seed;
 }
 TEST(MembershipFailureCase, ViewsAgreeAgainAfterPartitionIntoHalvesHeals) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed)
@@ -216,92 +218,92 @@
 }
 
 TEST(MembershipFailureCase, LastMemberDetectsThatAllOthersWereKilled) {
-  Fleet f(12);
-  ASSERT_TRUE(f.agreeWithin(20));
+  Fleet fleet(12);
+  ASSERT_TRUE(fleet.agreeWithin(20));
   for (std::size_t i = 0; i < 12; ++i)
     if (i != 5)
-      f.kill(i);
+      fleet.kill(i);
   // A lone member gets no confirmations and its growing health score slows its probes, yet it must finish in
   // bounded time.
-  ASSERT_TRUE(f.runUntil([&] { return f.at(5).presentCount() == 1; }, f.periods(600)));
-  EXPECT_EQ(f.at(5).quotaHolders(), 12u);
+  ASSERT_TRUE(fleet.runUntil([&] { return fleet.at(5).presentCount() == 1; }, fleet.periods(600)));
+  EXPECT_EQ(fleet.at(5).quotaHolders(), 12u);
   for (std::size_t i = 0; i < 12; ++i)
     if (i != 5)
-      f.start(i);
-  EXPECT_TRUE(f.agreeWithin(60));
+      fleet.start(i);
+  EXPECT_TRUE(fleet.agreeWithin(60));
 }
 
 TEST(MembershipFailureCase, SlowMemberCausesNoDeathOfOthers) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    Fleet f(8, seed);
-    ASSERT_TRUE(f.agreeWithin(20));
-    f.seen().clear();
+    Fleet fleet(8, seed);
+    ASSERT_TRUE(fleet.agreeWithin(20));
+    fleet.seen().clear();
     // The member is stopped for most of each second, so that it reads acks late.
     for (int i = 0; i < 100; ++i) {
-      f.stop(3);
-      f.runFor(f.periods(0.8));
-      f.wake(3);
-      f.runFor(f.periods(0.2));
+      fleet.stop(3);
+      fleet.runFor(fleet.periods(0.8));
+      fleet.wake(3);
+      fleet.runFor(fleet.periods(0.2));
     }
-    for (const auto& observed : f.seen())
+    for (const auto& observed : fleet.seen())
       if (observed.event.type == EventType::died)
         EXPECT_EQ(observed.event.member.name, "m3")
             << "only the slow member may be declared dead, seed " << seed;
-    EXPECT_TRUE(f.agreeWithin(20));
+    EXPECT_TRUE(fleet.agreeWithin(20));
   }
 }
 
 TEST(MembershipFailureCase, OldMessagesDoNotReviveADeadMember) {
   MembershipSettings settings = settingsOf();
   settings.tombstoneTimeout = std::chrono::seconds(100);
-  Fleet f(5, 1, {}, settings);
+  Fleet fleet(5, 1, {}, settings);
   std::vector<std::pair<std::size_t, std::string>> recorded;
-  f.tap = [&](std::size_t from, std::size_t to, const std::string& bytes) {
+  fleet.tap = [&](std::size_t from, std::size_t to, const std::string& bytes) {
     if (from == 2)
       recorded.push_back({to, bytes});
   };
-  ASSERT_TRUE(f.agreeWithin(10));
-  f.runFor(f.periods(20));
-  f.kill(2);
-  ASSERT_TRUE(f.agreeWithin(kDeathPeriods));
+  ASSERT_TRUE(fleet.agreeWithin(10));
+  fleet.runFor(fleet.periods(20));
+  fleet.kill(2);
+  ASSERT_TRUE(fleet.agreeWithin(kDeathPeriods));
   // The first round replays the messages while the member is remembered, the second long after its removal.
   for (int round = 0; round < 2; ++round) {
-    f.seen().clear();
+    fleet.seen().clear();
     for (const auto& [to, bytes] : recorded)
       if (to != 2)
-        f.inject(to, f.nodes()[2].address, bytes);
-    f.runFor(f.periods(60));
-    EXPECT_EQ(f.count(EventType::joined, "m2"), 0u);
-    f.runFor(f.periods(200));
+        fleet.inject(to, fleet.nodes()[2].address, bytes);
+    fleet.runFor(fleet.periods(60));
+    EXPECT_EQ(fleet.count(EventType::joined, "m2"), 0u);
+    fleet.runFor(fleet.periods(200));
   }
-  EXPECT_EQ(f.stateInView(0, 2), std::nullopt);
+  EXPECT_EQ(fleet.stateInView(0, 2), std::nullopt);
 }
 
 TEST(MembershipFailureCase, JoinsWhenASeedStartsAfterNoneAnswered) {
   MembershipSettings settings = settingsOf(0);
   // No process ever listens on the first address; a member with the second one starts later.
   settings.seeds = {{0x0a000001, 9}, {0x7f000001, 1002}};
-  Fleet f(2, 1, {}, settings);
-  f.runFor(f.periods(30));
-  EXPECT_EQ(f.at(0).presentCount(), 1u);
-  EXPECT_EQ(f.at(0).self().state, MemberState::joining);
-  f.start(f.add("m2"));
-  EXPECT_TRUE(f.agreeWithin(10));
-  EXPECT_EQ(f.at(0).presentCount(), 3u);
+  Fleet fleet(2, 1, {}, settings);
+  fleet.runFor(fleet.periods(30));
+  EXPECT_EQ(fleet.at(0).presentCount(), 1u);
+  EXPECT_EQ(fleet.at(0).self().state, MemberState::joining);
+  fleet.start(fleet.add("m2"));
+  EXPECT_TRUE(fleet.agreeWithin(10));
+  EXPECT_EQ(fleet.at(0).presentCount(), 3u);
 }
 
 TEST(MembershipFailureCase, ThreeHundredMembersJoinWithinASecondWithoutDeaths) {
   MembershipSettings settings = settingsOf(3);
-  Fleet f(0, 1, {}, settings);
+  Fleet fleet(0, 1, {}, settings);
   Stream draw(1, "arrivals");
   for (int i = 0; i < 300; ++i)
-    f.add("gateway-" + std::to_string(i));
+    fleet.add("gateway-" + std::to_string(i));
   for (std::size_t i = 0; i < 300; ++i) {
-    f.start(i);
-    f.runFor(f.periods(1.0 / 300));
+    fleet.start(i);
+    fleet.runFor(fleet.periods(1.0 / 300));
   }
-  EXPECT_TRUE(f.agreeWithin(30));
-  EXPECT_EQ(f.count(EventType::died), 0u);
+  EXPECT_TRUE(fleet.agreeWithin(30));
+  EXPECT_EQ(fleet.count(EventType::died), 0u);
 }
 
 TEST(MembershipFailureCase, DuplicatedReorderedAndCorruptedDatagramsCauseNoDeath) {
@@ -310,40 +312,40 @@
     linkConditions.copies = 0.3;
     linkConditions.spoils = 0.05;
     linkConditions.mostMs = 150;
-    Fleet f(8, seed, linkConditions);
-    f.runFor(f.periods(200));
-    EXPECT_EQ(f.count(EventType::died), 0u) << seed;
-    f.linkConditions() = {};
-    EXPECT_TRUE(f.agreeWithin(20)) << seed;
+    Fleet fleet(8, seed, linkConditions);
+    fleet.runFor(fleet.periods(200));
+    EXPECT_EQ(fleet.count(EventType::died), 0u) << seed;
+    fleet.linkConditions() = {};
+    EXPECT_TRUE(fleet.agreeWithin(20)) << seed;
   }
 }
 
 TEST(MembershipFailureCase, DatagramsThatAreHoursOldCauseNoDeath) {
-  Fleet f(4);
+  Fleet fleet(4);
   std::vector<std::tuple<std::size_t, std::size_t, std::string>> recorded;
-  f.tap = [&](std::size_t from, std::size_t to, const std::string& bytes) {
+  fleet.tap = [&](std::size_t from, std::size_t to, const std::string& bytes) {
     if (recorded.size() < 3000)
       recorded.push_back({from, to, bytes});
   };
-  ASSERT_TRUE(f.agreeWithin(10));
-  f.runFor(f.periods(20));
-  f.kill(1);
-  ASSERT_TRUE(f.agreeWithin(kDeathPeriods));
-  f.start(1);  // a new process with the same name
-  ASSERT_TRUE(f.agreeWithin(20));
-  f.runFor(std::chrono::hours(2));
-  f.seen().clear();
+  ASSERT_TRUE(fleet.agreeWithin(10));
+  fleet.runFor(fleet.periods(20));
+  fleet.kill(1);
+  ASSERT_TRUE(fleet.agreeWithin(kDeathPeriods));
+  fleet.start(1);  // a new process with the same name
+  ASSERT_TRUE(fleet.agreeWithin(20));
+  fleet.runFor(std::chrono::hours(2));
+  fleet.seen().clear();
   for (const auto& [from, to, bytes] : recorded)
-    f.inject(to, f.nodes()[from].address, bytes);
-  f.runFor(f.periods(60));
-  EXPECT_TRUE(f.agreed());
-  EXPECT_EQ(f.count(EventType::died), 0u);
-  EXPECT_EQ(f.count(EventType::left), 0u);
+    fleet.inject(to, fleet.nodes()[from].address, bytes);
+  fleet.runFor(fleet.periods(60));
+  EXPECT_TRUE(fleet.agreed());
+  EXPECT_EQ(fleet.count(EventType::died), 0u);
+  EXPECT_EQ(fleet.count(EventType::left), 0u);
 }
 
 TEST(MembershipFailureCase, CountsAndDropsMalformedDatagrams) {
-  Fleet f(3);
-  ASSERT_TRUE(f.agreeWithin(10));
+  Fleet fleet(3);
+  ASSERT_TRUE(fleet.agreeWithin(10));
   const membership::Address stranger{0x7f000001, 9};
   std::vector<std::string> malformed{
       "",
@@ -362,15 +364,15 @@
     malformed.push_back(noise);
   }
   for (const std::string& bytes : malformed)
-    f.inject(0, stranger, bytes);
+    fleet.inject(0, stranger, bytes);
   // With a valid checksum, the same bytes reach the CBOR decoder.
   for (const std::string& bytes : std::vector<std::string>(malformed))
-    f.inject(0, stranger, bytes + membership::checksumOf(bytes)), malformed.push_back(bytes);
-  const auto& decodeErrors = f.at(0).counters().decodeErrors;
+    fleet.inject(0, stranger, bytes + membership::checksumOf(bytes)), malformed.push_back(bytes);
+  const auto& decodeErrors = fleet.at(0).counters().decodeErrors;
   EXPECT_EQ(std::accumulate(decodeErrors.begin(), decodeErrors.end(), std::uint64_t{0}), malformed.size());
   EXPECT_GT(decodeErrors[static_cast<std::size_t>(DecodeError::undecodable)], 1000u);
   EXPECT_GE(decodeErrors[static_cast<std::size_t>(DecodeError::tooLong)], 1u);
-  EXPECT_TRUE(f.agreed());
+  EXPECT_TRUE(fleet.agreed());
 }
 
 // A message of an attacker who knows the format, impersonates `sender` and claims `state` of `about`.
@@ -383,83 +385,83 @@
   return message;
 }
 TEST(MembershipFailureCase, ViewsRecoverFromForgedClaims) {
-  Fleet f(5);
-  ASSERT_TRUE(f.agreeWithin(10));
+  Fleet fleet(5);
+  ASSERT_TRUE(fleet.agreeWithin(10));
   std::size_t encodedUpdates = 0;
   for (const MemberState state : {MemberState::suspect, MemberState::dead, MemberState::left})
     for (const std::uint64_t above : {0, 1, 1000, 99999}) {
-      MemberRecord victim = f.at(2).self();
+      MemberRecord victim = fleet.at(2).self();
       victim.incarnation += above;
-      const Message message = forged(f.at(1).self(), state, victim);
-      f.inject(0, f.nodes()[1].address, membership::encode(message, "fleet", encodedUpdates));
-      f.runFor(f.periods(1));
+      const Message message = forged(fleet.at(1).self(), state, victim);
+      fleet.inject(0, fleet.nodes()[1].address, membership::encode(message, "fleet", encodedUpdates));
+      fleet.runFor(fleet.periods(1));
     }
-  EXPECT_TRUE(f.agreeWithin(kHealPeriods));
-  EXPECT_EQ(f.at(0).presentCount(), 5u);
+  EXPECT_TRUE(fleet.agreeWithin(kHealPeriods));
+  EXPECT_EQ(fleet.at(0).presentCount(), 5u);
   // The forged sequence number must not make the others ignore the real member 1.
-  f.leave(1);
-  EXPECT_TRUE(f.agreeWithin(kDeathPeriods));
+  fleet.leave(1);
+  EXPECT_TRUE(fleet.agreeWithin(kDeathPeriods));
 }
 
 TEST(MembershipFailureCase, FloodOfNamesIsLimitedByMaxMembers) {
   MembershipSettings settings = settingsOf();
   settings.maxMembers = 50;
-  Fleet f(3, 1, {}, settings);
-  ASSERT_TRUE(f.agreeWithin(10));
+  Fleet fleet(3, 1, {}, settings);
+  ASSERT_TRUE(fleet.agreeWithin(10));
   std::size_t encodedUpdates = 0;
   for (int i = 0; i < 500; ++i) {
-    MemberRecord fake = f.at(1).self();
+    MemberRecord fake = fleet.at(1).self();
     fake.name = "ghost-" + std::to_string(i);
     fake.address.port = static_cast<std::uint16_t>(20000 + i);
-    Message message = forged(f.at(1).self(), MemberState::alive, fake);
+    Message message = forged(fleet.at(1).self(), MemberState::alive, fake);
     message.sequence += static_cast<std::uint64_t>(i);
-    f.inject(0, f.nodes()[1].address, membership::encode(message, "fleet", encodedUpdates));
+    fleet.inject(0, fleet.nodes()[1].address, membership::encode(message, "fleet", encodedUpdates));
   }
-  EXPECT_LE(f.at(0).others().size(), 50u);
-  EXPECT_GT(f.at(0).counters().full, 0u);
-  ASSERT_TRUE(f.runUntil([&] { return f.at(0).presentCount() == 3; }, f.periods(1500)));
-  EXPECT_TRUE(f.agreeWithin(60));
+  EXPECT_LE(fleet.at(0).others().size(), 50u);
+  EXPECT_GT(fleet.at(0).counters().full, 0u);
+  ASSERT_TRUE(fleet.runUntil([&] { return fleet.at(0).presentCount() == 3; }, fleet.periods(1500)));
+  EXPECT_TRUE(fleet.agreeWithin(60));
 }
 
 TEST(MembershipFailureCase, RejectsNamesAndZonesAboveTheLengthLimit) {
-  Fleet f(2);
-  ASSERT_TRUE(f.agreeWithin(10));
+  Fleet fleet(2);
+  ASSERT_TRUE(fleet.agreeWithin(10));
   for (const bool inName : {true, false}) {
-    MemberRecord oversized = f.at(1).self();
+    MemberRecord oversized = fleet.at(1).self();
     (inName ? oversized.name : oversized.zone) = std::string(10000, 'x');
     Message message;
     message.sender = oversized;
     std::size_t encodedUpdates = 0;
-    f.inject(0, f.nodes()[1].address, membership::encode(message, "fleet", encodedUpdates));
+    fleet.inject(0, fleet.nodes()[1].address, membership::encode(message, "fleet", encodedUpdates));
     (inName ? oversized.name : oversized.zone) = std::string(65, 'x');  // one byte above the limit
     message.sender = oversized;
-    f.inject(0, f.nodes()[1].address, membership::encode(message, "fleet", encodedUpdates));
+    fleet.inject(0, fleet.nodes()[1].address, membership::encode(message, "fleet", encodedUpdates));
   }
-  EXPECT_EQ(f.at(0).counters().decodeErrors[static_cast<std::size_t>(DecodeError::tooLong)], 2u);
-  EXPECT_EQ(f.at(0).counters().decodeErrors[static_cast<std::size_t>(DecodeError::invalid)], 2u);
-  EXPECT_EQ(f.at(0).presentCount(), 2u);
+  EXPECT_EQ(fleet.at(0).counters().decodeErrors[static_cast<std::size_t>(DecodeError::tooLong)], 2u);
+  EXPECT_EQ(fleet.at(0).counters().decodeErrors[static_cast<std::size_t>(DecodeError::invalid)], 2u);
+  EXPECT_EQ(fleet.at(0).presentCount(), 2u);
 }
 
 TEST(MembershipFailureCase, ViewsAgreeWhileSettingsDifferAfterPartialReload) {
-  Fleet f(4);
-  ASSERT_TRUE(f.agreeWithin(10));
-  MemberRecord changed = f.at(1).self();
+  Fleet fleet(4);
+  ASSERT_TRUE(fleet.agreeWithin(10));
+  MemberRecord changed = fleet.at(1).self();
   changed.settingsDigest = 77;
-  f.nodes()[1].logic->onSettings(f.now(), f.settings(), changed);
-  ASSERT_TRUE(f.agreeWithin(20)) << "a view covers the present members, not their settings";
-  ASSERT_TRUE(
-      f.runUntil([&] { return f.at(0).others().at("m1").record.settingsDigest == 77; }, f.periods(20)));
-  EXPECT_EQ(f.at(0).others().at("m2").record.settingsDigest, 0u);
-  EXPECT_GE(f.count(EventType::changed, "m1"), 3u);
+  fleet.nodes()[1].logic->onSettings(fleet.now(), fleet.settings(), changed);
+  ASSERT_TRUE(fleet.agreeWithin(20)) << "a view covers the present members, not their settings";
+  ASSERT_TRUE(fleet.runUntil([&] { return fleet.at(0).others().at("m1").record.settingsDigest == 77; },
+                             fleet.periods(20)));
+  EXPECT_EQ(fleet.at(0).others().at("m2").record.settingsDigest, 0u);
+  EXPECT_GE(fleet.count(EventType::changed, "m1"), 3u);
 }
 
 TEST(MembershipFailureCase, ClockStepsCauseNeitherConflictsNorDeathsOfOthers) {
   // Start times come from wall clocks and are only displayed: a start time far before or after the previous
   // one does not make a member a different one.
-  Fleet f(3);
-  ASSERT_TRUE(f.agreeWithin(10));
+  Fleet fleet(3);
+  ASSERT_TRUE(fleet.agreeWithin(10));
   for (const std::int64_t step : {std::int64_t{0}, std::int64_t{-86400000}, std::int64_t{4102444800000}}) {
-    MemberRecord changed = f.at(1).self();
+    MemberRecord changed = fleet.at(1).self();
     changed.startedMs = step;
     Message message;
     message.sender = changed;
@@ -468,30 +470,30 @@
     EXPECT_TRUE(
         membership::decode(membership::encode(message, "fleet", encodedUpdates), "fleet", error).has_value())
         << step;
-    f.nodes()[1].logic->onSettings(f.now(), f.settings(), changed);
-    f.runFor(f.periods(5));
-    EXPECT_TRUE(f.agreed());
+    fleet.nodes()[1].logic->onSettings(fleet.now(), fleet.settings(), changed);
+    fleet.runFor(fleet.periods(5));
+    EXPECT_TRUE(fleet.agreed());
   }
   // The monotonic clock of a suspended machine jumps ahead. This counts as a stall, and the member must not
   // declare others dead.
-  f.seen().clear();
-  f.stop(1);
-  f.runFor(std::chrono::hours(10));
-  f.wake(1);
-  EXPECT_TRUE(f.agreeWithin(20));
-  for (const auto& observed : f.seen())
+  fleet.seen().clear();
+  fleet.stop(1);
+  fleet.runFor(std::chrono::hours(10));
+  fleet.wake(1);
+  EXPECT_TRUE(fleet.agreeWithin(20));
+  for (const auto& observed : fleet.seen())
     if (observed.event.type == EventType::died)
       EXPECT_EQ(observed.event.member.name, "m1");
 }
 
 TEST(MembershipFailureCase, RejectsOtherFleetsAndVersionsAndSkipsAppendedElements) {
-  Fleet f(2);
-  ASSERT_TRUE(f.agreeWithin(10));
+  Fleet fleet(2);
+  ASSERT_TRUE(fleet.agreeWithin(10));
   Message message;
-  message.sender = f.at(1).self();
+  message.sender = fleet.at(1).self();
   std::size_t encodedUpdates = 0;
-  f.inject(0, f.nodes()[1].address, membership::encode(message, "other", encodedUpdates));
-  EXPECT_EQ(f.at(0).counters().decodeErrors[static_cast<std::size_t>(DecodeError::otherFleet)], 1u);
+  fleet.inject(0, fleet.nodes()[1].address, membership::encode(message, "other", encodedUpdates));
+  EXPECT_EQ(fleet.at(0).counters().decodeErrors[static_cast<std::size_t>(DecodeError::otherFleet)], 1u);
   // Elements that a later version appends to the message and to a record are skipped.
   const std::string datagram = membership::encode(message, "fleet", encodedUpdates);
   nlohmann::json array =
@@ -516,15 +518,15 @@
 double longestFalseDeath(std::size_t members, double loss, int periods, std::uint64_t seed) {
   LinkConditions linkConditions;
   linkConditions.loss = loss;
-  Fleet f(members, seed, linkConditions);
-  f.runUntil([&] { return f.agreed(); }, f.periods(300));
+  Fleet fleet(members, seed, linkConditions);
+  fleet.runUntil([&] { return fleet.agreed(); }, fleet.periods(300));
   std::map<std::pair<std::size_t, std::string>, int> previous;  // periods by observer and dead member's name
   int longest = 0;
   for (int i = 0; i < periods; ++i) {
-    f.runFor(f.periods(1));
+    fleet.runFor(fleet.periods(1));
     std::map<std::pair<std::size_t, std::string>, int> current;
     for (std::size_t at = 0; at < members; ++at)
-      for (const auto& [name, member] : f.at(at).others())
+      for (const auto& [name, member] : fleet.at(at).others())
         if (member.record.state == MemberState::dead)
           longest = std::max(longest, current[{at, name}] = previous[{at, name}] + 1);
     previous = std::move(current);
@@ -638,51 +640,51 @@
   const auto seed = *rc::gen::inRange<std::uint64_t>(1, 1000000);
   const auto steps = *rc::gen::container<std::vector<std::pair<int, std::size_t>>>(
       rc::gen::pair(rc::gen::inRange(0, 7), rc::gen::inRange<std::size_t>(0, 8)));
-  Fleet f(members, seed);
+  Fleet fleet(members, seed);
   std::map<std::string, std::uint64_t> incarnations;  // latest ones, keyed by name and epoch
   const auto checkInvariants = [&] {
-    for (const std::size_t i : f.living()) {
-      const MemberRecord& self = f.at(i).self();
+    for (const std::size_t i : fleet.living()) {
+      const MemberRecord& self = fleet.at(i).self();
       auto& last = incarnations[self.name + std::to_string(self.epoch)];
       RC_ASSERT(self.incarnation >= last);
       last = self.incarnation;
-      RC_ASSERT(f.at(i).quotaHolders() >= f.at(i).presentCount());
+      RC_ASSERT(fleet.at(i).quotaHolders() >= fleet.at(i).presentCount());
       // Others cannot know a higher incarnation of the running process than its own.
-      for (const std::size_t j : f.living()) {
-        const auto found = f.at(j).others().find(self.name);
-        if (found != f.at(j).others().end() && found->second.record.epoch == self.epoch)
+      for (const std::size_t j : fleet.living()) {
+        const auto found = fleet.at(j).others().find(self.name);
+        if (found != fleet.at(j).others().end() && found->second.record.epoch == self.epoch)
           RC_ASSERT(found->second.record.incarnation <= self.incarnation);
       }
     }
   };
   for (const auto& [action, target] : steps) {
     const std::size_t i = target % members;
-    auto& node = f.nodes()[i];
+    auto& node = fleet.nodes()[i];
     if (action == 0)
-      f.kill(i);
+      fleet.kill(i);
     else if (action == 1 && !node.logic)
-      f.start(i);
+      fleet.start(i);
     else if (action == 2 && node.logic)
-      f.stop(i);
+      fleet.stop(i);
     else if (action == 3 && node.logic && node.stopped)
-      f.wake(i);
+      fleet.wake(i);
     else if (action == 4 && node.logic && !node.stopped)
-      f.leave(i);
+      fleet.leave(i);
     else if (action == 5)
-      f.passes = [i](std::size_t from, std::size_t to) { return (from <= i) == (to <= i); };
+      fleet.passes = [i](std::size_t from, std::size_t to) { return (from <= i) == (to <= i); };
     else if (action == 6)
-      f.passes = [i](std::size_t from, std::size_t) { return from != i; };
-    f.runFor(f.periods(7));
+      fleet.passes = [i](std::size_t from, std::size_t) { return from != i; };
+    fleet.runFor(fleet.periods(7));
     checkInvariants();
   }
-  f.passes = [](std::size_t, std::size_t) { return true; };
+  fleet.passes = [](std::size_t, std::size_t) { return true; };
   for (std::size_t i = 0; i < members; ++i) {
-    if (!f.nodes()[i].logic)
-      f.start(i);
-    else if (f.nodes()[i].stopped)
-      f.wake(i);
+    if (!fleet.nodes()[i].logic)
+      fleet.start(i);
+    else if (fleet.nodes()[i].stopped)
+      fleet.wake(i);
   }
-  RC_ASSERT(f.agreeWithin(kHealPeriods + 100));
+  RC_ASSERT(fleet.agreeWithin(kHealPeriods + 100));
   checkInvariants();
 }
 
