--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -99,12 +99,12 @@
   std::size_t presentCount() const { return table_.presentCount() + 1; }
   /// Number of present members in each zone, including this one.
   std::map<std::string, std::size_t> presentByZone() const { return table_.presentByZone(self_); }
-  /// All that may hold a part of the fleet's quota, ourselves included: the dead may live beyond a partition,
-  /// so they count until they are forgotten, and so does another process of our name.
+  /// Number of processes that may use a share of the fleet's quota, including this one. Dead members count
+  /// until they are removed, since they may be alive beyond a partition; so does another process of our name.
   std::size_t quotaHolders() const;
-  /// Present members that last announced another view than ours.
+  /// Present members whose last announced view digest differs from this member's.
   std::vector<std::string> disagreeing() const { return table_.disagreeing(digest()); }
-  /// Another process has our name; this one is no member.
+  /// Whether another process has this member's name, so that this process is not a member.
   bool conceded() const { return nameConflict_.conceded(); }
   /// 0 if healthy; rises while this member sends or receives messages late.
   unsigned healthScore() const { return health_.score(); }
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -45,15 +45,16 @@
   }
 };
 
-std::size_t count(const std::string& text, const std::string& what) {
+std::size_t count(const std::string& text, const std::string& pattern) {
   std::size_t occurrences = 0;
-  for (std::size_t at = 0; (at = text.find(what, at)) != std::string::npos; at += what.size())
+  for (std::size_t at = 0; (at = text.find(pattern, at)) != std::string::npos; at += pattern.size())
     ++occurrences;
   return occurrences;
 }
 
-std::string requestLine(const std::string& gateway, const std::string& ref, const std::string& more = "") {
-  return "REQ i=" + gateway + " ref=" + ref + " leftNs=1000000000 tierClass=plan" + more + "\n";
+std::string requestLine(const std::string& gateway, const std::string& ref,
+                        const std::string& extraFields = "") {
+  return "REQ i=" + gateway + " ref=" + ref + " leftNs=1000000000 tierClass=plan" + extraFields + "\n";
 }
 
 TEST(SimulatorAdapter, AnswersEmptyBatchWithOk) {
@@ -175,13 +176,13 @@
 }
 
 TEST(SimulatorAdapter, AnswersMalformedRequestWithAnError) {
-  for (const char* rest : {" leftNs=abc tierClass=plan", " tierClass=plan", " leftNs=5",
-                           " leftNs=5 tierClass=plan repeat=maybe"}) {
+  for (const char* fields : {" leftNs=abc tierClass=plan", " tierClass=plan", " leftNs=5",
+                             " leftNs=5 tierClass=plan repeat=maybe"}) {
     Session session;
     session.start("gateway-0");
     const std::string reply =
-        session.feed(std::string("FRAME tNs=1005000000\nREQ i=gateway-0 ref=b-1") + rest + "\nEOF_BATCH\n");
-    EXPECT_EQ(count(reply, "RESPOND_ERROR i=gateway-0 ref=b-1\n"), 1u) << rest;
+        session.feed(std::string("FRAME tNs=1005000000\nREQ i=gateway-0 ref=b-1") + fields + "\nEOF_BATCH\n");
+    EXPECT_EQ(count(reply, "RESPOND_ERROR i=gateway-0 ref=b-1\n"), 1u) << fields;
     EXPECT_NE(session.errors.str(), "");
   }
 }
@@ -218,18 +219,18 @@
       text += requestLine(gateway, gateway + "-r" + std::to_string(i));
     return text;
   };
-  Session both;
-  both.start("gateway-0 gateway-1");
+  Session shared;
+  shared.start("gateway-0 gateway-1");
   const std::string together =
-      both.feed("FRAME tNs=1005000000\n" + events("gateway-0") + events("gateway-1") + "EOF_BATCH\n");
-  std::string apart;
+      shared.feed("FRAME tNs=1005000000\n" + events("gateway-0") + events("gateway-1") + "EOF_BATCH\n");
+  std::string separately;
   for (const char* name : {"gateway-0", "gateway-1"}) {
-    Session one;
-    one.start(name);
-    const std::string reply = one.feed("FRAME tNs=1005000000\n" + events(name) + "EOF_BATCH\n");
-    apart += reply.substr(0, reply.size() - 3);
+    Session separate;
+    separate.start(name);
+    const std::string reply = separate.feed("FRAME tNs=1005000000\n" + events(name) + "EOF_BATCH\n");
+    separately += reply.substr(0, reply.size() - 3);
   }
-  EXPECT_EQ(together, apart + "OK\n");
+  EXPECT_EQ(together, separately + "OK\n");
   EXPECT_GT(count(together, "FORWARD"), 10u);
 }
 
