--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -203,7 +203,7 @@
   const Duration timeout = health_.scaled(settings_.probeInterval);
   const std::uint64_t nonce = addRequest(RequestType::probe, record.name, record.address, timeout);
   detector_.startProbe(nonce, now_ + health_.scaled(ackTimeout()));
-  // The probe tells a suspect member about the suspicion, so that it can refute it.
+  // The probe carries the suspicion to a suspect member, so that it can refute it.
   sendWithGossip(record.address, MessageType::ping, nonce, record.name);
 }
 
