--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Builds with warnings as errors and runs all tests; passes over just the failures that KNOWN-RED.txt names, if
-# it is there. With `sanitize`: under the address and undefined-behaviour sanitizers.
+# Builds with warnings as errors and runs all tests. Ignores only failures that KNOWN-RED.txt lists, if that file
+# exists. `test.sh sanitize` builds with the address and undefined behaviour sanitizers.
 set -eu
 cd "$(dirname "$0")"
 dir=build-test sanitize=OFF
--- a/tools/install-packages.sh
+++ b/tools/install-packages.sh
@@ -1,10 +1,11 @@
 #!/usr/bin/env bash
-# Installs what the build, the tests and the lab need, on a Debian machine, as root. Asks for nothing that is there.
+# Installs the packages that the build, the tests and the lab need, on Debian, as root. Does not call apt-get if all
+# of them are installed.
 set -euo pipefail
 
-need=(g++ cmake ninja clang-format clang-tidy gnuplot)
+required_tools=(g++ cmake ninja clang-format clang-tidy gnuplot)
 missing=()
-for tool in "${need[@]}"; do command -v "$tool" >/dev/null || missing+=("$tool"); done
+for tool in "${required_tools[@]}"; do command -v "$tool" >/dev/null || missing+=("$tool"); done
 for header in gtest/gtest.h boost/beast/version.hpp nlohmann/json.hpp CLI/CLI.hpp toml++/toml.h spdlog/spdlog.h \
   pcg_random.hpp sqlite3.h prometheus/histogram.h xxhash.h rapidcheck.h; do
   [ -e "/usr/include/$header" ] || missing+=("$header")
--- a/tools/restart_times.py
+++ b/tools/restart_times.py
@@ -1,8 +1,11 @@
 #!/usr/bin/env python3
-"""Times from a start to the first 200 of /up, and from SIGTERM to the end of the process, over 20 starts.
+"""Measures start and shutdown times of the gateway over 20 runs.
 
-restart_times.py PROGRAM LAB [RATE]: LAB is hollyrun-lab; it emulates the platform and, at RATE requests a second, the
-clients. Prints the median and the most of each, and the load's own verdict on what was lost.
+usage: restart_times.py PROGRAM LAB [RATE]
+
+PROGRAM is the gateway. LAB is hollyrun-lab, which emulates the platform and, if RATE is given, clients that send RATE
+requests per second. Prints the median and the maximum of the time from the start to the first 200 response of /up and
+of the time from SIGTERM to the exit of the process, and the exit codes of the gateway.
 """
 import os
 import re
@@ -46,7 +49,7 @@
             if rate:
                 load = subprocess.Popen([lab, "load", scenario, "--rate", str(rate), "--for", "2", "--to",
                                          "127.0.0.1:%d" % port], stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
-                time.sleep(1)  # the load is on; nothing is judged by this time
+                time.sleep(1)  # for the load to start; not part of the measured times
             told = time.monotonic()
             gateway.send_signal(signal.SIGTERM)
             codes.append(gateway.wait())
@@ -58,6 +61,6 @@
             if process and process.poll() is None:
                 process.terminate()
                 process.wait()
-for name, times in (("start to ready", ready), ("SIGTERM to end", ended)):
-    print("%s: median %.0f ms, most %.0f ms of %d" % (name, 1e3 * statistics.median(times), 1e3 * max(times), len(times)))
+for name, times in (("start to ready", ready), ("SIGTERM to exit", ended)):
+    print("%s: median %.0f ms, max %.0f ms over %d runs" % (name, 1e3 * statistics.median(times), 1e3 * max(times), len(times)))
 print("exit codes:", sorted(set(codes)))
