--- a/src/lab/commands/fleet_command.cpp
+++ b/src/lab/commands/fleet_command.cpp
@@ -48,7 +48,7 @@
     if (!outputFile_.empty())
       writeTextFile(outputFile_, pageOf(result));
     if (printTimeline_)
-      for (const std::string& line : result.line)
+      for (const std::string& line : result.timeline)
         fmt::print("{}\n", line);
     fmt::print("{}", textOf(result));
     return exitCodeOf(result.verdict);
--- a/src/lab/commands/load_command.cpp
+++ b/src/lab/commands/load_command.cpp
@@ -39,8 +39,8 @@
 
 void logProgress(const Load& clients) {
   const Result result = clients.result();
-  spdlog::info("{} calls, {} open, {:.3f} of the worth in time, p99 {:.1f} ms", result.calls, clients.open(),
-               result.goodput, result.p99);
+  spdlog::info("{} calls, {} open, {:.3f} of the worth in time, p99 {:.1f} ms", result.calls,
+               clients.openCalls(), result.goodput, result.p99);
 }
 
 void printLatencies(const Latencies& latencies) {
--- a/src/lab/commands/scale_command.cpp
+++ b/src/lab/commands/scale_command.cpp
@@ -35,10 +35,10 @@
 
 std::string lineOf(const char* dimension, const StepResult& step) {
   std::string line = fmt::format("{} {:g}, round {}:", dimension, step.size, step.round + 1);
-  for (std::size_t i = 0; i < kFigures; ++i)
+  for (std::size_t i = 0; i < kFigureCount; ++i)
     if (step.figures[i])
       line += fmt::format(" {} {:.2f}", textOf(static_cast<Figure>(i)).name, *step.figures[i]);
-  return step.voided.empty() ? line : line + " VOID: " + step.voided;
+  return step.voidReason.empty() ? line : line + " VOID: " + step.voidReason;
 }
 
 void keepStep(const std::string& db, ScaleRun run, const StepResult& step) {
@@ -119,11 +119,11 @@
   options
       .add_option("--outage", plan_.outageS, "seconds of discovery before its watches begin anew; 0: none")
       ->capture_default_str();
-  options.add_option("--configured", plan_.configured, "fleet.gateways of the settings")
+  options.add_option("--configured", plan_.configuredGateways, "fleet.gateways of the settings")
       ->capture_default_str();
   options.add_option("--period", plan_.membershipPeriodMs, "of membership, ms; 0: no membership")
       ->capture_default_str();
-  options.add_option("--join", plan_.joinMostS, "seconds until all members have to see all")
+  options.add_option("--join", plan_.joinTimeoutS, "seconds until all members have to see all")
       ->capture_default_str();
 }
 
@@ -141,7 +141,7 @@
   sizes_.resize(std::size(kDimensions));
   for (std::size_t i = 0; i < sizes_.size(); ++i) {
     const Dimension dimension = kDimensions[i];
-    sizes_[i] = {plan_.size.of(dimension)};
+    sizes_[i] = {plan_.size.get(dimension)};
     subcommand()
         .add_option(std::string("--") + nameOf(dimension), sizes_[i], helpOfSizes().at(dimension))
         ->delimiter(',')
@@ -157,7 +157,7 @@
 /// Of the dimensions, the one with several sizes is the one that is varied.
 void ScaleCommand::readSizes() {
   std::size_t stepped = 0;
-  plan_.values = {plan_.size.of(plan_.dimension)};
+  plan_.values = {plan_.size.get(plan_.dimension)};
   for (std::size_t i = 0; i < sizes_.size(); ++i) {
     plan_.size.set(kDimensions[i], sizes_[i].front());
     if (kDimensions[i] == plan_.dimension && stepped == 0)
@@ -176,9 +176,9 @@
     throw std::invalid_argument("scale: a scenario is required");
   plan_.scenario = readScenario(scenario_, set_);
   plan_.lab = std::filesystem::read_symlink("/proc/self/exe").string();
-  std::vector<ShapeBound> bounds;
+  std::vector<GrowthBound> bounds;
   for (const std::string& text : bounds_)
-    bounds.push_back(parseShapeBound(text));
+    bounds.push_back(parseGrowthBound(text));
   readSizes();
   ScaleRun run;
   run.label = label_;
@@ -195,7 +195,7 @@
   fmt::print("{}", tableOf(run));
   if (hasVoidStep(run))
     return kExitVoid;
-  const std::vector<std::string> faults = shapeFaults(run, bounds);
+  const std::vector<std::string> faults = growthViolations(run, bounds);
   for (const std::string& fault : faults)
     fmt::print("{}\n", fault);
   return faults.empty() ? kExitSuccess : kExitRuleBroken;
--- a/src/lab/commands/serve_command.cpp
+++ b/src/lab/commands/serve_command.cpp
@@ -35,8 +35,8 @@
     asio::io_context io(1);
     Platform platform(io, scenario, emulation_.seed, nullptr);
     const std::string discovery = textOf(platform.addAgent());
-    const HeldPort listen(io);
-    const HeldPort management(io);
+    const ReservedPort listen(io);
+    const ReservedPort management(io);
     fmt::print("discovery   {}\n{} record servers: {}\n", discovery, platform.servers(),
                platform.stateLine());
     if (!configFile_.empty())
@@ -67,7 +67,7 @@
       end.async_wait([&io](error_code) { io.stop(); });
     }
     const PeriodicTask stateLog(io, kStateLogInterval, [&platform] {
-      if (platform.held() > 0)
+      if (platform.requestsInFlight() > 0)
         spdlog::info("held {}", platform.stateLine());
     });
     io.run();
--- a/src/lab/report/store.cpp
+++ b/src/lab/report/store.cpp
@@ -304,9 +304,9 @@
     Statement stepRow(db, "INSERT INTO scale_steps (run, size, round, voided) VALUES (?, ?, ?, ?)");
     Statement figureRow(db, "INSERT INTO scale_figures (step, name, value) VALUES (?, ?, ?)");
     for (const StepResult& step : run.steps) {
-      stepRow.insert(id, step.size, step.round, step.voided);
+      stepRow.insert(id, step.size, step.round, step.voidReason);
       const std::int64_t stepId = sqlite3_last_insert_rowid(db);
-      for (std::size_t i = 0; i < kFigures; ++i)
+      for (std::size_t i = 0; i < kFigureCount; ++i)
         if (step.figures[i])
           figureRow.insert(stepId, std::string(textOf(static_cast<Figure>(i)).name), *step.figures[i]);
     }
@@ -340,7 +340,7 @@
   while (rows.row()) {
     StepResult step;
     std::int64_t id = 0;
-    rows.columns(id, step.size, step.round, step.voided);
+    rows.columns(id, step.size, step.round, step.voidReason);
     Statement figures(db_.get(), "SELECT name, value FROM scale_figures WHERE step = ?");
     figures.bind(id);
     while (figures.row()) {
--- a/src/lab/soak/soak.cpp
+++ b/src/lab/soak/soak.cpp
@@ -82,7 +82,7 @@
 
  private:
   struct Gateway {
-    std::unique_ptr<HeldPort> port;
+    std::unique_ptr<ReservedPort> port;
     std::unique_ptr<FaultFile> faults;
     std::shared_ptr<Process> process;
     std::string folder;
@@ -155,7 +155,7 @@
   }
   for (std::size_t i = 0; i < plan.gateways; ++i) {
     Gateway& gateway = gateways_[i];
-    gateway.port = std::make_unique<HeldPort>(io_);
+    gateway.port = std::make_unique<ReservedPort>(io_);
     gateway.folder = folder_ + "/g" + std::to_string(i);
     fs::create_directories(gateway.folder);
     gateway.faults = std::make_unique<FaultFile>(gateway.folder + "/faults", plan.seed * 1000 + i);
@@ -224,15 +224,17 @@
   }
   gateway.process->start(plan_.program, variables);
   if (plan_.keepLogs)
-    gateway.process->said = [log = std::make_shared<std::ofstream>(gateway.folder + "/log", std::ios::app)](
-                                const std::string& line) { *log << line << std::endl; };
+    gateway.process->onOutputLine = [log = std::make_shared<std::ofstream>(
+                                         gateway.folder + "/log", std::ios::app)](const std::string& line) {
+      *log << line << std::endl;
+    };
   probeReady(number);
 }
 
 void Soak::probeReady(std::size_t number) {
   Gateway& gateway = gateways_[number];
   const auto asked = gateway.process;
-  ask(io_, gateway.port->endpoint(), "/up", 500ms, [this, number, asked](int status, const std::string&) {
+  httpGet(io_, gateway.port->endpoint(), "/up", 500ms, [this, number, asked](int status, const std::string&) {
     Gateway& now = gateways_[number];
     if (now.process != asked || asked->ended || now.ready || closing_)
       return;
@@ -276,7 +278,7 @@
 void Soak::ended(std::size_t number, int status) {
   Process& process = *gateways_[number].process;
   process.ended = true;
-  const bool well = process.asked && (!WIFEXITED(status) || WEXITSTATUS(status) == 0) &&
+  const bool well = process.stopRequested && (!WIFEXITED(status) || WEXITSTATUS(status) == 0) &&
                     (!WIFSIGNALED(status) || WTERMSIG(status) == SIGKILL || WTERMSIG(status) == SIGTERM);
   if (!well)
     oracle_.broke(SoakRule::crashed,
@@ -392,12 +394,12 @@
     return;
   switch (soakFault.kind) {
     case SoakFaultKind::gatewayTerm:
-      gateway.process->asked = true;
+      gateway.process->stopRequested = true;
       gateway.ready = false;
       gateway.toldToEnd = soakNow();
       return signal(number, SIGTERM);
     case SoakFaultKind::gatewayKill:
-      gateway.process->asked = true;
+      gateway.process->stopRequested = true;
       gateway.ready = false;
       oracle_.killed(number, soakNow());
       return signal(number, SIGKILL);
@@ -510,7 +512,7 @@
   oracle_.finish(soakNow());
   for (std::size_t i = 0; i < gateways_.size(); ++i) {
     resume(i);
-    ask(io_, gateways_[i].port->endpoint(), "/up", 2s, [this, i](int status, const std::string&) {
+    httpGet(io_, gateways_[i].port->endpoint(), "/up", 2s, [this, i](int status, const std::string&) {
       if (status != 200)
         oracle_.broke(SoakRule::servesNobody,
                       "g" + std::to_string(i) + " answers /up with " + std::to_string(status));
@@ -549,7 +551,7 @@
   result.requests = oracle_.requests();
   result.served = oracle_.count(200);
   result.refused = oracle_.count(503);
-  result.lagMs = lag_.mostMs();
+  result.lagMs = lag_.maxLagMs();
   result.folder = plan_.keepLogs ? folder_ : "";
   const bool late = result.lagMs > std::chrono::duration<double, std::milli>(kSlack).count();
   result.verdict = late                    ? SoakVerdict::voided
--- a/src/lab/testbed/fleet.cpp
+++ b/src/lab/testbed/fleet.cpp
@@ -41,8 +41,8 @@
   Member(asio::io_context& io, std::uint32_t n) : number(n), name("gateway-" + std::to_string(n)), port(io) {}
   std::uint32_t number;
   std::string name;
-  HeldPort port;
-  std::unique_ptr<HeldPort> management;
+  ReservedPort port;
+  std::unique_ptr<ReservedPort> management;
   tcp::endpoint discovery;
   fs::path config, tmp;
   std::shared_ptr<Process> process;
@@ -127,8 +127,8 @@
     return load_ && load_->started() > Time{} ? inSeconds(clockNow() - load_->started()) : 0;
   }
   void note(const std::string& text) {
-    if (line_.size() < kLinesMost)
-      line_.push_back(fmt::format("{:8.3f}  {}", since(), text));
+    if (timeline_.size() < kLinesMost)
+      timeline_.push_back(fmt::format("{:8.3f}  {}", since(), text));
   }
   void breach(Rule rule, const std::string& what) {
     load_->checker().addBreach(rule, clockNow(), 0, "", what);
@@ -166,10 +166,10 @@
                        static_cast<int>(s_.membershipPeriodMs));
   }
   std::shared_ptr<Process> spawn(Member& m) {
-    m.management = std::make_unique<HeldPort>(io_);
+    m.management = std::make_unique<ReservedPort>(io_);
     writeConfig(m, configFor(m));
     auto p = std::make_shared<Process>(io_, m.name);
-    p->said = [this, name = m.name](const std::string& line) { note(name + ": " + line); };
+    p->onOutputLine = [this, name = m.name](const std::string& line) { note(name + ": " + line); };
     p->start(plan_.program,
              {"GW_CONFIG=" + m.config.string(), "GW_NAME=" + m.name, "GW_LISTEN=" + textOf(m.port.endpoint()),
               "GW_DISCOVERY=" + textOf(m.discovery), "GW_MANAGEMENT=" + textOf(m.management->endpoint()),
@@ -181,11 +181,11 @@
     ++m.starts;
     m.process = spawn(m);
     load_->checker().gatewayRestarted(m.number);
-    m.process->over = [this, &m, p = m.process.get(), ready] { overAsItStarted(m, *p, ready); };
+    m.process->onExit = [this, &m, p = m.process.get(), ready] { overAsItStarted(m, *p, ready); };
     awaitReady(m, m.process, clockNow() + kReadyMost, ready);
   }
   void overAsItStarted(Member& m, Process& p, const std::function<void()>& ready) {
-    if (p.asked || stopping_)
+    if (p.stopRequested || stopping_)
       return;
     if (p.ready)
       return crashed(p);
@@ -193,11 +193,11 @@
       note(m.name + " found its address taken and is started again");
       return start(m, ready);
     }
-    breach(Rule::crash, fmt::format("{} ended with {} as it started: {}", m.name, p.code, p.lastLine));
+    breach(Rule::crash, fmt::format("{} ended with {} as it started: {}", m.name, p.exitCode, p.lastLine));
     end();
   }
   void crashed(Process& p) {
-    breach(Rule::crash, fmt::format("{} ended with {} unasked: {}", p.name, p.code, p.lastLine));
+    breach(Rule::crash, fmt::format("{} ended with {} unasked: {}", p.name, p.exitCode, p.lastLine));
   }
   void awaitReady(Member& m, const std::shared_ptr<Process>& p, Time most, std::function<void()> ready) {
     if (p->ended || stopping_)
@@ -206,15 +206,15 @@
       breach(Rule::crash, m.name + " neither ended nor became ready");
       return end();
     }
-    ask(io_, m.management->endpoint(), "/ops/readiness", std::chrono::seconds(1),
-        [this, &m, p, most, ready](int status, const std::string&) {
-          if (status == 200) {
-            p->ready = true;
-            note(m.name + " is ready");
-            return ready();
-          }
-          later(inSeconds(kReadyLook), [this, &m, p, most, ready] { awaitReady(m, p, most, ready); });
-        });
+    httpGet(io_, m.management->endpoint(), "/ops/readiness", std::chrono::seconds(1),
+            [this, &m, p, most, ready](int status, const std::string&) {
+              if (status == 200) {
+                p->ready = true;
+                note(m.name + " is ready");
+                return ready();
+              }
+              later(inSeconds(kReadyLook), [this, &m, p, most, ready] { awaitReady(m, p, most, ready); });
+            });
   }
   void watchChildren() {
     children_.async_wait([this](error_code ec, int) {
@@ -231,18 +231,18 @@
       if (p->ended || ::wait4(p->pid, &status, WNOHANG, &used) != p->pid)
         continue;
       p->ended = true;
-      p->code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
+      p->exitCode = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
       cpu_ += static_cast<double>(used.ru_utime.tv_sec + used.ru_stime.tv_sec) +
               1e-6 * static_cast<double>(used.ru_utime.tv_usec + used.ru_stime.tv_usec);
       memory_ = std::max(memory_, static_cast<double>(used.ru_maxrss) / 1024);
-      note(fmt::format("{} ended with {}", p->name, p->code));
+      note(fmt::format("{} ended with {}", p->name, p->exitCode));
       // What it said last is still in its pipe.
       asio::post(io_, [this, p] {
         // One that is ended before it has a handler for the signal dies of it.
-        if (p->asked && p->ready && p->code != 0 && p->code != 128 + SIGKILL)
+        if (p->stopRequested && p->ready && p->exitCode != 0 && p->exitCode != 128 + SIGKILL)
           crashed(*p);
-        else if (p->over)
-          p->over();
+        else if (p->onExit)
+          p->onExit();
         if (stopping_ && allEnded())
           io_.stop();
       });
@@ -303,7 +303,7 @@
     note("the day ends");
     load_->stop();
     for (const auto& p : processes_)
-      p->asked = true, p->send(SIGCONT), p->send(SIGTERM);
+      p->stopRequested = true, p->send(SIGCONT), p->send(SIGTERM);
     if (allEnded())
       io_.stop();
     later(inSeconds(kEndMost), [this] {
@@ -329,13 +329,13 @@
     auto views = std::make_shared<std::map<std::string, std::string>>();
     auto waited = std::make_shared<std::size_t>(members_.size());
     for (const auto& m : members_)
-      ask(io_, m->management->endpoint(), "/ops/fleet", std::chrono::milliseconds(500),
-          [this, watch, from, most, views, waited, name = m->name](int status, const std::string& body) {
-            if (status == 200)
-              (*views)[name] = body;
-            if (--*waited == 0)
-              judgeViews(watch, from, most, *views);
-          });
+      httpGet(io_, m->management->endpoint(), "/ops/fleet", std::chrono::milliseconds(500),
+              [this, watch, from, most, views, waited, name = m->name](int status, const std::string& body) {
+                if (status == 200)
+                  (*views)[name] = body;
+                if (--*waited == 0)
+                  judgeViews(watch, from, most, *views);
+              });
   }
   void judgeViews(int watch, Time from, Time most, const std::map<std::string, std::string>& views) {
     if (stopping_ || watch != viewWatch_)
@@ -516,7 +516,7 @@
     }
   }
   void killed(Member& m, const Fault& f) {
-    m.process->asked = true;
+    m.process->stopRequested = true;
     m.process->send(SIGKILL);
     load_->released(m.number);
     later(s_.frontendDetectionS.low, [this, &m, p = m.process] {
@@ -534,20 +534,20 @@
     });
   }
   void terminated(Member& m, const Fault& f) {
-    m.process->asked = true;
+    m.process->stopRequested = true;
     m.process->send(SIGTERM);
     later(0.3, [this, &m] { load_->target(m.number).known = false; });
-    m.process->over = [this, &m, &f] { later(f.durationS, [this, &m] { back(m); }); };
+    m.process->onExit = [this, &m, &f] { later(f.durationS, [this, &m] { back(m); }); };
   }
   void upgraded(Member& m) {
     const auto old = m.process;
     m.process = spawn(m);
-    m.process->over = [this, p = m.process.get()] {
-      if (!p->asked && !stopping_)
+    m.process->onExit = [this, p = m.process.get()] {
+      if (!p->stopRequested && !stopping_)
         crashed(*p);
     };
     awaitReady(m, m.process, clockNow() + kReadyMost, [this, old] {
-      old->asked = true;
+      old->stopRequested = true;
       old->send(SIGTERM);
       watchViews();
     });
@@ -576,11 +576,11 @@
     });
   }
   void countOf(Member& m, const std::string& figure, std::function<void(int)> done) {
-    ask(io_, m.management->endpoint(), "/ops/stats", std::chrono::seconds(1),
-        [figure, done](int, const std::string& body) {
-          const auto at = body.find("." + figure + "=");
-          done(at == std::string::npos ? -1 : std::atoi(body.c_str() + at + figure.size() + 2));
-        });
+    httpGet(io_, m.management->endpoint(), "/ops/stats", std::chrono::seconds(1),
+            [figure, done](int, const std::string& body) {
+              const auto at = body.find("." + figure + "=");
+              done(at == std::string::npos ? -1 : std::atoi(body.c_str() + at + figure.size() + 2));
+            });
   }
 
   FleetResult verdict() {
@@ -592,8 +592,8 @@
         breach(Rule::check, fmt::format("goodput {:.3f}, expected {:.3f}", got, s_.expectGoodput));
     }
     r = load_->result();
-    r.timeline = line_;
-    all.line = line_;
+    r.timeline = timeline_;
+    all.timeline = timeline_;
     all.lagMs = lagMs_;
     all.cpuS = cpu_;
     all.memoryMb = memory_;
@@ -620,7 +620,7 @@
   bool ownDir_ = false, stopping_ = false, interrupted_ = false;
   std::vector<std::unique_ptr<Member>> members_;
   std::vector<std::shared_ptr<Process>> processes_;
-  std::vector<std::string> line_;
+  std::vector<std::string> timeline_;
   double lagMs_ = 0, cpu_ = 0, memory_ = 0;
 };
 
@@ -708,7 +708,7 @@
       "font-weight:bold}</style>\n<h1>" +
       escaped(f.result.scenario) + ": " + wordOf(f.verdict) + "</h1>\n<pre>" + escaped(textOf(f)) +
       "</pre>\n<h2>What happened</h2>\n<pre>";
-  for (const std::string& line : f.line) {
+  for (const std::string& line : f.timeline) {
     const bool fault = line.find("FAULT") != std::string::npos;
     page += fault ? "<span class='f'>" + escaped(line) + "</span>\n" : escaped(line) + "\n";
   }
--- a/src/lab/testbed/fleet.hpp
+++ b/src/lab/testbed/fleet.hpp
@@ -28,10 +28,10 @@
 struct FleetResult {
   Verdict verdict = Verdict::fail;
   Result result;
-  std::vector<std::string> line;  ///< faults and the processes' own lines on one time line
-  double lagMs = 0;               ///< the testbed's own: the longest that its loop was late
-  double cpuS = 0;                ///< processor time of all the processes
-  double memoryMb = 0;            ///< the most that one of them held
+  std::vector<std::string> timeline;  ///< faults and the processes' own lines on one time line
+  double lagMs = 0;                   ///< the testbed's own: the longest that its loop was late
+  double cpuS = 0;                    ///< processor time of all the processes
+  double memoryMb = 0;                ///< the most that one of them held
 };
 
 /// The TOML that a gateway of this scenario is started with; `membership` is that section's text.
--- a/src/lab/testbed/lag_meter.hpp
+++ b/src/lab/testbed/lag_meter.hpp
@@ -13,8 +13,8 @@
   explicit LagMeter(boost::asio::io_context& io) : timer_(io) { wait(); }
 
   /// The longest that the loop was late since the last reset, in milliseconds.
-  double mostMs() const { return mostMs_; }
-  void reset() { mostMs_ = 0; }
+  double maxLagMs() const { return maxLagMs_; }
+  void reset() { maxLagMs_ = 0; }
 
  private:
   static constexpr auto kLook = std::chrono::milliseconds(10);
@@ -25,13 +25,13 @@
       if (ec)
         return;
       const std::chrono::duration<double, std::milli> late = std::chrono::steady_clock::now() - due;
-      mostMs_ = std::max(mostMs_, late.count());
+      maxLagMs_ = std::max(maxLagMs_, late.count());
       wait();
     });
   }
 
   boost::asio::steady_timer timer_;
-  double mostMs_ = 0;
+  double maxLagMs_ = 0;
 };
 
 }  // namespace hollyrun::lab
--- a/src/lab/testbed/load.hpp
+++ b/src/lab/testbed/load.hpp
@@ -54,7 +54,7 @@
 
   const OnTheWire* find(std::uint64_t id) const override;
   Checker& checker() override { return checker_; }
-  std::size_t open() const { return open_; }
+  std::size_t openCalls() const { return open_; }
   Time started() const { return started_; }
   /// What it has come to so far; the times of `seconds` and breaches count from the start.
   Result result() const;
--- a/src/lab/testbed/platform.cpp
+++ b/src/lab/testbed/platform.cpp
@@ -57,8 +57,8 @@
 class Session : public std::enable_shared_from_this<Session> {
  public:
   using Request = http::request<http::string_body>;
-  std::function<void(Session&, Request)> asked;
-  std::function<void(Session&)> left;
+  std::function<void(Session&, Request)> onRequest;
+  std::function<void(Session&)> onClose;
 
   explicit Session(tcp::socket socket) : socket_(std::move(socket)) {}
 
@@ -73,8 +73,8 @@
       Request request = self->parser_->release();
       ++self->requests_;
       self->read();  // goes on at once, so that the other side's leaving is seen
-      if (self->asked)
-        self->asked(*self, std::move(request));
+      if (self->onRequest)
+        self->onRequest(*self, std::move(request));
     });
   }
   /// `written` is called once the answer's last byte is.
@@ -91,19 +91,19 @@
     if (reset)
       socket_.set_option(asio::socket_base::linger(true, 0), ignored);
     socket_.close(ignored);
-    asked = nullptr;
-    left = nullptr;
+    onRequest = nullptr;
+    onClose = nullptr;
   }
   bool open() const { return open_; }
   std::size_t requests() const { return requests_; }
 
  private:
   void gone() {
-    const auto told = left;
+    const auto callback = onClose;
     const auto self = shared_from_this();
     close(false);
-    if (told)
-      told(*this);
+    if (callback)
+      callback(*this);
   }
   void write() {
     http::async_write(socket_, out_.front().first, [self = shared_from_this()](error_code ec, std::size_t) {
@@ -138,7 +138,7 @@
   return text;
 }
 
-HeldPort::HeldPort(asio::io_context& io) : socket_(io, tcp::v4()) {
+ReservedPort::ReservedPort(asio::io_context& io) : socket_(io, tcp::v4()) {
   socket_.set_option(tcp::socket::reuse_address(true));
   socket_.bind({asio::ip::address_v4::loopback(), 0});
   endpoint_ = socket_.local_endpoint();
@@ -274,8 +274,8 @@
       const bool full = static_cast<double>(server.connections) >= server.parameters().connectionCap;
       if (!full) {
         auto session = std::make_shared<Session>(std::move(socket));
-        session->asked = [this](Session& s, Session::Request r) { asked(s, std::move(r)); };
-        session->left = [this](Session& s) { left(s); };
+        session->onRequest = [this](Session& s, Session::Request r) { asked(s, std::move(r)); };
+        session->onClose = [this](Session& s) { left(s); };
         sessions_.push_back(session);
         ++server.connections;
         session->read();
@@ -399,7 +399,7 @@
   }
 
   Stream draw_;
-  HeldPort port_;
+  ReservedPort port_;
   tcp::acceptor acceptor_;
   asio::steady_timer timer_, tick_;
   std::vector<std::shared_ptr<Session>> sessions_;
@@ -488,14 +488,14 @@
       if (ec)
         return;
       auto session = std::make_shared<Session>(std::move(socket));
-      session->asked = [this](Session& s, Session::Request r) {
+      session->onRequest = [this](Session& s, Session::Request r) {
         const auto self = s.shared_from_this();
         if (silent)
           unheard_.emplace_back(self, r.target().to_string());
         else
           answer(self, r.target().to_string());
       };
-      session->left = [this](Session& s) {
+      session->onClose = [this](Session& s) {
         std::erase_if(watches_, [&](const auto& w) { return w->session.get() == &s; });
       };
       session->read();
@@ -656,7 +656,7 @@
   }
 }
 
-std::size_t Platform::held() const {
+std::size_t Platform::requestsInFlight() const {
   std::size_t sum = 0;
   for (const auto& s : servers_)
     sum += s->server.inFlight();
@@ -698,8 +698,8 @@
 
 }  // namespace
 
-void ask(asio::io_context& io, const tcp::endpoint& to, const std::string& target, Duration wait,
-         std::function<void(int, std::string)> done) {
+void httpGet(asio::io_context& io, const tcp::endpoint& to, const std::string& target, Duration wait,
+             std::function<void(int, std::string)> done) {
   auto a = std::make_shared<Asking>(io);
   a->done = std::move(done);
   a->request = {http::verb::get, target, 11};
--- a/src/lab/testbed/platform.hpp
+++ b/src/lab/testbed/platform.hpp
@@ -29,9 +29,9 @@
 
 /// A port of the kernel's choice, kept for as long as this lives: bound and never listening, so that the one
 /// that it is meant for can bind it too (both with SO_REUSEADDR) and nobody else is given it.
-class HeldPort {
+class ReservedPort {
  public:
-  explicit HeldPort(asio::io_context& io);
+  explicit ReservedPort(asio::io_context& io);
   tcp::endpoint endpoint() const { return endpoint_; }
 
  private:
@@ -88,7 +88,7 @@
 
   /// One line: what each server holds and its state, for a log.
   std::string stateLine() const;
-  std::size_t held() const;
+  std::size_t requestsInFlight() const;
 
  private:
   friend class Agent;
@@ -107,7 +107,7 @@
 };
 
 /// Reads an HTTP answer from `to` and hands on its status and body; status 0 if there was none within `wait`.
-void ask(asio::io_context& io, const tcp::endpoint& to, const std::string& target, Duration wait,
-         std::function<void(int status, std::string body)> done);
+void httpGet(asio::io_context& io, const tcp::endpoint& to, const std::string& target, Duration wait,
+             std::function<void(int status, std::string body)> done);
 
 }  // namespace hollyrun::lab
--- a/src/lab/testbed/process.cpp
+++ b/src/lab/testbed/process.cpp
@@ -67,8 +67,8 @@
                          asio::buffers_begin(self->buffer.data()) + static_cast<std::ptrdiff_t>(n) - 1);
         self->buffer.consume(n);
         self->lastLine = line;
-        if (self->said)
-          self->said(line);
+        if (self->onOutputLine)
+          self->onOutputLine(line);
         self->read();
       });
 }
--- a/src/lab/testbed/process.hpp
+++ b/src/lab/testbed/process.hpp
@@ -25,10 +25,11 @@
 
   std::string name, lastLine;
   pid_t pid = -1;
-  bool asked = false, ended = false, ready = false;  // asked: the testbed wanted it to end
-  int code = 0;
-  std::function<void(const std::string&)> said;
-  std::function<void()> over;
+  bool stopRequested = false;  ///< by the testbed, so that its end is no crash
+  bool ended = false, ready = false;
+  int exitCode = 0;
+  std::function<void(const std::string&)> onOutputLine;
+  std::function<void()> onExit;
 
  private:
   void read();
--- a/src/lab/testbed/scale.cpp
+++ b/src/lab/testbed/scale.cpp
@@ -16,7 +16,7 @@
   StepResult result;
   for (unsigned i = 0; i < std::max(plan.voidTries, 1u); ++i) {
     result = measureStep(plan, size);
-    if (result.voided.empty())
+    if (result.voidReason.empty())
       break;
   }
   result.size = value;
@@ -43,7 +43,7 @@
 
 bool hasVoidStep(const ScaleRun& run) {
   return std::any_of(run.steps.begin(), run.steps.end(),
-                     [](const StepResult& step) { return !step.voided.empty(); });
+                     [](const StepResult& step) { return !step.voidReason.empty(); });
 }
 
 }  // namespace hollyrun::lab
--- a/src/lab/testbed/scale_figures.cpp
+++ b/src/lab/testbed/scale_figures.cpp
@@ -11,7 +11,7 @@
 
 constexpr double kSlopeFor = 1000;  // of the dimension
 
-constexpr std::array<FigureText, kFigures> kTexts{{
+constexpr std::array<FigureText, kFigureCount> kTexts{{
     {"request_us", "processor time a request, us", 1},
     {"idle_percent", "idle, % of a core", 3},
     {"resident_mb", "resident, MB", 1},
@@ -44,7 +44,7 @@
 std::vector<Point> pointsOf(const ScaleRun& run, Figure figure) {
   std::vector<Point> all;
   for (const StepResult& step : run.steps)
-    if (step.voided.empty() && step[figure])
+    if (step.voidReason.empty() && step[figure])
       all.push_back({step.size, *step[figure]});
   return all;
 }
@@ -74,7 +74,7 @@
 std::map<double, std::size_t> sizesOf(const ScaleRun& run) {
   std::map<double, std::size_t> all;  // with how many of its steps are void
   for (const StepResult& step : run.steps)
-    all[step.size] += step.voided.empty() ? 0 : 1;
+    all[step.size] += step.voidReason.empty() ? 0 : 1;
   return all;
 }
 
@@ -105,7 +105,7 @@
 }
 
 std::optional<Figure> figureNamed(const std::string& name) {
-  for (std::size_t i = 0; i < kFigures; ++i)
+  for (std::size_t i = 0; i < kFigureCount; ++i)
     if (name == kTexts[i].name)
       return static_cast<Figure>(i);
   return std::nullopt;
@@ -144,7 +144,7 @@
     line += " --- |";
   }
   text += fmt::format(" slope for {:g} |\n{} --- |\n", kSlopeFor, line);
-  for (std::size_t i = 0; i < kFigures; ++i) {
+  for (std::size_t i = 0; i < kFigureCount; ++i) {
     const auto figure = static_cast<Figure>(i);
     const auto means = meansOf(run, figure);
     if (means.empty())
@@ -157,20 +157,20 @@
   return text;
 }
 
-ShapeBound parseShapeBound(const std::string& text) {
+GrowthBound parseGrowthBound(const std::string& text) {
   const std::size_t equals = text.find('=');
   const auto figure = figureNamed(text.substr(0, equals));
   if (equals == std::string::npos || !figure)
     throw std::invalid_argument("'" + text + "' is no FIGURE=FACTOR");
-  ShapeBound bound{*figure, std::atof(text.c_str() + equals + 1)};
+  GrowthBound bound{*figure, std::atof(text.c_str() + equals + 1)};
   if (!(bound.factor > 0))
     throw std::invalid_argument("'" + text + "': the factor has to be above 0");
   return bound;
 }
 
-std::vector<std::string> shapeFaults(const ScaleRun& run, const std::vector<ShapeBound>& bounds) {
+std::vector<std::string> growthViolations(const ScaleRun& run, const std::vector<GrowthBound>& bounds) {
   std::vector<std::string> faults;
-  for (const ShapeBound& bound : bounds) {
+  for (const GrowthBound& bound : bounds) {
     const auto means = meansOf(run, bound.figure);
     const char* name = textOf(bound.figure).name;
     if (means.size() < 2) {
--- a/src/lab/testbed/scale_figures.hpp
+++ b/src/lab/testbed/scale_figures.hpp
@@ -36,7 +36,7 @@
   lagMs,         ///< the longest that the testbed's own loop, or that of stub processes, was late
   busiestShare,  ///< of a core: the busiest of the testbed's own processes under the load
 };
-inline constexpr std::size_t kFigures = static_cast<std::size_t>(Figure::busiestShare) + 1;
+inline constexpr std::size_t kFigureCount = static_cast<std::size_t>(Figure::busiestShare) + 1;
 
 struct FigureText {
   const char* name;  ///< as the command line and the file of results have it
@@ -50,8 +50,8 @@
 struct StepResult {
   double size = 0;  ///< in the run's dimension
   unsigned round = 0;
-  std::array<std::optional<double>, kFigures> figures{};
-  std::string voided;  ///< why it proves nothing; empty: it does
+  std::array<std::optional<double>, kFigureCount> figures{};
+  std::string voidReason;  ///< why it proves nothing; empty: it does
 
   std::optional<double>& operator[](Figure f) { return figures[static_cast<std::size_t>(f)]; }
   const std::optional<double>& operator[](Figure f) const { return figures[static_cast<std::size_t>(f)]; }
@@ -74,13 +74,13 @@
 std::string tableOf(const ScaleRun& run);
 
 /// From the smallest size to the greatest a figure may grow so many times.
-struct ShapeBound {
+struct GrowthBound {
   Figure figure = Figure::requestUs;
   double factor = 1;
 };
 /// `request_us=2.5`; throws std::invalid_argument on anything else.
-ShapeBound parseShapeBound(const std::string& text);
+GrowthBound parseGrowthBound(const std::string& text);
 /// A line on each bound that does not hold; one that was not measured does not.
-std::vector<std::string> shapeFaults(const ScaleRun& run, const std::vector<ShapeBound>& bounds);
+std::vector<std::string> growthViolations(const ScaleRun& run, const std::vector<GrowthBound>& bounds);
 
 }  // namespace hollyrun::lab
--- a/src/lab/testbed/scale_plan.cpp
+++ b/src/lab/testbed/scale_plan.cpp
@@ -84,7 +84,7 @@
   }
 }
 
-double ScaleSize::of(Dimension dimension) const {
+double ScaleSize::get(Dimension dimension) const {
   switch (dimension) {
     case Dimension::gateways:
       return static_cast<double>(gateways);
@@ -108,7 +108,7 @@
   if (plan.values.empty())
     throw std::invalid_argument("a scale run has one step at least");
   needUpTo("steps", static_cast<double>(plan.values.size() * plan.rounds), kStepsMost);
-  for (const double seconds : {plan.idleS, plan.loadS, plan.warmS, plan.outageS, plan.joinMostS})
+  for (const double seconds : {plan.idleS, plan.loadS, plan.warmS, plan.outageS, plan.joinTimeoutS})
     needUpTo("seconds of a window", seconds, kWindowMostS);
   for (const double value : plan.values) {
     ScaleSize size = plan.size;
--- a/src/lab/testbed/scale_plan.hpp
+++ b/src/lab/testbed/scale_plan.hpp
@@ -27,7 +27,7 @@
   double changes = 0;       ///< of the list, a second
 
   void set(Dimension dimension, double value);
-  double of(Dimension dimension) const;
+  double get(Dimension dimension) const;
 };
 
 struct ScalePlan {
@@ -40,13 +40,14 @@
   unsigned rounds = 1;         ///< of all the steps
   unsigned voidTries = 3;      ///< a step that is void is played so often
   double idleS = 5, loadS = 8, warmS = 2;
-  double answerMs = 2;            ///< until a stub server answers
-  unsigned hangups = 3;           ///< SIGHUPs measured a step
-  unsigned listChanges = 5;       ///< followed to all stub gateways
-  double outageS = 2;             ///< of discovery, before its watches begin anew; 0: none is played
-  std::size_t configured = 410;   ///< fleet.gateways of the settings, or all of the size if those are more
+  double answerMs = 2;       ///< until a stub server answers
+  unsigned hangups = 3;      ///< SIGHUPs measured a step
+  unsigned listChanges = 5;  ///< followed to all stub gateways
+  double outageS = 2;        ///< of discovery, before its watches begin anew; 0: none is played
+  std::size_t configuredGateways =
+      410;                        ///< fleet.gateways of the settings, or all of the size if those are more
   double membershipPeriodMs = 0;  ///< 0: no membership
-  double joinMostS = 60;          ///< waited for until all members see all
+  double joinTimeoutS = 60;       ///< waited for until all members see all
   // Beyond these a step is void: the testbed would show as latency of the gateway, or be itself what is
   // measured.
   double lagMostMs = 100;   ///< that the loop of one of the testbed's processes was late under a load
--- a/src/lab/testbed/scale_step.cpp
+++ b/src/lab/testbed/scale_step.cpp
@@ -111,7 +111,9 @@
       voidFor(fmt::format("{}: the testbed was {:.0f} ms late", window, testbed_.lagMs()));
   }
   void raise(Figure figure, double value) { result_[figure] = std::max(result_[figure].value_or(0), value); }
-  void voidFor(const std::string& why) { result_.voided += (result_.voided.empty() ? "" : "; ") + why; }
+  void voidFor(const std::string& why) {
+    result_.voidReason += (result_.voidReason.empty() ? "" : "; ") + why;
+  }
 
   // --- Measures ---
 
@@ -120,7 +122,7 @@
       return testbed_.playFor(kSettleS);
     const auto all = static_cast<std::uint32_t>(size_.gateways + size_.stubs);
     const Time from = clockNow();
-    if (testbed_.playUntil([&] { return testbed_.stubMembersSeen() >= all; }, plan_.joinMostS))
+    if (testbed_.playUntil([&] { return testbed_.stubMembersSeen() >= all; }, plan_.joinTimeoutS))
       result_[Figure::joinMs] = inSeconds(clockNow() - from) * kMs;
     testbed_.playFor(kSettleS);
   }
--- a/src/lab/testbed/scale_step.hpp
+++ b/src/lab/testbed/scale_step.hpp
@@ -6,7 +6,7 @@
 
 namespace hollyrun::lab {
 
-/// Measures a fleet of that size. A step for which this machine was too slow says so in `voided`. Throws
+/// Measures a fleet of that size. A step for which this machine was too slow says so in `voidReason`. Throws
 /// ScaleInterrupted, and std::runtime_error if a process fails.
 StepResult measureStep(const ScalePlan& plan, const ScaleSize& size);
 
--- a/src/lab/testbed/scale_testbed.cpp
+++ b/src/lab/testbed/scale_testbed.cpp
@@ -110,10 +110,10 @@
 
 ScaleTestbed::OpsAnswer ScaleTestbed::answerOf(const RealGateway& gateway, const std::string& target) {
   const auto answer = std::make_shared<OpsAnswer>();
-  lab::ask(io_, gateway.management.endpoint(), target, seconds(kAnswerMostS),
-           [answer](int status, const std::string& body) {
-             *answer = {status, body};
-           });
+  httpGet(io_, gateway.management.endpoint(), target, seconds(kAnswerMostS),
+          [answer](int status, const std::string& body) {
+            *answer = {status, body};
+          });
   playUntil([&] { return answer->status >= 0; }, kAnswerMostS + 1);
   return *answer;
 }
@@ -151,10 +151,10 @@
     if (process->ended || ::waitpid(process->pid, &status, WNOHANG) != process->pid)
       continue;
     process->ended = true;
-    process->code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
+    process->exitCode = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
     // What it said last is still in its pipe.
     asio::post(io_, [this, process] {
-      failure_ = fmt::format("{} ended with {}: {}", process->name, process->code, process->lastLine);
+      failure_ = fmt::format("{} ended with {}: {}", process->name, process->exitCode, process->lastLine);
     });
   }
 }
@@ -175,7 +175,7 @@
   stubs_.push_back(std::make_unique<Helper>());
   Helper& helper = *stubs_.back();
   helper.process = std::make_shared<Process>(io_, name);
-  helper.process->said = [&helper](const std::string& line) {
+  helper.process->onOutputLine = [&helper](const std::string& line) {
     const auto report = parseStubReport(line);
     if (!report)
       return;
@@ -269,7 +269,7 @@
 
 // The settings allow no number of a gateway beyond it.
 std::uint32_t ScaleTestbed::configuredGateways() const {
-  return static_cast<std::uint32_t>(std::max(plan_.configured, size_.gateways + size_.stubs));
+  return static_cast<std::uint32_t>(std::max(plan_.configuredGateways, size_.gateways + size_.stubs));
 }
 
 std::string ScaleTestbed::configOf(const RealGateway& gateway, const std::string& seeds,
@@ -388,7 +388,7 @@
 }
 
 double ScaleTestbed::lagMs() const {
-  double most = std::max(lag_.mostMs(), servers_->lagMs);
+  double most = std::max(lag_.maxLagMs(), servers_->lagMs);
   for (const auto& helper : stubs_)
     most = std::max(most, helper->lagMs);
   return most;
--- a/src/lab/testbed/scale_testbed.hpp
+++ b/src/lab/testbed/scale_testbed.hpp
@@ -33,7 +33,7 @@
 
   std::size_t number;
   std::string name;
-  HeldPort port, management;
+  ReservedPort port, management;
   std::size_t discovery = 0;  ///< its address at discovery
   std::string membership;     ///< address:port; empty: it is no member
   std::filesystem::path config;
--- a/src/lab/testbed/stub_gateway.cpp
+++ b/src/lab/testbed/stub_gateway.cpp
@@ -168,7 +168,7 @@
   void reportRegularly() {
     StubReport now = last_;
     sum(now);
-    now.lagMs = lag_.mostMs();
+    now.lagMs = lag_.maxLagMs();
     lag_.reset();
     say(now);
     timer_.expires_after(kReportEvery);
--- a/src/lab/testbed/stub_server.cpp
+++ b/src/lab/testbed/stub_server.cpp
@@ -146,7 +146,7 @@
   std::function<void()> report = [&] {
     StubReport now;
     now.port = servers.port();
-    now.lagMs = lag.mostMs();
+    now.lagMs = lag.maxLagMs();
     lag.reset();
     std::cout << textOf(now) << std::endl;
     timer.expires_after(kReportEvery);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -70,7 +70,7 @@
 
 TEST(ScaleFiguresTest, AVoidStepCountsForNothingAndIsShown) {
   ScaleRun run = runOf({{1, 1}, {2, 2}, {3, 99}});
-  run.steps.back().voided = "the testbed was late";
+  run.steps.back().voidReason = "the testbed was late";
   const auto fit = slopeOf(run, Figure::requestUs);
   ASSERT_TRUE(fit);
   EXPECT_NEAR(fit->slope, 1, 1e-9);
@@ -87,15 +87,15 @@
 
 TEST(ScaleFiguresTest, GrowthBeyondABoundIsAFaultAndSoIsAFigureThatIsMissing) {
   const ScaleRun run = runOf({{200, 100}, {800, 250}});
-  EXPECT_TRUE(shapeFaults(run, {parseShapeBound("request_us=2.5")}).empty());
+  EXPECT_TRUE(growthViolations(run, {parseGrowthBound("request_us=2.5")}).empty());
   const auto faults =
-      shapeFaults(run, {parseShapeBound("request_us=2.4"), parseShapeBound("idle_percent=9")});
+      growthViolations(run, {parseGrowthBound("request_us=2.4"), parseGrowthBound("idle_percent=9")});
   ASSERT_EQ(faults.size(), 2u);
   EXPECT_NE(faults[0].find("2.50 times, allowed 2.4"), std::string::npos) << faults[0];
   EXPECT_NE(faults[1].find("idle_percent: not measured"), std::string::npos) << faults[1];
-  EXPECT_THROW(parseShapeBound("request_us"), std::invalid_argument);
-  EXPECT_THROW(parseShapeBound("speed=2"), std::invalid_argument);
-  EXPECT_THROW(parseShapeBound("request_us=0"), std::invalid_argument);
+  EXPECT_THROW(parseGrowthBound("request_us"), std::invalid_argument);
+  EXPECT_THROW(parseGrowthBound("speed=2"), std::invalid_argument);
+  EXPECT_THROW(parseGrowthBound("request_us=0"), std::invalid_argument);
 }
 
 TEST(ScaleFiguresTest, KeptStepsComeBackAsTheyWere) {
@@ -103,7 +103,7 @@
   ScaleRun run = runOf({{200, 30.5}, {1000, 110}});
   run.label = "before";
   run.command = "hollyrun-lab scale";
-  run.steps[1].voided = "late";
+  run.steps[1].voidReason = "late";
   run.steps[1].round = 1;
   Store(file).putScale(run);
   const auto kept = Store(file).scaleRuns("before");
@@ -113,7 +113,7 @@
   ASSERT_EQ(kept[0].steps.size(), 2u);
   EXPECT_EQ(kept[0].steps[0][Figure::requestUs], 30.5);
   EXPECT_FALSE(kept[0].steps[0][Figure::stallMs]);
-  EXPECT_EQ(kept[0].steps[1].voided, "late");
+  EXPECT_EQ(kept[0].steps[1].voidReason, "late");
   EXPECT_EQ(kept[0].steps[1].round, 1u);
   EXPECT_TRUE(Store(file).scaleRuns("after").empty());
   std::filesystem::remove(file);
@@ -260,11 +260,11 @@
   StubServers servers(io, {kTestAddresses, 300, 0.5});
   int well = 0, all = 0;
   for (const std::size_t number : {0, 150, 299})
-    ask(io, stubServerEndpoint(kTestAddresses, number, servers.port()), "/lookup/1", std::chrono::seconds(5),
-        [&](int status, const std::string& body) {
-          ++all;
-          well += status == 200 && body.find("\"id\"") != std::string::npos;
-        });
+    httpGet(io, stubServerEndpoint(kTestAddresses, number, servers.port()), "/lookup/1",
+            std::chrono::seconds(5), [&](int status, const std::string& body) {
+              ++all;
+              well += status == 200 && body.find("\"id\"") != std::string::npos;
+            });
   EXPECT_TRUE(playUntil(io, [&] { return all == 3; }));
   EXPECT_EQ(well, 3);
   EXPECT_EQ(servers.answered(), 3u);
@@ -298,14 +298,14 @@
   plan.size.classes = 9;
   plan.size.changes = 10;
   plan.membershipPeriodMs = 200;
-  plan.configured = 3;  // fewer than there are: their numbers go beyond it
+  plan.configuredGateways = 3;  // fewer than there are: their numbers go beyond it
   std::size_t heard = 0;
   const ScaleRun run = playScale(plan, [&](const StepResult&) { ++heard; });
   EXPECT_EQ(heard, 1u);
   ASSERT_EQ(run.steps.size(), 1u);
   const StepResult& step = run.steps.front();
-  for (std::size_t i = 0; i < kFigures; ++i)
-    EXPECT_TRUE(step.figures[i]) << textOf(static_cast<Figure>(i)).name << " is missing: " << step.voided;
+  for (std::size_t i = 0; i < kFigureCount; ++i)
+    EXPECT_TRUE(step.figures[i]) << textOf(static_cast<Figure>(i)).name << " is missing: " << step.voidReason;
   EXPECT_GT(*step[Figure::requestUs], 0);
   EXPECT_LT(*step[Figure::unservedPercent], 20) << "the load is light and its servers answer at once";
   EXPECT_GT(*step[Figure::hangupMs], 0);
@@ -318,7 +318,7 @@
   plan.voidTries = 2;
   const ScaleRun run = playScale(plan, [](const StepResult&) {});
   EXPECT_TRUE(hasVoidStep(run));
-  EXPECT_NE(run.steps.front().voided.find("ms late"), std::string::npos) << run.steps.front().voided;
+  EXPECT_NE(run.steps.front().voidReason.find("ms late"), std::string::npos) << run.steps.front().voidReason;
 }
 
 TEST(ScaleRunTest, AProgramThatIsMissingOrEndsIsNamed) {
