--- a/src/lab/testbed/fleet.hpp
+++ b/src/lab/testbed/fleet.hpp
@@ -1,5 +1,5 @@
-// Real processes of the program under the emulated platform and a load, with a schedule of faults: what its
-// own clients and servers saw is the evidence, and the rules' checker judges it.
+// Runs real processes of the gateway against the emulated platform and a load, with a schedule of faults. The
+// checker verifies the rules on what the testbed's own clients and servers observed.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,10 +17,10 @@
 namespace hollyrun::lab {
 
 struct FleetPlan {
-  std::string program;  ///< the built hollyrun
-  std::string dir;      ///< configurations and temporary folders of the processes; empty: one that goes again
+  std::string program;  ///< path of the built hollyrun
+  std::string dir;      ///< for configurations and temporary folders; empty: a folder removed at the end
   std::uint64_t seed = 1;
-  double rate = 0;  ///< first tries a second; 0: by the scenario's level
+  double rate = 0;  ///< calls per second, without retries; 0: from the scenario's load level
 };
 
 enum class Verdict { pass, fail, interrupted, voided };
@@ -28,24 +28,25 @@
 struct FleetResult {
   Verdict verdict = Verdict::fail;
   Result result;
-  std::vector<std::string> timeline;  ///< faults and the processes' own lines on one time line
-  double lagMs = 0;                   ///< the testbed's own: the longest that its loop was late
-  double cpuS = 0;                    ///< processor time of all the processes
-  double memoryMb = 0;                ///< the most that one of them held
+  std::vector<std::string> timeline;  ///< faults and output lines of the processes, in order of time
+  double lagMs = 0;                   ///< longest delay of the testbed's own event loop
+  double cpuS = 0;                    ///< processor time of all processes
+  double memoryMb = 0;                ///< peak resident memory of the largest process
 };
 
-/// The TOML that a gateway of this scenario is started with; `membership` is that section's text.
+/// Returns the TOML configuration of one gateway of the scenario. `membership` is the text of its [membership]
+/// section.
 std::string configOf(const Scenario& scenario, const DrawnDay& day, std::uint32_t number,
                      std::uint32_t gateways, const std::string& listen, const std::string& discovery,
                      const std::string& management, const std::string& membership = {});
 
-/// Plays the scenario; it ends by itself, and every process that it started has ended with it. Throws
-/// std::runtime_error if the program cannot be started at all.
+/// Plays the scenario to its end and ends every process that it started. Throws std::runtime_error if the
+/// program does not exist or the scenario has events for virtual time only.
 FleetResult playFleet(const Scenario& scenario, const FleetPlan& plan);
 
-/// A page for a person: the verdict, what was asked and served by second, and the time line.
+/// Formats the result as an HTML page: the verdict, calls and outcomes by second, and the timeline.
 std::string pageOf(const FleetResult& result);
-/// The same as text: a line a second, then the breaches and the verdict.
+/// Formats the result as text: a line for each second, then the breaches and the verdict.
 std::string textOf(const FleetResult& result);
 
 }  // namespace hollyrun::lab
--- a/src/lab/testbed/lag_meter.hpp
+++ b/src/lab/testbed/lag_meter.hpp
@@ -1,4 +1,4 @@
-// How late an event loop is: a timer that should come every 10 ms, and how long after that it did.
+// Measures how late an event loop runs its handlers: the delay of a timer that expires every 10 ms.
 #pragma once
 
 #include <algorithm>
@@ -12,15 +12,15 @@
  public:
   explicit LagMeter(boost::asio::io_context& io) : timer_(io) { wait(); }
 
-  /// The longest that the loop was late since the last reset, in milliseconds.
+  /// Returns the longest delay since the last reset, in milliseconds.
   double maxLagMs() const { return maxLagMs_; }
   void reset() { maxLagMs_ = 0; }
 
  private:
-  static constexpr auto kLook = std::chrono::milliseconds(10);
+  static constexpr auto kSampleInterval = std::chrono::milliseconds(10);
 
   void wait() {
-    timer_.expires_after(kLook);
+    timer_.expires_after(kSampleInterval);
     timer_.async_wait([this, due = timer_.expiry()](boost::system::error_code ec) {
       if (ec)
         return;
--- a/src/lab/testbed/process.cpp
+++ b/src/lab/testbed/process.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// As execve wants them: pointers into the texts, and a null behind the last.
+// Returns the texts as execve expects them: an array of pointers that a null pointer ends.
 std::vector<char*> pointersTo(const std::vector<std::string>& texts) {
   std::vector<char*> all;
   for (const std::string& text : texts)
@@ -27,29 +27,29 @@
 
 void Process::start(const std::string& program, const std::vector<std::string>& variables,
                     const std::vector<std::string>& arguments) {
-  int ends[2];
-  if (::pipe2(ends, O_CLOEXEC) != 0)
-    throw std::runtime_error("no pipe for " + name);
-  std::vector<std::string> words{program};
-  words.insert(words.end(), arguments.begin(), arguments.end());
-  const std::vector<char*> argv = pointersTo(words), env = pointersTo(variables);
+  int pipeEnds[2];
+  if (::pipe2(pipeEnds, O_CLOEXEC) != 0)
+    throw std::runtime_error("cannot create the output pipe of " + name);
+  std::vector<std::string> commandLine{program};
+  commandLine.insert(commandLine.end(), arguments.begin(), arguments.end());
+  const std::vector<char*> argv = pointersTo(commandLine), env = pointersTo(variables);
   const pid_t parent = ::getpid();
   pid = ::fork();
   if (pid == 0) {
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (::getppid() != parent)
-      ::_exit(127);  // the testbed went in between
-    ::dup2(ends[1], 1);
-    ::dup2(ends[1], 2);
-    // Danger: a process that inherits the testbed's sockets keeps a dead server's port listening.
+      ::_exit(127);  // the testbed exited before prctl
+    ::dup2(pipeEnds[1], STDOUT_FILENO);
+    ::dup2(pipeEnds[1], STDERR_FILENO);
+    // A child that inherits the testbed's sockets would keep the port of a stopped server listening.
     ::close_range(3, ~0U, 0);
     ::execve(program.c_str(), argv.data(), env.data());
     ::_exit(127);
   }
-  ::close(ends[1]);
-  pipe.assign(ends[0]);
+  ::close(pipeEnds[1]);
+  pipe_.assign(pipeEnds[0]);
   if (pid < 0)
-    throw std::runtime_error("no process for " + name);
+    throw std::runtime_error("cannot fork a process for " + name);
   read();
 }
 
@@ -60,12 +60,12 @@
 
 void Process::read() {
   asio::async_read_until(
-      pipe, buffer, '\n', [self = shared_from_this()](boost::system::error_code ec, std::size_t n) {
+      pipe_, buffer_, '\n', [self = shared_from_this()](boost::system::error_code ec, std::size_t n) {
         if (ec)
           return;
-        std::string line(asio::buffers_begin(self->buffer.data()),
-                         asio::buffers_begin(self->buffer.data()) + static_cast<std::ptrdiff_t>(n) - 1);
-        self->buffer.consume(n);
+        std::string line(asio::buffers_begin(self->buffer_.data()),
+                         asio::buffers_begin(self->buffer_.data()) + static_cast<std::ptrdiff_t>(n) - 1);
+        self->buffer_.consume(n);
         self->lastLine = line;
         if (self->onOutputLine)
           self->onOutputLine(line);
--- a/src/lab/testbed/process.hpp
+++ b/src/lab/testbed/process.hpp
@@ -1,4 +1,4 @@
-// A program that the testbed started: its output line by line, its end, and that it dies with the testbed.
+// A child process of the testbed: its start, its output by line and its exit.
 #pragma once
 
 #include <sys/types.h>
@@ -13,19 +13,20 @@
 
 namespace hollyrun::lab {
 
-/// A process of the program. Its output and standard error are read line by line; it dies with the testbed,
-/// also if that is killed (PR_SET_PDEATHSIG).
+/// A child process whose standard output and standard error are read line by line. PR_SET_PDEATHSIG ends it
+/// with the testbed, even if the testbed is killed.
 struct Process : std::enable_shared_from_this<Process> {
-  Process(boost::asio::io_context& io, std::string named) : name(std::move(named)), pipe(io) {}
+  Process(boost::asio::io_context& io, std::string processName) : name(std::move(processName)), pipe_(io) {}
 
-  /// `variables` are its whole environment, NAME=VALUE. Throws std::runtime_error if there is none.
+  /// Starts the program. `variables` (NAME=VALUE) are its whole environment. Throws std::runtime_error if the
+  /// process cannot be created.
   void start(const std::string& program, const std::vector<std::string>& variables,
              const std::vector<std::string>& arguments = {});
   void send(int signal);
 
   std::string name, lastLine;
   pid_t pid = -1;
-  bool stopRequested = false;  ///< by the testbed, so that its end is no crash
+  bool stopRequested = false;  ///< the testbed ends it, so that its exit is no crash
   bool ended = false, ready = false;
   int exitCode = 0;
   std::function<void(const std::string&)> onOutputLine;
@@ -33,8 +34,8 @@
 
  private:
   void read();
-  boost::asio::posix::stream_descriptor pipe;
-  boost::asio::streambuf buffer{1 << 20};
+  boost::asio::posix::stream_descriptor pipe_;
+  boost::asio::streambuf buffer_{1 << 20};
 };
 
 }  // namespace hollyrun::lab
--- a/src/lab/testbed/process_usage.cpp
+++ b/src/lab/testbed/process_usage.cpp
@@ -12,19 +12,19 @@
 
 namespace fs = std::filesystem;
 
-constexpr double kNanosecond = 1e-9;
-constexpr double kMegabyte = 1 << 20;
+constexpr double kSecondsPerNanosecond = 1e-9;
+constexpr double kBytesPerMegabyte = 1 << 20;
 
-// The first number of a thread's schedstat is its time on a processor in nanoseconds; the ticks of `stat` are
-// ten milliseconds, more than many a step costs.
+// Sums the first field of each thread's schedstat, its time on a processor in nanoseconds. The clock ticks in
+// `stat` have a resolution of 10 ms, which is more than many a measured step takes.
 double processorSecondsOf(const fs::path& process) {
   double sum = 0;
-  std::error_code gone;
-  for (const auto& thread : fs::directory_iterator(process / "task", gone)) {
+  std::error_code ignored;  // the process may have ended
+  for (const auto& thread : fs::directory_iterator(process / "task", ignored)) {
     std::ifstream file(thread.path() / "schedstat");
-    double ns = 0;
-    if (file >> ns)
-      sum += ns * kNanosecond;
+    double processorNs = 0;
+    if (file >> processorNs)
+      sum += processorNs * kSecondsPerNanosecond;
   }
   return sum;
 }
@@ -34,11 +34,11 @@
 ProcessUsage usageOf(pid_t pid) {
   const fs::path process = fs::path("/proc") / std::to_string(pid);
   std::ifstream memory(process / "statm");
-  std::uint64_t all = 0, resident = 0;
-  if (!(memory >> all >> resident))
-    throw std::runtime_error("no process " + std::to_string(pid));
-  const double page = static_cast<double>(::sysconf(_SC_PAGESIZE));
-  return {processorSecondsOf(process), static_cast<double>(resident) * page / kMegabyte};
+  std::uint64_t totalPages = 0, residentPages = 0;
+  if (!(memory >> totalPages >> residentPages))
+    throw std::runtime_error("cannot read the memory usage of process " + std::to_string(pid));
+  const double pageBytes = static_cast<double>(::sysconf(_SC_PAGESIZE));
+  return {processorSecondsOf(process), static_cast<double>(residentPages) * pageBytes / kBytesPerMegabyte};
 }
 
 }  // namespace hollyrun::lab
--- a/src/lab/testbed/process_usage.hpp
+++ b/src/lab/testbed/process_usage.hpp
@@ -1,4 +1,4 @@
-// What the kernel has counted for a process: processor time and resident memory.
+// Resource usage of a process as the kernel counts it: processor time and resident memory.
 #pragma once
 
 #include <sys/types.h>
@@ -6,11 +6,11 @@
 namespace hollyrun::lab {
 
 struct ProcessUsage {
-  double processorS = 0;  ///< of all its threads since its start, to the nanosecond
+  double processorS = 0;  ///< of all its threads since its start, with nanosecond resolution
   double residentMb = 0;
 };
 
-/// Throws std::runtime_error if there is no such process any more.
+/// Returns the usage of a process. Throws std::runtime_error if the process does not exist any more.
 ProcessUsage usageOf(pid_t pid);
 
 }  // namespace hollyrun::lab
--- a/src/lab/testbed/relay.hpp
+++ b/src/lab/testbed/relay.hpp
@@ -1,5 +1,6 @@
-// The way of datagrams between the processes of a fleet: every member is reached at an address of the relay,
-// each ordered pair has a path of its own that loses, delays, copies, spoils or cuts, by seed.
+// Forwards datagrams between the processes of a fleet and injects network faults. Members reach each other
+// at addresses of the relay. Each ordered pair of members has a path of its own that loses, delays, duplicates
+// or corrupts datagrams by seed, or drops all of them.
 #pragma once
 
 #include <array>
@@ -26,18 +27,21 @@
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
 
-  /// A further member; its number. Members have loopback addresses of their own, by which their datagrams are
-  /// told apart.
-  std::size_t add();
-  udp::endpoint listen(std::size_t member) const;      ///< where its process has to listen
-  udp::endpoint advertised(std::size_t member) const;  ///< where the others reach it
+  /// Adds a member and returns its number. Each member has a loopback address of its own, which identifies the
+  /// sender of a datagram.
+  std::size_t addMember();
+  udp::endpoint listenAddress(std::size_t member) const;      ///< where its process has to listen
+  udp::endpoint advertisedAddress(std::size_t member) const;  ///< where the other members reach it
 
-  /// Of datagrams from one to another from now on.
-  void set(std::size_t from, std::size_t to, const LinkConditions& linkConditions);
+  /// Sets the conditions for datagrams that arrive from now on.
+  void setLinkConditions(std::size_t from, std::size_t to, const LinkConditions& linkConditions);
+  /// Drops all datagrams of the path while it is cut.
   void cut(std::size_t from, std::size_t to, bool on);
 
   struct Counts {
-    std::uint64_t passed = 0, lost = 0, copied = 0, spoilt = 0, strange = 0, bytes = 0;
+    std::uint64_t delivered = 0, dropped = 0, duplicated = 0, corrupted = 0;
+    std::uint64_t unknownSender = 0;
+    std::uint64_t bytes = 0;  ///< delivered
   };
   const Counts& counts() const { return counts_; }
 
@@ -46,16 +50,16 @@
   struct Path {
     LinkConditions linkConditions;
     bool cut = false;
-    std::unique_ptr<Stream> draw;
+    std::unique_ptr<Stream> random;
   };
   Path& path(std::size_t from, std::size_t to);
-  void read(std::shared_ptr<RelayPort> port);
-  void pass(std::size_t from, std::size_t to, std::string bytes);
+  void receive(std::shared_ptr<RelayPort> port);
+  void forward(std::size_t from, std::size_t to, std::string bytes);
   void deliver(std::size_t from, std::size_t to, const std::string& bytes);
 
   boost::asio::io_context& io_;
   std::uint64_t seed_;
-  std::uint32_t base_;  // first of the members' addresses
+  std::uint32_t baseAddress_;  // the members' addresses follow it
   std::vector<std::shared_ptr<RelayPort>> ports_;
   std::vector<std::vector<Path>> paths_;
   Counts counts_;
