--- a/src/lab/testbed/platform.cpp
+++ b/src/lab/testbed/platform.cpp
@@ -24,36 +24,38 @@
 
 namespace {
 
-constexpr Time kOffset = std::chrono::hours(24);
-constexpr Duration kTick = std::chrono::milliseconds(50);  // a choke ends, a cold server warms without events
-constexpr std::uint64_t kBodyMost = 32 << 20;
+constexpr Time kClockOffset = std::chrono::hours(24);
+// Chokes end and cold servers warm up without an event, so that the model is advanced periodically.
+constexpr Duration kAdvanceInterval = std::chrono::milliseconds(50);
+constexpr std::uint64_t kMaxBodyBytes = 32 << 20;
 
 using Response = http::response<http::string_body>;
 
-Response response(int status, std::string body) {
-  Response r{static_cast<http::status>(status), 11};
-  r.set(http::field::content_type, "application/json");
-  r.body() = std::move(body);
-  r.prepare_payload();
-  return r;
+Response jsonResponse(int status, std::string body) {
+  Response response{static_cast<http::status>(status), 11};
+  response.set(http::field::content_type, "application/json");
+  response.body() = std::move(body);
+  response.prepare_payload();
+  return response;
 }
 
-std::string query(const std::string& target, const std::string& name) {
-  const auto at = target.find(name + "=");
-  if (at == std::string::npos)
+std::string queryParameter(const std::string& target, const std::string& name) {
+  const auto nameAt = target.find(name + "=");
+  if (nameAt == std::string::npos)
     return {};
-  const auto from = at + name.size() + 1;
-  return target.substr(from, target.find('&', from) - from);
+  const auto valueAt = nameAt + name.size() + 1;
+  return target.substr(valueAt, target.find('&', valueAt) - valueAt);
 }
 
-std::uint64_t hexOf(boost::beast::string_view text) {
+// Returns 0 if the text is no hexadecimal number.
+std::uint64_t parseHex(boost::beast::string_view text) {
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, 16);
   return error == std::errc{} && end == text.data() + text.size() ? value : 0;
 }
 
-// A connection that a part of the platform accepted: hands over whole requests, tells when the other side has
-// closed or ended its sending, and writes what it is given in order.
+// A connection that a server or agent has accepted. Calls `onRequest` for each complete request and `onClose`
+// when the peer has closed the connection or ended its sending, and writes the responses in order.
 class Session : public std::enable_shared_from_this<Session> {
  public:
   using Request = http::request<http::string_body>;
@@ -64,22 +66,22 @@
 
   void read() {
     parser_.emplace();
-    parser_->body_limit(kBodyMost);
+    parser_->body_limit(kMaxBodyBytes);
     http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](error_code ec, std::size_t) {
       if (!self->open_)
         return;
       if (ec)
-        return self->gone();
+        return self->handleClose();
       Request request = self->parser_->release();
       ++self->requests_;
-      self->read();  // goes on at once, so that the other side's leaving is seen
+      self->read();  // reads on at once, to notice when the peer closes
       if (self->onRequest)
         self->onRequest(*self, std::move(request));
     });
   }
-  /// `written` is called once the answer's last byte is.
-  void reply(Response r, std::function<void()> written = {}) {
-    out_.emplace_back(std::move(r), std::move(written));
+  /// Calls `onWritten` after the last byte of the response is written.
+  void reply(Response response, std::function<void()> onWritten = {}) {
+    out_.emplace_back(std::move(response), std::move(onWritten));
     if (out_.size() == 1)
       write();
   }
@@ -98,7 +100,7 @@
   std::size_t requests() const { return requests_; }
 
  private:
-  void gone() {
+  void handleClose() {
     const auto callback = onClose;
     const auto self = shared_from_this();
     close(false);
@@ -107,12 +109,12 @@
   }
   void write() {
     http::async_write(socket_, out_.front().first, [self = shared_from_this()](error_code ec, std::size_t) {
-      const auto written = std::move(self->out_.front().second);
+      const auto onWritten = std::move(self->out_.front().second);
       self->out_.pop_front();
       if (ec || !self->open_)
         return;
-      if (written)
-        written();
+      if (onWritten)
+        onWritten();
       if (!self->out_.empty())
         self->write();
     });
@@ -129,7 +131,7 @@
 }  // namespace
 
 Time clockNow() {
-  return std::chrono::steady_clock::now().time_since_epoch() + kOffset;
+  return std::chrono::steady_clock::now().time_since_epoch() + kClockOffset;
 }
 
 std::string hex(std::uint64_t id) {
@@ -153,14 +155,14 @@
         number_(number),
         entry(std::move(drawn.entry)),
         server(drawn.parameters),
-        draw_(platform.seed_, "answers", number),
+        random_(platform.seed_, "answers", number),
         port_(platform.io_),
         acceptor_(platform.io_),
-        timer_(platform.io_),
-        tick_(platform.io_) {
+        completionTimer_(platform.io_),
+        advanceTimer_(platform.io_) {
     server.advance(clockNow());
     listen();
-    tick();
+    advancePeriodically();
   }
 
   tcp::endpoint endpoint() const { return port_.endpoint(); }
@@ -169,8 +171,8 @@
     up = false;
     error_code ignored;
     acceptor_.close(ignored);
-    for (const auto& s : std::exchange(sessions_, {}))
-      s->close(true);
+    for (const auto& session : std::exchange(sessions_, {}))
+      session->close(true);
     for (const std::uint32_t attempt : server.dropAll())
       end(attempt, Outcome::reset);
     jobs_.clear();
@@ -189,43 +191,45 @@
     entry.upSince = clockNow();
     listen();
   }
-  // Danger: while this machine is silent the kernel would still accept for it. A queue of one that the
-  // testbed itself keeps full makes new connections hang as they do with a machine that is away.
-  void cut(bool on) {
-    silent = on;
+  // While the machine is unreachable the kernel would still accept connections for it. The testbed shortens
+  // the accept queue to one entry and fills it, so that new connections hang as they do with an unreachable
+  // machine.
+  void setUnreachable(bool on) {
+    unreachable = on;
     if (!acceptor_.is_open())
       return;
     ::listen(acceptor_.native_handle(), on ? 0 : SOMAXCONN);
-    fillers_.clear();
+    queueFillers_.clear();
     for (int i = 0; on && i < 2; ++i) {
-      fillers_.emplace_back(platform_.io_);
-      fillers_.back().async_connect(endpoint(), [](error_code) {});
+      queueFillers_.emplace_back(platform_.io_);
+      queueFillers_.back().async_connect(endpoint(), [](error_code) {});
     }
     if (on)
       return;
     resetWaiting();
     accept();
-    for (auto& [session, request] : std::exchange(unheard_, {}))
+    for (auto& [session, request] : std::exchange(pendingRequests_, {}))
       if (session->open())
         serve(*session, std::move(request));
-    for (auto& [session, r] : std::exchange(unsaid_, {}))
-      session->reply(std::move(r));
+    for (auto& [session, response] : std::exchange(pendingResponses_, {}))
+      session->reply(std::move(response));
   }
-  void settle() {  // what has ended by now, and when to look again
+  // Answers the jobs that have completed by now and schedules the next completion.
+  void processCompletions() {
     const Time now = clockNow();
     server.advance(now);
-    for (const Server::CompletedJob& e : std::exchange(server.completed(), {}))
-      finish(e);
+    for (const Server::CompletedJob& job : std::exchange(server.completed(), {}))
+      finish(job);
     if (const auto next = server.nextCompletion()) {
-      timer_.expires_after(std::max(*next - now, Duration(0)));
-      timer_.async_wait([this](error_code ec) {
+      completionTimer_.expires_after(std::max(*next - now, Duration(0)));
+      completionTimer_.async_wait([this](error_code ec) {
         if (!ec)
-          settle();
+          processCompletions();
       });
     }
   }
 
-  bool up = true, draining = false, silent = false;
+  bool up = true, draining = false, unreachable = false;
   std::int64_t bootMs = 0;
 
  private:
@@ -237,11 +241,11 @@
   Server server;
 
  private:
-  struct Held {
+  struct JobRequest {
     std::weak_ptr<Session> session;
     std::uint64_t id = 0;
-    std::uint32_t number = 0;  // of the request's attempts
-    std::string cls;
+    std::uint32_t attemptNumber = 0;  // within the request, from 0
+    std::string className;
   };
 
   void listen() {
@@ -251,7 +255,7 @@
     acceptor_.listen();
     accept();
   }
-  // What came while the machine was away is reset as it is back.
+  // Resets the connections that were opened while the machine was unreachable.
   void resetWaiting() {
     error_code ec;
     acceptor_.non_blocking(true, ec);
@@ -263,19 +267,22 @@
     }
   }
   void accept() {
-    if (silent || accepting_)
+    if (unreachable || accepting_)
       return;
     accepting_ = true;
     acceptor_.async_accept([this](error_code ec, tcp::socket socket) {
       accepting_ = false;
       if (ec)
         return;
-      // Danger: what was accepted as the silence began belongs to it: it comes up and hears nothing.
+      // A connection that is accepted as the machine becomes unreachable opens, but its requests get no
+      // response until the fault ends.
       const bool full = static_cast<double>(server.connections) >= server.parameters().connectionCap;
       if (!full) {
         auto session = std::make_shared<Session>(std::move(socket));
-        session->onRequest = [this](Session& s, Session::Request r) { asked(s, std::move(r)); };
-        session->onClose = [this](Session& s) { left(s); };
+        session->onRequest = [this](Session& caller, Session::Request request) {
+          onRequest(caller, std::move(request));
+        };
+        session->onClose = [this](Session& caller) { onClose(caller); };
         sessions_.push_back(session);
         ++server.connections;
         session->read();
@@ -283,56 +290,57 @@
       accept();
     });
   }
-  void left(Session& session) {
-    std::erase_if(sessions_, [&](const auto& s) { return s.get() == &session; });
+  void onClose(Session& session) {
+    std::erase_if(sessions_, [&](const auto& other) { return other.get() == &session; });
     server.connections -= std::min<std::size_t>(server.connections, 1);
-    for (const auto& [attempt, held] : jobs_)
-      if (held.session.lock().get() == &session)
+    for (const auto& [attempt, jobRequest] : jobs_)
+      if (jobRequest.session.lock().get() == &session)
         server.cancel(attempt);
   }
-  void asked(Session& session, Session::Request request) {
-    if (silent)
-      unheard_.emplace_back(session.shared_from_this(), std::move(request));
+  void onRequest(Session& session, Session::Request request) {
+    if (unreachable)
+      pendingRequests_.emplace_back(session.shared_from_this(), std::move(request));
     else
       serve(session, std::move(request));
   }
   void serve(Session& session, Session::Request request) {
     const Time now = clockNow();
     if (request.count("X-Request-Id") == 0)
-      return session.reply(response(404, "{\"error\":\"no id\"}"));
-    const std::uint64_t id = hexOf(request["X-Request-Id"]);
-    Held held{session.weak_from_this(), id, 0, {}};
+      return session.reply(jsonResponse(404, "{\"error\":\"no id\"}"));
+    const std::uint64_t id = parseHex(request["X-Request-Id"]);
+    JobRequest jobRequest{session.weak_from_this(), id, 0, {}};
     const std::string target = request.target().to_string();
-    held.cls = target.substr(0, target.find_first_of("/?", 1)).substr(target.empty() ? 0 : 1);
-    const DrawnClass* cls = nullptr;
-    for (const DrawnClass& c : platform_.day_.classes)
-      if (c.settings.name == held.cls)
-        cls = &c;
+    jobRequest.className = target.substr(0, target.find_first_of("/?", 1)).substr(target.empty() ? 0 : 1);
+    const DrawnClass* requestClass = nullptr;
+    for (const DrawnClass& drawn : platform_.day_.classes)
+      if (drawn.settings.name == jobRequest.className)
+        requestClass = &drawn;
     Job job;
     job.deadline = now + deadlineOf(request);
     if (platform_.observer_) {
-      const OnTheWire* known = platform_.observer_->find(id);
+      const SentRequest* known = platform_.observer_->find(id);
       Checker& checker = platform_.observer_->checker();
       if (!known) {
         checker.addBreach(Rule::duplicate, now, id, entry.address, "no client sent this request");
-        return session.reply(response(400, "{\"error\":\"no such request\"}"));
+        return session.reply(jsonResponse(400, "{\"error\":\"no such request\"}"));
       }
-      held.number = static_cast<std::uint32_t>(checker.attemptCount(id));
+      jobRequest.attemptNumber = static_cast<std::uint32_t>(checker.attemptCount(id));
       checker.attemptSent(now, known->gateway, id, number_, entry);
       job.work = known->work;
       job.key = known->key;
       job.hasKey = known->key != 0;
-    } else if (cls) {
-      job.work = cls->workCv > 0 ? draw_.lognormal(cls->work, cls->workCv) : cls->work;
+    } else if (requestClass) {
+      job.work = requestClass->workCv > 0 ? random_.lognormal(requestClass->work, requestClass->workCv)
+                                          : requestClass->work;
     }
-    if (!cls)
-      return session.reply(response(404, "{\"error\":\"no such class\"}"));
-    if (cls->attemptNoise > 0)
-      job.work *= draw_.lognormal(1, cls->attemptNoise);
+    if (!requestClass)
+      return session.reply(jsonResponse(404, "{\"error\":\"no such class\"}"));
+    if (requestClass->attemptNoise > 0)
+      job.work *= random_.lognormal(1, requestClass->attemptNoise);
     if (session.requests() == 1)
       job.work += platform_.day_.handshakeWork;
     job.attempt = ++attempts_;
-    jobs_[job.attempt] = held;
+    jobs_[job.attempt] = jobRequest;
     double informed = 0;
     if (server.overloadedWhileCold(now, job.work, true, platform_.scenario_.overloadMultiple,
                                    platform_.scenario_.overloadWindowMs / 1000, informed)) {
@@ -342,8 +350,8 @@
       return;
     }
     if (draining || !server.offer(now, job))
-      return turnAway(job.attempt);
-    settle();
+      return reject(job.attempt);
+    processCompletions();
   }
   static Duration deadlineOf(const Session::Request& request) {
     int ms = 0;
@@ -351,23 +359,23 @@
     std::from_chars(text.data(), text.data() + text.size(), ms);
     return ms > 0 ? Duration(std::chrono::milliseconds(ms)) : Duration(std::chrono::seconds(10));
   }
-  void turnAway(std::uint32_t attempt) {
-    Response r = response(503, "{\"error\":\"turned away\"}");
-    r.set("X-Not-Run", "1");
-    answer(attempt, Outcome::rejected, std::move(r));
+  void reject(std::uint32_t attempt) {
+    Response response = jsonResponse(503, "{\"error\":\"turned away\"}");
+    response.set("X-Not-Run", "1");
+    answer(attempt, Outcome::rejected, std::move(response));
   }
-  void finish(const Server::CompletedJob& e) {
-    if (e.dropped)
-      return turnAway(e.attempt);
-    const auto it = jobs_.find(e.attempt);
+  void finish(const Server::CompletedJob& job) {
+    if (job.dropped)
+      return reject(job.attempt);
+    const auto it = jobs_.find(job.attempt);
     if (it == jobs_.end())
       return;
-    if (draw_.chance(server.parameters().errorRate))
-      return answer(e.attempt, Outcome::error, response(500, "{\"error\":\"failed\"}"));
-    const json body{{"id", hex(it->second.id)}, {"class", it->second.cls}, {"server", entry.address}};
-    answer(e.attempt, Outcome::served, response(200, body.dump() + "\n"));
+    if (random_.chance(server.parameters().errorRate))
+      return answer(job.attempt, Outcome::error, jsonResponse(500, "{\"error\":\"failed\"}"));
+    const json body{{"id", hex(it->second.id)}, {"class", it->second.className}, {"server", entry.address}};
+    answer(job.attempt, Outcome::served, jsonResponse(200, body.dump() + "\n"));
   }
-  void answer(std::uint32_t attempt, Outcome outcome, Response r) {
+  void answer(std::uint32_t attempt, Outcome outcome, Response response) {
     const auto it = jobs_.find(attempt);
     if (it == jobs_.end())
       return;
@@ -375,90 +383,90 @@
     end(attempt, outcome);
     if (!session || !session->open())
       return;
-    if (silent)
-      unsaid_.emplace_back(session, std::move(r));
+    if (unreachable)
+      pendingResponses_.emplace_back(session, std::move(response));
     else
-      session->reply(std::move(r));
+      session->reply(std::move(response));
   }
   void end(std::uint32_t attempt, Outcome outcome) {
     const auto it = jobs_.find(attempt);
     if (it == jobs_.end())
       return;
     if (platform_.observer_)
-      platform_.observer_->checker().attemptEnded(it->second.id, it->second.number, outcome);
+      platform_.observer_->checker().attemptEnded(it->second.id, it->second.attemptNumber, outcome);
     jobs_.erase(it);
   }
-  void tick() {
-    tick_.expires_after(kTick);
-    tick_.async_wait([this](error_code ec) {
+  void advancePeriodically() {
+    advanceTimer_.expires_after(kAdvanceInterval);
+    advanceTimer_.async_wait([this](error_code ec) {
       if (ec)
         return;
-      settle();
-      tick();
+      processCompletions();
+      advancePeriodically();
     });
   }
 
-  Stream draw_;
+  Stream random_;
   ReservedPort port_;
   tcp::acceptor acceptor_;
-  asio::steady_timer timer_, tick_;
+  asio::steady_timer completionTimer_, advanceTimer_;
   std::vector<std::shared_ptr<Session>> sessions_;
-  std::vector<std::pair<std::shared_ptr<Session>, Session::Request>> unheard_;
-  std::vector<std::pair<std::shared_ptr<Session>, Response>> unsaid_;
-  std::deque<tcp::socket> fillers_;
-  std::unordered_map<std::uint32_t, Held> jobs_;  // by attempt
+  std::vector<std::pair<std::shared_ptr<Session>, Session::Request>> pendingRequests_;  // while unreachable
+  std::vector<std::pair<std::shared_ptr<Session>, Response>> pendingResponses_;         // while unreachable
+  std::deque<tcp::socket> queueFillers_;
+  std::unordered_map<std::uint32_t, JobRequest> jobs_;  // by attempt
   std::uint32_t attempts_ = 0;
   bool accepting_ = false;
 };
 
 // --- Discovery -------------------------------------------------------------------------------------------
 
-class Agent {
+class DiscoveryAgent {
  public:
-  Agent(Platform& platform, std::uint32_t number)
+  DiscoveryAgent(Platform& platform, std::uint32_t number)
       : platform_(platform), number_(number), acceptor_(platform.io_, {asio::ip::address_v4::loopback(), 0}) {
     for (std::size_t i = 0; i < platform.servers_.size(); ++i)
-      note(i);
+      updateEntry(i);
     accept();
   }
-  ~Agent() {
-    for (const auto& w : watches_)
-      w->session->close(false);
+  ~DiscoveryAgent() {
+    for (const auto& watch : watches_)
+      watch->session->close(false);
   }
 
   tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
 
-  void learn(std::size_t server) {
-    if (held)
-      return void(later_.push_back(server));
-    note(server);
+  void onServerChanged(std::size_t server) {
+    if (updatesDelayed)
+      return void(delayedUpdates_.push_back(server));
+    updateEntry(server);
     if (!silent)
-      tellWatches();
+      notifyWatches();
   }
-  void release() {
-    for (std::size_t server : std::exchange(later_, {}))
-      note(server);
+  void applyDelayedUpdates() {
+    for (std::size_t server : std::exchange(delayedUpdates_, {}))
+      updateEntry(server);
     if (!silent)
-      tellWatches();
+      notifyWatches();
   }
-  void speak() {
-    for (auto& [session, target] : std::exchange(unheard_, {}))
+  void answerPendingRequests() {
+    for (auto& [session, target] : std::exchange(pendingRequests_, {}))
       if (session->open())
         answer(session, target);
-    tellWatches();
+    notifyWatches();
   }
-  void hide(std::size_t server, bool on) {
+  void setHidden(std::size_t server, bool on) {
     hidden_[server] = on;
-    learn(server);
+    onServerChanged(server);
   }
 
-  bool silent = false, held = false;
+  bool silent = false, updatesDelayed = false;
 
  private:
   struct Entry {
-    json text;
+    json target;
     EndpointState state = EndpointState::serving;
-    std::uint64_t rev = 0;
+    std::uint64_t revision = 0;
   };
   struct Watch {
     std::shared_ptr<Session> session;
@@ -466,37 +474,38 @@
     asio::steady_timer timer;
   };
 
-  void note(std::size_t server) {  // as it stands now
-    const RecordServer& r = *platform_.servers_[server];
-    const EndpointState state = hidden_[server] ? EndpointState::removed : r.entry.state;
-    Entry& e = list_[server];
-    e.state = state;
-    e.rev = ++rev_;
-    e.text = {{"uid", r.entry.address},
-              {"endpoint", textOf(r.endpoint())},
-              {"az", r.entry.zone},
-              {"model", r.entry.machineType},
-              {"pod_group", r.entry.cell},
-              {"state", state == EndpointState::serving    ? "SERVING"
-                        : state == EndpointState::draining ? "DRAINING"
-                                                           : "DELETED"},
-              {"capacity_hint", 1.0},
-              {"boot_ms", r.bootMs}};
+  // Sets the server's entry to its present state.
+  void updateEntry(std::size_t number) {
+    const RecordServer& server = *platform_.servers_[number];
+    const EndpointState state = hidden_[number] ? EndpointState::removed : server.entry.state;
+    Entry& entry = list_[number];
+    entry.state = state;
+    entry.revision = ++revision_;
+    entry.target = {{"uid", server.entry.address},
+                    {"endpoint", textOf(server.endpoint())},
+                    {"az", server.entry.zone},
+                    {"model", server.entry.machineType},
+                    {"pod_group", server.entry.cell},
+                    {"state", state == EndpointState::serving    ? "SERVING"
+                              : state == EndpointState::draining ? "DRAINING"
+                                                                 : "DELETED"},
+                    {"capacity_hint", 1.0},
+                    {"boot_ms", server.bootMs}};
   }
   void accept() {
     acceptor_.async_accept([this](error_code ec, tcp::socket socket) {
       if (ec)
         return;
       auto session = std::make_shared<Session>(std::move(socket));
-      session->onRequest = [this](Session& s, Session::Request r) {
-        const auto self = s.shared_from_this();
+      session->onRequest = [this](Session& caller, Session::Request request) {
+        const auto self = caller.shared_from_this();
         if (silent)
-          unheard_.emplace_back(self, r.target().to_string());
+          pendingRequests_.emplace_back(self, request.target().to_string());
         else
-          answer(self, r.target().to_string());
+          answer(self, request.target().to_string());
       };
-      session->onClose = [this](Session& s) {
-        std::erase_if(watches_, [&](const auto& w) { return w->session.get() == &s; });
+      session->onClose = [this](Session& caller) {
+        std::erase_if(watches_, [&](const auto& watch) { return watch->session.get() == &caller; });
       };
       session->read();
       accept();
@@ -504,44 +513,44 @@
   }
   void answer(const std::shared_ptr<Session>& session, const std::string& target) {
     if (!target.starts_with("/discovery/hosts"))
-      return session->reply(response(404, "{}"));
-    const std::string since = query(target, "since");
+      return session->reply(jsonResponse(404, "{}"));
+    const std::string since = queryParameter(target, "since");
     if (since.empty())
-      return tell(session, 0, true);
+      return sendList(session, 0, true);
     std::uint64_t from = 0;
     std::from_chars(since.data(), since.data() + since.size(), from);
-    const int wait = std::clamp(std::atoi(query(target, "timeout_ms").c_str()), 0, 60000);
-    if (from != rev_ || wait == 0)
-      return tell(session, from, from > rev_);
+    const int wait = std::clamp(std::atoi(queryParameter(target, "timeout_ms").c_str()), 0, 60000);
+    if (from != revision_ || wait == 0)
+      return sendList(session, from, from > revision_);
     auto watch = std::make_shared<Watch>(Watch{session, from, asio::steady_timer(platform_.io_)});
     watch->timer.expires_after(std::chrono::milliseconds(wait));
     watch->timer.async_wait([this, watch](error_code ec) {
       if (ec || std::erase(watches_, watch) == 0)
         return;
-      tell(watch->session, watch->since, false);
+      sendList(watch->session, watch->since, false);
     });
     watches_.push_back(watch);
   }
-  void tellWatches() {
+  void notifyWatches() {
     for (const auto& watch : std::exchange(watches_, {})) {
       watch->timer.cancel();
-      tell(watch->session, watch->since, false);
+      sendList(watch->session, watch->since, false);
     }
   }
-  void tell(const std::shared_ptr<Session>& session, std::uint64_t since, bool all) {
+  void sendList(const std::shared_ptr<Session>& session, std::uint64_t since, bool all) {
     json targets = json::array();
-    std::vector<std::pair<std::uint32_t, EndpointState>> told;
-    for (const auto& [server, e] : list_) {
-      if (all ? e.state == EndpointState::removed : e.rev <= since)
+    std::vector<std::pair<std::uint32_t, EndpointState>> announced;
+    for (const auto& [server, entry] : list_) {
+      if (all ? entry.state == EndpointState::removed : entry.revision <= since)
         continue;
-      targets.push_back(e.text);
-      told.emplace_back(static_cast<std::uint32_t>(server), e.state);
+      targets.push_back(entry.target);
+      announced.emplace_back(static_cast<std::uint32_t>(server), entry.state);
     }
-    const json body{{"rev", rev_}, {"all", all}, {"targets", std::move(targets)}};
-    session->reply(response(200, body.dump()), [this, told] {
+    const json body{{"rev", revision_}, {"all", all}, {"targets", std::move(targets)}};
+    session->reply(jsonResponse(200, body.dump()), [this, announced] {
       if (!platform_.observer_)
         return;
-      for (const auto& [server, state] : told)
+      for (const auto& [server, state] : announced)
         platform_.observer_->checker().endpointAnnounced(clockNow(), number_, server, state);
     });
   }
@@ -551,13 +560,13 @@
   tcp::acceptor acceptor_;
   std::map<std::size_t, Entry> list_;
   std::map<std::size_t, bool> hidden_;
-  std::vector<std::size_t> later_;
+  std::vector<std::size_t> delayedUpdates_;
   std::vector<std::shared_ptr<Watch>> watches_;
-  std::vector<std::pair<std::shared_ptr<Session>, std::string>> unheard_;
-  std::uint64_t rev_ = 0;
+  std::vector<std::pair<std::shared_ptr<Session>, std::string>> pendingRequests_;  // while silent
+  std::uint64_t revision_ = 0;
 };
 
-// --- The whole -------------------------------------------------------------------------------------------
+// --- Platform -------------------------------------------------------------------------------------------
 
 Platform::Platform(asio::io_context& io, const Scenario& scenario, std::uint64_t seed,
                    AttemptObserver* observer)
@@ -567,7 +576,7 @@
       observer_(observer),
       day_(scenario, seed),
       fleet_(scenario, seed),
-      notices_(seed, "notices") {
+      noticeDelays_(seed, "notices") {
   for (std::size_t i = 0; i < fleet_.kindOf.size(); ++i) {
     const auto zone = static_cast<std::uint32_t>(i % scenario.zones.size());
     servers_.push_back(std::make_unique<RecordServer>(
@@ -580,7 +589,7 @@
 Platform::~Platform() = default;
 
 tcp::endpoint Platform::addAgent() {
-  agents_.push_back(std::make_unique<Agent>(*this, static_cast<std::uint32_t>(agents_.size())));
+  agents_.push_back(std::make_unique<DiscoveryAgent>(*this, static_cast<std::uint32_t>(agents_.size())));
   return agents_.back()->endpoint();
 }
 
@@ -588,12 +597,12 @@
   return servers_[server]->entry.zone;
 }
 
-void Platform::slow(std::size_t server, double factor) {
+void Platform::setSlowdown(std::size_t server, double factor) {
   servers_[server]->server.setSlowdown(clockNow(), std::max(factor, 1.0));
-  servers_[server]->settle();
+  servers_[server]->processCompletions();
 }
 
-void Platform::jam(std::size_t server) {
+void Platform::choke(std::size_t server) {
   servers_[server]->server.forceChoke(clockNow());
 }
 
@@ -612,8 +621,8 @@
   publish(server);
 }
 
-void Platform::cut(std::size_t server, bool on) {
-  servers_[server]->cut(on);
+void Platform::setUnreachable(std::size_t server, bool on) {
+  servers_[server]->setUnreachable(on);
 }
 
 void Platform::drain(std::size_t server) {
@@ -622,103 +631,103 @@
   publish(server);
 }
 
-void Platform::silence(std::size_t agent, bool on) {
+void Platform::setAgentSilent(std::size_t agent, bool on) {
   agents_[agent]->silent = on;
   if (!on)
-    agents_[agent]->speak();
+    agents_[agent]->answerPendingRequests();
 }
 
-void Platform::hold(std::size_t agent, bool on) {
-  agents_[agent]->held = on;
+void Platform::delayUpdates(std::size_t agent, bool on) {
+  agents_[agent]->updatesDelayed = on;
   if (!on)
-    agents_[agent]->release();
+    agents_[agent]->applyDelayedUpdates();
 }
 
-void Platform::forgetFor(std::size_t agent, std::size_t server) {
-  agents_[agent]->hide(server, true);
+void Platform::hideServer(std::size_t agent, std::size_t server) {
+  agents_[agent]->setHidden(server, true);
 }
-void Platform::recall(std::size_t agent, std::size_t server) {
-  agents_[agent]->hide(server, false);
+void Platform::showServer(std::size_t agent, std::size_t server) {
+  agents_[agent]->setHidden(server, false);
 }
 
 void Platform::publish(std::size_t server) {
-  const double lag = servers_[server]->entry.state == EndpointState::serving
-                         ? scenario_.additionNoticeS.draw(notices_)
-                         : scenario_.removalNoticeS.draw(notices_);
+  const double noticeS = servers_[server]->entry.state == EndpointState::serving
+                             ? scenario_.additionNoticeS.draw(noticeDelays_)
+                             : scenario_.removalNoticeS.draw(noticeDelays_);
   for (const auto& agent : agents_) {
     auto timer = std::make_shared<asio::steady_timer>(io_);
-    timer->expires_after(
-        seconds(lag + notices_.exponential(scenario_.notificationSpreadMs.draw(notices_) / 1000)));
-    timer->async_wait([timer, server, a = agent.get()](error_code ec) {
+    timer->expires_after(seconds(
+        noticeS + noticeDelays_.exponential(scenario_.notificationSpreadMs.draw(noticeDelays_) / 1000)));
+    timer->async_wait([timer, server, agent = agent.get()](error_code ec) {
       if (!ec)
-        a->learn(server);
+        agent->onServerChanged(server);
     });
   }
 }
 
 std::size_t Platform::requestsInFlight() const {
   std::size_t sum = 0;
-  for (const auto& s : servers_)
-    sum += s->server.inFlight();
+  for (const auto& server : servers_)
+    sum += server->server.inFlight();
   return sum;
 }
 
 std::string Platform::stateLine() const {
   std::string line;
-  for (const auto& s : servers_)
-    line += (line.empty() ? "" : " ") + std::to_string(s->server.inFlight()) +
-            (!s->up               ? "x"
-             : s->silent          ? "?"
-             : s->draining        ? "d"
-             : s->server.choked() ? "!"
-                                  : "");
+  for (const auto& server : servers_)
+    line += (line.empty() ? "" : " ") + std::to_string(server->server.inFlight()) +
+            (!server->up               ? "x"
+             : server->unreachable     ? "?"
+             : server->draining        ? "d"
+             : server->server.choked() ? "!"
+                                       : "");
   return line;
 }
 
 namespace {
 
-struct Asking : std::enable_shared_from_this<Asking> {
-  explicit Asking(asio::io_context& io) : socket(io), timer(io) {}
+struct HttpGet : std::enable_shared_from_this<HttpGet> {
+  explicit HttpGet(asio::io_context& io) : socket(io), timer(io) {}
   void end(int status, std::string body) {
     if (!done)
       return;
-    const auto call = std::exchange(done, nullptr);
+    const auto callback = std::exchange(done, nullptr);
     error_code ignored;
     socket.close(ignored);
     timer.cancel();
-    call(status, std::move(body));
+    callback(status, std::move(body));
   }
   tcp::socket socket;
   asio::steady_timer timer;
   boost::beast::flat_buffer buffer;
   http::request<http::empty_body> request;
-  http::response<http::string_body> answer;
+  http::response<http::string_body> response;
   std::function<void(int, std::string)> done;
 };
 
 }  // namespace
 
-void httpGet(asio::io_context& io, const tcp::endpoint& to, const std::string& target, Duration wait,
+void httpGet(asio::io_context& io, const tcp::endpoint& endpoint, const std::string& target, Duration timeout,
              std::function<void(int, std::string)> done) {
-  auto a = std::make_shared<Asking>(io);
-  a->done = std::move(done);
-  a->request = {http::verb::get, target, 11};
-  a->request.set(http::field::host, textOf(to));
-  a->timer.expires_after(wait);
-  a->timer.async_wait([a](error_code ec) {
+  auto get = std::make_shared<HttpGet>(io);
+  get->done = std::move(done);
+  get->request = {http::verb::get, target, 11};
+  get->request.set(http::field::host, textOf(endpoint));
+  get->timer.expires_after(timeout);
+  get->timer.async_wait([get](error_code ec) {
     if (!ec)
-      a->end(0, {});
+      get->end(0, {});
   });
-  a->socket.async_connect(to, [a](error_code ec) {
+  get->socket.async_connect(endpoint, [get](error_code ec) {
     if (ec)
-      return a->end(0, {});
-    http::async_write(a->socket, a->request, [a](error_code failed, std::size_t) {
+      return get->end(0, {});
+    http::async_write(get->socket, get->request, [get](error_code failed, std::size_t) {
       if (failed)
-        return a->end(0, {});
-      http::async_read(a->socket, a->buffer, a->answer, [a](error_code bad, std::size_t) {
+        return get->end(0, {});
+      http::async_read(get->socket, get->buffer, get->response, [get](error_code bad, std::size_t) {
         if (bad)
-          return a->end(0, {});
-        a->end(static_cast<int>(a->answer.result_int()), a->answer.body());
+          return get->end(0, {});
+        get->end(static_cast<int>(get->response.result_int()), get->response.body());
       });
     });
   });
--- a/src/lab/testbed/platform.hpp
+++ b/src/lab/testbed/platform.hpp
@@ -1,5 +1,5 @@
-// The emulated platform on loopback, in real time and by the published protocol: the lab's model of a record
-// server behind each HTTP/1.1 socket, and discovery with its list and its watches.
+// Emulates the platform on loopback, in real time and with the published protocol: the lab's model of a
+// record server behind each HTTP/1.1 socket, and discovery with its endpoint list and watches.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,14 +21,14 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-/// The testbed's clock: nanoseconds that never go back, well above zero, for zero reads as "long past".
+/// Returns the testbed's monotonic time. An offset keeps it well above zero, because zero means "long past".
 Time clockNow();
 using gateway::textOf;
-/// A request's id as it stands on the wire: 16 hexadecimal digits.
+/// Formats a request id as in X-Request-Id: 16 hexadecimal digits.
 std::string hex(std::uint64_t id);
 
-/// A port of the kernel's choice, kept for as long as this lives: bound and never listening, so that the one
-/// that it is meant for can bind it too (both with SO_REUSEADDR) and nobody else is given it.
+/// Reserves a port that the kernel chooses. The socket is bound with SO_REUSEADDR and never listens: the
+/// intended process can bind the port too, and the kernel gives it to no other.
 class ReservedPort {
  public:
   explicit ReservedPort(asio::io_context& io);
@@ -39,24 +39,24 @@
   tcp::endpoint endpoint_;
 };
 
-/// What is known of a request by its id on the wire, 16 hexadecimal digits. The testbed's clients put it
-/// there.
-struct OnTheWire {
-  std::uint32_t gateway = 0, cls = 0;
-  double work = 0;  // seconds on a core of speed 1
+/// A request that a client of the testbed has sent, looked up by its X-Request-Id.
+struct SentRequest {
+  std::uint32_t gateway = 0, classIndex = 0;
+  double work = 0;  ///< seconds on a core of speed 1
   std::uint64_t key = 0;
 };
 
-/// Ground truth for a checked run: who sent what. Without one every request is served (`serve`, for curl).
+/// Knows the requests of a checked run. Without an observer the servers accept any request, as in
+/// `hollyrun-lab serve`, whose requests come from curl.
 class AttemptObserver {
  public:
   virtual ~AttemptObserver() = default;
-  /// Null: no client sent such a request.
-  virtual const OnTheWire* find(std::uint64_t id) const = 0;
+  /// Returns null if no client sent the request.
+  virtual const SentRequest* find(std::uint64_t id) const = 0;
   virtual Checker& checker() = 0;
 };
 
-class Agent;
+class DiscoveryAgent;
 class RecordServer;
 
 class Platform {
@@ -66,32 +66,33 @@
   Platform(const Platform&) = delete;
   Platform& operator=(const Platform&) = delete;
 
-  /// An agent of discovery for the next gateway, numbered from 0.
+  /// Adds a discovery agent for the next gateway. Agents are numbered from 0.
   tcp::endpoint addAgent();
   std::size_t servers() const { return servers_.size(); }
   const std::string& zoneOf(std::size_t server) const;
   double capacity() const { return capacityOf(scenario_, seed_, fleet_); }
 
-  // Troubles of a server. Each is undone by its opposite.
-  void slow(std::size_t server, double factor);  ///< 1 is its usual speed
-  void jam(std::size_t server);
-  void kill(std::size_t server);          ///< its process dies: connections reset, new ones refused
-  void start(std::size_t server);         ///< a new process of it, cold; told after the notice time
-  void cut(std::size_t server, bool on);  ///< silent: nothing comes in or out, nothing is refused
-  void drain(std::size_t server);         ///< told as DRAINING, turns away what is new
-  // Troubles of one gateway's discovery.
-  void silence(std::size_t agent, bool on);  ///< answers nothing
-  void hold(std::size_t agent, bool on);     ///< tells nothing new, and what it held back afterwards
-  void forgetFor(std::size_t agent,
-                 std::size_t server);                  ///< tells this gateway alone that the server is gone
-  void recall(std::size_t agent, std::size_t server);  ///< and the truth again
-
-  /// One line: what each server holds and its state, for a log.
+  // Faults of a server.
+  void setSlowdown(std::size_t server, double factor);  ///< 1 ends the slowdown
+  void choke(std::size_t server);
+  void kill(std::size_t server);   ///< ends its process: connections are reset, new ones refused
+  void start(std::size_t server);  ///< starts a new, cold process; announced after the notice time
+  void setUnreachable(std::size_t server, bool on);  ///< no data in or out; connections hang, none is refused
+  void drain(std::size_t server);                    ///< announced as DRAINING; rejects new requests
+  // Faults of one gateway's discovery.
+  void setAgentSilent(std::size_t agent, bool on);  ///< the agent sends no responses
+  void delayUpdates(std::size_t agent, bool on);    ///< the agent announces changes only after the fault ends
+  void hideServer(std::size_t agent,
+                  std::size_t server);  ///< announces the server as removed to this gateway only
+  void showServer(std::size_t agent, std::size_t server);  ///< announces its true state again
+
+  /// Formats the requests in flight and the state of each server in one line: x ended, ? unreachable,
+  /// d draining, ! choked.
   std::string stateLine() const;
   std::size_t requestsInFlight() const;
 
  private:
-  friend class Agent;
+  friend class DiscoveryAgent;
   friend class RecordServer;
   void publish(std::size_t server);
 
@@ -101,13 +102,14 @@
   AttemptObserver* observer_;
   DrawnDay day_;
   DrawnFleet fleet_;
-  Stream notices_;
+  Stream noticeDelays_;
   std::vector<std::unique_ptr<RecordServer>> servers_;
-  std::vector<std::unique_ptr<Agent>> agents_;
+  std::vector<std::unique_ptr<DiscoveryAgent>> agents_;
 };
 
-/// Reads an HTTP answer from `to` and hands on its status and body; status 0 if there was none within `wait`.
-void httpGet(asio::io_context& io, const tcp::endpoint& to, const std::string& target, Duration wait,
+/// Sends a GET request and passes on the status and body of the response. The status is 0 if there is none
+/// within the timeout.
+void httpGet(asio::io_context& io, const tcp::endpoint& endpoint, const std::string& target, Duration timeout,
              std::function<void(int status, std::string body)> done);
 
 }  // namespace hollyrun::lab
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -100,7 +100,7 @@
   const FleetResult f = play(s, "hollyrun");
   EXPECT_EQ(f.verdict, Verdict::fail);
   ASSERT_EQ(count(f, Rule::crash), 1u) << textOf(f);
-  EXPECT_NE(f.result.breaches.front().what.find("as it started"), std::string::npos);
+  EXPECT_NE(f.result.breaches.front().what.find("during startup"), std::string::npos);
 }
 
 TEST(FleetTest, AProcessThatNeitherEndsNorAnswersIsNamedAndEnded) {
