--- a/src/lab/testbed/fleet.hpp
+++ b/src/lab/testbed/fleet.hpp
@@ -34,8 +34,8 @@
   double memoryMb = 0;                ///< peak resident memory of the largest process
 };
 
-/// Returns the TOML configuration of one gateway of the scenario. `membership` is the text of its [membership]
-/// section.
+/// Returns the TOML configuration of one gateway of the scenario. `membership` is the text of its
+/// [membership] section.
 std::string configOf(const Scenario& scenario, const DrawnDay& day, std::uint32_t number,
                      std::uint32_t gateways, const std::string& listen, const std::string& discovery,
                      const std::string& management, const std::string& membership = {});
--- a/src/lab/testbed/relay.cpp
+++ b/src/lab/testbed/relay.cpp
@@ -32,7 +32,8 @@
   std::array<char, 65536> buffer{};
 };
 
-Relay::Relay(asio::io_context& io, std::uint64_t seed) : io_(io), seed_(seed), baseAddress_(baseAddressOf(::getpid())) {}
+Relay::Relay(asio::io_context& io, std::uint64_t seed)
+    : io_(io), seed_(seed), baseAddress_(baseAddressOf(::getpid())) {}
 
 Relay::~Relay() {
   for (const auto& port : ports_) {
--- a/src/lab/testbed/relay.hpp
+++ b/src/lab/testbed/relay.hpp
@@ -1,6 +1,6 @@
 // Forwards datagrams between the processes of a fleet and injects network faults. Members reach each other
-// at addresses of the relay. Each ordered pair of members has a path of its own that loses, delays, duplicates
-// or corrupts datagrams by seed, or drops all of them.
+// at addresses of the relay. Each ordered pair of members has a path of its own that loses, delays,
+// duplicates or corrupts datagrams by seed, or drops all of them.
 #pragma once
 
 #include <array>
@@ -27,8 +27,8 @@
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
 
-  /// Adds a member and returns its number. Each member has a loopback address of its own, which identifies the
-  /// sender of a datagram.
+  /// Adds a member and returns its number. Each member has a loopback address of its own, which identifies
+  /// the sender of a datagram.
   std::size_t addMember();
   udp::endpoint listenAddress(std::size_t member) const;      ///< where its process has to listen
   udp::endpoint advertisedAddress(std::size_t member) const;  ///< where the other members reach it
--- a/src/lab/testbed/scale.cpp
+++ b/src/lab/testbed/scale.cpp
@@ -14,7 +14,7 @@
   ScaleSize size = plan.size;
   size.set(plan.dimension, value);
   StepResult result;
-  for (unsigned i = 0; i < std::max(plan.voidTries, 1u); ++i) {
+  for (unsigned i = 0; i < std::max(plan.maxTriesPerStep, 1u); ++i) {
     result = measureStep(plan, size);
     if (result.voidReason.empty())
       break;
@@ -25,18 +25,18 @@
 
 }  // namespace
 
-ScaleRun playScale(const ScalePlan& plan, const std::function<void(const StepResult&)>& told) {
+ScaleRun playScale(const ScalePlan& plan, const std::function<void(const StepResult&)>& onStep) {
   checkPlan(plan);
   for (const std::string& program : {plan.program, plan.lab})
     if (::access(program.c_str(), X_OK) != 0)
-      throw std::runtime_error("no program at " + program);
+      throw std::runtime_error("no executable program at " + program);
   ScaleRun run;
   run.dimension = nameOf(plan.dimension);
   for (unsigned round = 0; round < plan.rounds; ++round)
     for (const double value : plan.values) {
       run.steps.push_back(playStep(plan, value));
       run.steps.back().round = round;
-      told(run.steps.back());
+      onStep(run.steps.back());
     }
   return run;
 }
--- a/src/lab/testbed/scale.hpp
+++ b/src/lab/testbed/scale.hpp
@@ -1,4 +1,4 @@
-// A scale run: the steps of one dimension one after another, each with processes of its own.
+// Runs the steps of a scale run one after another, each with processes of its own.
 #pragma once
 
 #include <functional>
@@ -8,12 +8,12 @@
 
 namespace hollyrun::lab {
 
-/// Plays all steps of all rounds; a void one again, as often as the plan allows. `told` hears of each step
-/// that has ended. Throws std::invalid_argument if the plan goes beyond a bound, ScaleInterrupted on a
-/// signal, and std::runtime_error if a process fails.
-ScaleRun playScale(const ScalePlan& plan, const std::function<void(const StepResult&)>& told);
+/// Plays all steps of all rounds and repeats void steps as often as the plan allows. Calls `onStep` with the
+/// result of each step. Throws std::invalid_argument if the plan exceeds a bound, ScaleInterrupted on SIGINT
+/// or SIGTERM, and std::runtime_error if a process fails.
+ScaleRun playScale(const ScalePlan& plan, const std::function<void(const StepResult&)>& onStep);
 
-/// Whether a step remained void, so that the run proves nothing.
+/// Returns whether a step remained void, which makes the run inconclusive.
 bool hasVoidStep(const ScaleRun& run);
 
 }  // namespace hollyrun::lab
--- a/src/lab/testbed/scale_figures.cpp
+++ b/src/lab/testbed/scale_figures.cpp
@@ -9,7 +9,7 @@
 namespace hollyrun::lab {
 namespace {
 
-constexpr double kSlopeFor = 1000;  // of the dimension
+constexpr double kSlopeUnit = 1000;  // the table has the slope for this difference in size
 
 constexpr std::array<FigureText, kFigureCount> kTexts{{
     {"request_us", "processor time a request, us", 1},
@@ -49,7 +49,7 @@
   return all;
 }
 
-// Mean and its standard error by size; the error is 0 from one round alone.
+// Accumulates the mean of the rounds at one size and its standard error, which is 0 for a single round.
 struct Mean {
   double sum = 0, squares = 0;
   std::size_t count = 0;
@@ -66,13 +66,13 @@
 
 std::map<double, Mean> meansOf(const ScaleRun& run, Figure figure) {
   std::map<double, Mean> all;
-  for (const Point& p : pointsOf(run, figure))
-    all[p.size].add(p.value);
+  for (const Point& point : pointsOf(run, figure))
+    all[point.size].add(point.value);
   return all;
 }
 
 std::map<double, std::size_t> sizesOf(const ScaleRun& run) {
-  std::map<double, std::size_t> all;  // with how many of its steps are void
+  std::map<double, std::size_t> all;  // number of void steps by size
   for (const StepResult& step : run.steps)
     all[step.size] += step.voidReason.empty() ? 0 : 1;
   return all;
@@ -91,10 +91,10 @@
 std::string slopeText(const std::optional<Slope>& slope, int decimals) {
   if (!slope)
     return "-";
-  const int more = decimals + 1;
-  std::string text = fmt::format("{:.{}f}", slope->slope * kSlopeFor, more);
+  const int slopeDecimals = decimals + 1;
+  std::string text = fmt::format("{:.{}f}", slope->slope * kSlopeUnit, slopeDecimals);
   if (slope->standardError)
-    text += fmt::format(" ± {:.{}f}", *slope->standardError * kSlopeFor, more);
+    text += fmt::format(" ± {:.{}f}", *slope->standardError * kSlopeUnit, slopeDecimals);
   return text;
 }
 
@@ -115,42 +115,42 @@
   const std::vector<Point> points = pointsOf(run, figure);
   const double n = static_cast<double>(points.size());
   double meanX = 0, meanY = 0;
-  for (const Point& p : points)
-    meanX += p.size / n, meanY += p.value / n;
-  double xx = 0, xy = 0;
-  for (const Point& p : points) {
-    xx += (p.size - meanX) * (p.size - meanX);
-    xy += (p.size - meanX) * (p.value - meanY);
+  for (const Point& point : points)
+    meanX += point.size / n, meanY += point.value / n;
+  double sumXx = 0, sumXy = 0;
+  for (const Point& point : points) {
+    sumXx += (point.size - meanX) * (point.size - meanX);
+    sumXy += (point.size - meanX) * (point.value - meanY);
   }
-  if (!(xx > 0))
+  if (!(sumXx > 0))
     return std::nullopt;
   Slope fit;
-  fit.slope = xy / xx;
+  fit.slope = sumXy / sumXx;
   fit.intercept = meanY - fit.slope * meanX;
   if (points.size() < 3)
     return fit;
-  double residual = 0;
-  for (const Point& p : points)
-    residual += std::pow(p.value - fit.intercept - fit.slope * p.size, 2);
-  fit.standardError = std::sqrt(residual / (n - 2) / xx);
+  double squaredResiduals = 0;
+  for (const Point& point : points)
+    squaredResiduals += std::pow(point.value - fit.intercept - fit.slope * point.size, 2);
+  fit.standardError = std::sqrt(squaredResiduals / (n - 2) / sumXx);
   return fit;
 }
 
 std::string tableOf(const ScaleRun& run) {
   const auto sizes = sizesOf(run);
-  std::string text = fmt::format("| {} |", run.dimension), line = "| --- |";
-  for (const auto& [size, voided] : sizes) {
-    text += fmt::format(" {:g}{} |", size, voided > 0 ? fmt::format(" ({} void)", voided) : "");
-    line += " --- |";
+  std::string text = fmt::format("| {} |", run.dimension), separator = "| --- |";
+  for (const auto& [size, voidSteps] : sizes) {
+    text += fmt::format(" {:g}{} |", size, voidSteps > 0 ? fmt::format(" ({} void)", voidSteps) : "");
+    separator += " --- |";
   }
-  text += fmt::format(" slope for {:g} |\n{} --- |\n", kSlopeFor, line);
+  text += fmt::format(" slope for {:g} |\n{} --- |\n", kSlopeUnit, separator);
   for (std::size_t i = 0; i < kFigureCount; ++i) {
     const auto figure = static_cast<Figure>(i);
     const auto means = meansOf(run, figure);
     if (means.empty())
       continue;
-    text += fmt::format("| {} |", kTexts[i].what);
-    for (const auto& [size, voided] : sizes)
+    text += fmt::format("| {} |", kTexts[i].title);
+    for (const auto& [size, voidSteps] : sizes)
       text += fmt::format(" {} |", cellOf(means, size, kTexts[i].decimals));
     text += fmt::format(" {} |\n", slopeText(slopeOf(run, figure), kTexts[i].decimals));
   }
@@ -161,29 +161,29 @@
   const std::size_t equals = text.find('=');
   const auto figure = figureNamed(text.substr(0, equals));
   if (equals == std::string::npos || !figure)
-    throw std::invalid_argument("'" + text + "' is no FIGURE=FACTOR");
+    throw std::invalid_argument("expected FIGURE=FACTOR with a known figure, not '" + text + "'");
   GrowthBound bound{*figure, std::atof(text.c_str() + equals + 1)};
   if (!(bound.factor > 0))
-    throw std::invalid_argument("'" + text + "': the factor has to be above 0");
+    throw std::invalid_argument("'" + text + "': the factor must be above 0");
   return bound;
 }
 
 std::vector<std::string> growthViolations(const ScaleRun& run, const std::vector<GrowthBound>& bounds) {
-  std::vector<std::string> faults;
+  std::vector<std::string> violations;
   for (const GrowthBound& bound : bounds) {
     const auto means = meansOf(run, bound.figure);
     const char* name = textOf(bound.figure).name;
     if (means.size() < 2) {
-      faults.push_back(std::string(name) + ": not measured at two sizes");
+      violations.push_back(std::string(name) + ": not measured at two sizes");
       continue;
     }
     const double first = means.begin()->second.value(), last = means.rbegin()->second.value();
     if (last > bound.factor * first)
-      faults.push_back(fmt::format("{}: {:.3g} at {:g}, {:.3g} at {:g}: {:.2f} times, allowed {:g}", name,
-                                   first, means.begin()->first, last, means.rbegin()->first, last / first,
-                                   bound.factor));
+      violations.push_back(fmt::format("{}: {:.3g} at {:g}, {:.3g} at {:g}: {:.2f} times, allowed {:g}", name,
+                                       first, means.begin()->first, last, means.rbegin()->first, last / first,
+                                       bound.factor));
   }
-  return faults;
+  return violations;
 }
 
 }  // namespace hollyrun::lab
--- a/src/lab/testbed/scale_figures.hpp
+++ b/src/lab/testbed/scale_figures.hpp
@@ -1,5 +1,5 @@
-// The figures of a scale run: what each step measured, the slope over the steps, the table, the check on
-// shape.
+// The figures of a scale run: the measurements of each step, their slope over the steps, the table and the
+// bounds on growth.
 #pragma once
 
 #include <array>
@@ -10,51 +10,54 @@
 
 namespace hollyrun::lab {
 
-/// What a step measures; of the real gateways it is the mean of them.
+/// The figures that a step measures. Figures of the real gateways are means over the gateways.
 enum class Figure {
-  requestUs,        ///< processor time a request, the idle cost taken off
-  idlePercent,      ///< of a core, without requests
-  residentMb,       ///< after the load
-  discoveryBytes,   ///< a second, both ways, without requests
-  membershipBytes,  ///< a second, both ways, without requests
-  directP50,        ///< ms, the servers asked directly
+  requestUs,        ///< processor time per request, less the idle cost
+  idlePercent,      ///< processor time without requests, percent of a core
+  residentMb,       ///< resident memory after the load
+  discoveryBytes,   ///< per second, sent and received, without requests
+  membershipBytes,  ///< per second, sent and received, without requests
+  directP50,        ///< latency of requests sent to the servers directly, ms
   directP99,
   directP999,
-  addedP50,  ///< ms, through the gateway, less directly
+  addedP50,  ///< latency through the gateway less the direct latency, ms
   addedP99,
   addedP999,
-  unservedPercent,  ///< of the requests through the gateway
+  unservedPercent,  ///< rejected and failed calls through the gateway
   startMs,          ///< processor time of a gateway until it is ready
-  hangupMs,         ///< processor time of a SIGHUP
-  stallMs,          ///< the longest that its loop answered nothing at one
-  joinMs,           ///< until all members see all
-  changeMs,         ///< from a change of the list until all stub gateways hold it, the worst
-  resumeMs,         ///< from discovery's return until they hold what changed meanwhile
-  resumeKb,         ///< sent by discovery for it
-  relistMs,         ///< from its return without its revisions until all have the whole list
+  hangupMs,         ///< processor time of a reload by SIGHUP
+  stallMs,          ///< longest response time of the management address during a reload, less the usual one
+  joinMs,           ///< until every member sees all others
+  changeMs,         ///< from a change of the endpoint list until all stub gateways have it, the maximum
+  resumeMs,         ///< from the end of a discovery outage until all stub gateways have the changes
+  resumeKb,         ///< sent by discovery for that
+  relistMs,  ///< from the end of an outage in which discovery lost its revisions until all have the whole
+             ///< list
   relistKb,
-  lagMs,         ///< the longest that the testbed's own loop, or that of stub processes, was late
-  busiestShare,  ///< of a core: the busiest of the testbed's own processes under the load
+  lagMs,         ///< longest delay of the event loops of the testbed and its stub processes
+  busiestShare,  ///< of a core: the busiest of the testbed's own processes under load
 };
 inline constexpr std::size_t kFigureCount = static_cast<std::size_t>(Figure::busiestShare) + 1;
 
 struct FigureText {
-  const char* name;  ///< as the command line and the file of results have it
-  const char* what;  ///< as a table has it
+  const char* name;   ///< on the command line and in the results file
+  const char* title;  ///< in tables
   int decimals;
 };
 const FigureText& textOf(Figure figure);
-/// None if there is no such name.
+/// Returns std::nullopt if the name is unknown.
 std::optional<Figure> figureNamed(const std::string& name);
 
 struct StepResult {
-  double size = 0;  ///< in the run's dimension
+  double size = 0;  ///< value of the run's dimension
   unsigned round = 0;
   std::array<std::optional<double>, kFigureCount> figures{};
-  std::string voidReason;  ///< why it proves nothing; empty: it does
+  std::string voidReason;  ///< why the step is void; empty: it is valid
 
-  std::optional<double>& operator[](Figure f) { return figures[static_cast<std::size_t>(f)]; }
-  const std::optional<double>& operator[](Figure f) const { return figures[static_cast<std::size_t>(f)]; }
+  std::optional<double>& operator[](Figure figure) { return figures[static_cast<std::size_t>(figure)]; }
+  const std::optional<double>& operator[](Figure figure) const {
+    return figures[static_cast<std::size_t>(figure)];
+  }
 };
 
 struct ScaleRun {
@@ -62,25 +65,27 @@
   std::vector<StepResult> steps;
 };
 
-/// y = intercept + slope * size, by least squares.
+/// A line fitted by least squares: y = intercept + slope * size.
 struct Slope {
   double slope = 0, intercept = 0;
-  std::optional<double> standardError;  ///< of the slope; none from fewer than three points
+  std::optional<double> standardError;  ///< of the slope; unset with fewer than three points
 };
-/// None if fewer than two sizes have the figure. Void steps are left out.
+/// Returns std::nullopt if the figure was measured at fewer than two sizes. Ignores void steps.
 std::optional<Slope> slopeOf(const ScaleRun& run, Figure figure);
 
-/// Markdown: a row a figure that was measured, a column a size, then the slope for a thousand more.
+/// Formats a Markdown table: a row for each measured figure, a column for each size, and the slope per
+/// thousand.
 std::string tableOf(const ScaleRun& run);
 
-/// From the smallest size to the greatest a figure may grow so many times.
+/// The largest allowed ratio of a figure at the largest size to the figure at the smallest size.
 struct GrowthBound {
   Figure figure = Figure::requestUs;
   double factor = 1;
 };
-/// `request_us=2.5`; throws std::invalid_argument on anything else.
+/// Parses FIGURE=FACTOR, such as `request_us=2.5`. Throws std::invalid_argument if the text is malformed.
 GrowthBound parseGrowthBound(const std::string& text);
-/// A line on each bound that does not hold; one that was not measured does not.
+/// Returns a line for each violated bound. A bound on a figure that was not measured at two sizes is
+/// violated.
 std::vector<std::string> growthViolations(const ScaleRun& run, const std::vector<GrowthBound>& bounds);
 
 }  // namespace hollyrun::lab
--- a/src/lab/testbed/scale_plan.cpp
+++ b/src/lab/testbed/scale_plan.cpp
@@ -9,30 +9,31 @@
 namespace hollyrun::lab {
 namespace {
 
-// Of one run on one machine: below a few hundred processes, and each stub server takes a descriptor.
-constexpr std::size_t kGatewaysMost = 64, kMaxStubs = 1000, kServersMost = 10000;
-constexpr std::size_t kTenantsMost = 100000, kClassesMost = 5000;
-constexpr double kRateMost = 20000, kChangesMost = 100;
-constexpr double kWindowMostS = 120;
-constexpr std::size_t kStepsMost = 40;
+// Bounds of a run on one machine: a few hundred processes at most, and each stub server needs a descriptor.
+constexpr std::size_t kMaxGateways = 64, kMaxStubs = 1000, kMaxServers = 10000;
+constexpr std::size_t kMaxTenants = 100000, kMaxClasses = 5000;
+constexpr double kMaxTotalRate = 20000, kMaxChangesPerSecond = 100;
+constexpr double kMaxWindowS = 120;
+constexpr std::size_t kMaxSteps = 40;
 
-void needUpTo(const char* what, double value, double most) {
-  if (value >= 0 && value <= most)
+void requireUpTo(const char* quantity, double value, double limit) {
+  if (value >= 0 && value <= limit)
     return;
-  throw std::invalid_argument(std::string("a scale run has ") + what + " from 0 to " +
-                              std::to_string(static_cast<long long>(most)));
+  throw std::invalid_argument(std::string("scale run: the number of ") + quantity + " must be from 0 to " +
+                              std::to_string(static_cast<long long>(limit)) + ", not " +
+                              fmt::format("{:g}", value));
 }
 
 void checkSize(const ScaleSize& size) {
   if (size.gateways < 1 || size.servers < 1)
-    throw std::invalid_argument("a scale run has one gateway and one server at least");
-  needUpTo("gateways", static_cast<double>(size.gateways), kGatewaysMost);
-  needUpTo("stub gateways", static_cast<double>(size.stubs), kMaxStubs);
-  needUpTo("servers", static_cast<double>(size.servers), kServersMost);
-  needUpTo("tenants", static_cast<double>(size.tenants), kTenantsMost);
-  needUpTo("classes", static_cast<double>(size.classes), kClassesMost);
-  needUpTo("a rate", size.rate * static_cast<double>(size.gateways), kRateMost);
-  needUpTo("changes a second", size.changes, kChangesMost);
+    throw std::invalid_argument("a scale run needs at least one gateway and one server");
+  requireUpTo("gateways", static_cast<double>(size.gateways), kMaxGateways);
+  requireUpTo("stub gateways", static_cast<double>(size.stubs), kMaxStubs);
+  requireUpTo("servers", static_cast<double>(size.servers), kMaxServers);
+  requireUpTo("tenants", static_cast<double>(size.tenants), kMaxTenants);
+  requireUpTo("classes", static_cast<double>(size.classes), kMaxClasses);
+  requireUpTo("requests per second", size.rate * static_cast<double>(size.gateways), kMaxTotalRate);
+  requireUpTo("changes per second", size.changes, kMaxChangesPerSecond);
 }
 
 }  // namespace
@@ -106,10 +107,10 @@
 
 void checkPlan(const ScalePlan& plan) {
   if (plan.values.empty())
-    throw std::invalid_argument("a scale run has one step at least");
-  needUpTo("steps", static_cast<double>(plan.values.size() * plan.rounds), kStepsMost);
+    throw std::invalid_argument("a scale run needs at least one step");
+  requireUpTo("steps", static_cast<double>(plan.values.size() * plan.rounds), kMaxSteps);
   for (const double seconds : {plan.idleS, plan.loadS, plan.warmS, plan.outageS, plan.joinTimeoutS})
-    needUpTo("seconds of a window", seconds, kWindowMostS);
+    requireUpTo("seconds of a phase", seconds, kMaxWindowS);
   for (const double value : plan.values) {
     ScaleSize size = plan.size;
     size.set(plan.dimension, value);
@@ -118,22 +119,22 @@
 }
 
 Scenario scenarioOf(const ScalePlan& plan, const ScaleSize& size) {
-  Scenario s = plan.scenario;
-  s.loadShape = "flat";
-  s.loadAmplitude = s.zoneSkew = s.chokeProbability = s.maxRetries = 0;
-  s.faultSpecs.clear();
-  s.faults.clear();
+  Scenario scenario = plan.scenario;
+  scenario.loadShape = "flat";
+  scenario.loadAmplitude = scenario.zoneSkew = scenario.chokeProbability = scenario.maxRetries = 0;
+  scenario.faultSpecs.clear();
+  scenario.faults.clear();
   if (size.classes == 0)
-    return s;
-  const std::vector<RequestClass> own = s.classes;
-  s.classes.clear();
+    return scenario;
+  const std::vector<RequestClass> ownClasses = scenario.classes;
+  scenario.classes.clear();
   for (std::size_t i = 0; i < size.classes; ++i) {
-    RequestClass c = own[i % own.size()];
-    if (i >= own.size())
-      c.settings.name += fmt::format("-{}", i / own.size());
-    s.classes.push_back(c);
+    RequestClass requestClass = ownClasses[i % ownClasses.size()];
+    if (i >= ownClasses.size())
+      requestClass.settings.name += fmt::format("-{}", i / ownClasses.size());
+    scenario.classes.push_back(requestClass);
   }
-  return s;
+  return scenario;
 }
 
 }  // namespace hollyrun::lab
--- a/src/lab/testbed/scale_plan.hpp
+++ b/src/lab/testbed/scale_plan.hpp
@@ -1,4 +1,4 @@
-// What a scale run plays: the size of the fleet, the one dimension that it steps through, and the times.
+// The plan of a scale run: the size of the fleet, the dimension that varies from step to step, and durations.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace hollyrun::lab {
 
-/// The dimension that a scale run steps through.
+/// A dimension of the size that a scale run can vary.
 enum class Dimension { gateways, stubs, servers, tenants, classes, rate, changes };
 
 inline constexpr Dimension kDimensions[] = {Dimension::gateways, Dimension::stubs,   Dimension::servers,
@@ -18,13 +18,13 @@
 const char* nameOf(Dimension dimension);
 
 struct ScaleSize {
-  std::size_t gateways = 1;  ///< real processes
-  std::size_t stubs = 0;     ///< gateways without clients, many to a process
+  std::size_t gateways = 1;  ///< real gateway processes
+  std::size_t stubs = 0;     ///< stub gateways, which have no clients; many in one process
   std::size_t servers = 200;
   std::size_t tenants = 0;
-  std::size_t classes = 0;  ///< 0: the scenario's own
-  double rate = 400;        ///< requests a second at each real gateway
-  double changes = 0;       ///< of the list, a second
+  std::size_t classes = 0;  ///< 0: the classes of the scenario
+  double rate = 400;        ///< requests per second for each real gateway
+  double changes = 0;       ///< changes of the endpoint list per second
 
   void set(Dimension dimension, double value);
   double get(Dimension dimension) const;
@@ -32,34 +32,34 @@
 
 struct ScalePlan {
   Scenario scenario;    ///< classes, keys and zones of the load
-  std::string program;  ///< the built hollyrun
-  std::string lab;      ///< the built hollyrun-lab, for the stub processes
-  ScaleSize size;       ///< of all steps, but for the dimension
+  std::string program;  ///< path of the built hollyrun
+  std::string lab;      ///< path of the built hollyrun-lab, for the stub processes
+  ScaleSize size;       ///< of all steps, except in the varied dimension
   Dimension dimension = Dimension::servers;
-  std::vector<double> values;  ///< of the dimension, one a step
-  unsigned rounds = 1;         ///< of all the steps
-  unsigned voidTries = 3;      ///< a step that is void is played so often
+  std::vector<double> values;    ///< of the dimension, one for each step
+  unsigned rounds = 1;           ///< repetitions of all steps
+  unsigned maxTriesPerStep = 3;  ///< void steps are repeated up to this many tries
   double idleS = 5, loadS = 8, warmS = 2;
-  double answerMs = 2;       ///< until a stub server answers
-  unsigned hangups = 3;      ///< SIGHUPs measured a step
-  unsigned listChanges = 5;  ///< followed to all stub gateways
-  double outageS = 2;        ///< of discovery, before its watches begin anew; 0: none is played
+  double answerMs = 2;       ///< response time of a stub server
+  unsigned hangups = 3;      ///< SIGHUPs measured in each step
+  unsigned listChanges = 5;  ///< measured in each step until all stub gateways have them
+  double outageS = 2;        ///< of discovery, before clients reconnect; 0: no outage
   std::size_t configuredGateways =
-      410;                        ///< fleet.gateways of the settings, or all of the size if those are more
+      410;  ///< fleet.gateways of the configurations; at least the gateways and stub gateways of the step
   double membershipPeriodMs = 0;  ///< 0: no membership
-  double joinTimeoutS = 60;       ///< waited for until all members see all
-  // Beyond these a step is void: the testbed would show as latency of the gateway, or be itself what is
-  // measured.
-  double lagMostMs = 100;   ///< that the loop of one of the testbed's processes was late under a load
-  double shareMost = 0.85;  ///< of a core that one of them took under a load
+  double joinTimeoutS = 60;       ///< for all members to see each other
+  // A step is void beyond these limits, because the testbed's own delays or load would be measured instead of
+  // the gateway's.
+  double maxHelperLagMs = 100;   ///< delay of the event loop of the testbed or a stub process under load
+  double maxHelperShare = 0.85;  ///< processor time of one of them under load, share of a core
   std::uint64_t seed = 1;
 };
 
-/// Throws std::invalid_argument that says which bound the plan goes beyond.
+/// Throws std::invalid_argument that names the bound which the plan exceeds.
 void checkPlan(const ScalePlan& plan);
 
-/// The scenario that a step of that size is played by: a flat load without troubles, retries or choking, and
-/// as many classes as the size asks for.
+/// Returns the scenario of a step of that size: a flat load without troubles, retries or choking, with as
+/// many classes as the size has.
 Scenario scenarioOf(const ScalePlan& plan, const ScaleSize& size);
 
 }  // namespace hollyrun::lab
--- a/src/lab/testbed/scale_step.cpp
+++ b/src/lab/testbed/scale_step.cpp
@@ -12,16 +12,17 @@
 namespace hollyrun::lab {
 namespace {
 
-constexpr std::size_t kDirectServers = 16;  // few enough that their connections are kept, as a pool's are
-constexpr double kHangupMostS = 20, kChangeMostS = 20, kOutageMostS = 60;
+constexpr std::size_t kDirectServers = 16;  // few enough that their connections are reused, as in a pool
+constexpr double kHangupTimeoutS = 20, kChangeTimeoutS = 20, kOutageTimeoutS = 60;
 constexpr double kSettleS = 2;
-// Of a burst that is shorter a process may well take the whole: that time is what is measured.
-constexpr double kShareOverS = 1;
-constexpr int kAsksBefore = 5;  // of the statistics, for what one of them costs
-constexpr double kMs = 1000, kUs = 1e6, kPercent = 100, kKilobyte = 1000;
+// A process may use a whole core in a shorter window, which is a burst. The duration of the burst is what the
+// step measures, so that the share of a core does not count in it.
+constexpr double kMinShareWindowS = 1;
+constexpr int kBaselineRequests = 5;  // requests for the statistics, to measure the cost of one
+constexpr double kMsPerSecond = 1000, kUsPerSecond = 1e6, kPercent = 100, kBytesPerKilobyte = 1000;
 
-// What the real gateways have used, as a mean of them.
-struct GatewayCounts {
+// Resource usage and traffic since the start, as means over the real gateways.
+struct GatewayUsage {
   double processorS = 0, residentMb = 0, discoveryBytes = 0, membershipBytes = 0;
   Time at{};
 };
@@ -33,11 +34,11 @@
   StepResult measure() {
     waitForMembers();
     measureStart();
-    testbed_.changeRegularly(true);
-    testbed_.play(gatewayTargets(), std::max(plan_.warmS, 0.1));
+    testbed_.setRegularChanges(true);
+    testbed_.runLoad(gatewayTargets(), std::max(plan_.warmS, 0.1));
     measureIdle();
     measureLoad();
-    testbed_.changeRegularly(false);
+    testbed_.setRegularChanges(false);
     measureHangups();
     measureListChanges();
     measureOutages();
@@ -58,15 +59,16 @@
     return all;
   }
 
-  GatewayCounts counts() {
-    GatewayCounts sum;
+  GatewayUsage measureUsage() {
+    GatewayUsage sum;
     const double share = 1 / static_cast<double>(testbed_.gateways().size());
     for (const auto& gateway : testbed_.gateways()) {
       const auto& discovery = testbed_.discovery().counts(gateway->discovery);
       sum.discoveryBytes += share * static_cast<double>(discovery.bytesIn + discovery.bytesOut);
       sum.membershipBytes += share * membershipBytes(*gateway);
     }
-    for (const auto& gateway : testbed_.gateways()) {  // what was asked above is not to be counted within
+    // After the requests above, so that their cost lies outside the window that begins here.
+    for (const auto& gateway : testbed_.gateways()) {
       const ProcessUsage usage = usageOf(gateway->process->pid);
       sum.processorS += share * usage.processorS;
       sum.residentMb += share * usage.residentMb;
@@ -77,7 +79,7 @@
   double membershipBytes(const RealGateway& gateway) {
     if (gateway.membership.empty())
       return 0;
-    const auto view = nlohmann::json::parse(testbed_.ask(gateway, "/ops/fleet"));
+    const auto view = nlohmann::json::parse(testbed_.get(gateway, "/ops/fleet"));
     const auto& counters = view.at("counters");
     return counters.at("bytes_in").get<double>() + counters.at("bytes_out").get<double>();
   }
@@ -88,60 +90,62 @@
     return sum / static_cast<double>(testbed_.gateways().size());
   }
 
-  // --- Whether this machine kept up ---
+  // --- Load of the testbed itself ---
 
-  void beginWatch() {
+  void beginHelperCheck() {
     testbed_.resetLag();
-    watchFrom_ = clockNow();
-    helpers_ = testbed_.helperUsage();
+    helperCheckFrom_ = clockNow();
+    helperUsageBefore_ = testbed_.helperUsage();
   }
-  void endWatch(const char* window) {
-    const double passed = inSeconds(clockNow() - watchFrom_);
+  void endHelperCheck(const char* window) {
+    const double passed = inSeconds(clockNow() - helperCheckFrom_);
     const auto now = testbed_.helperUsage();
     for (std::size_t i = 0; i < now.size(); ++i) {
-      const double share = (now[i].second.processorS - helpers_[i].second.processorS) / passed;
-      if (passed < kShareOverS)
+      const double share = (now[i].second.processorS - helperUsageBefore_[i].second.processorS) / passed;
+      if (passed < kMinShareWindowS)
         continue;
-      raise(Figure::busiestShare, share);
-      if (share > plan_.shareMost)
-        voidFor(fmt::format("{}: {} took {:.2f} of a core", window, now[i].first, share));
+      raiseTo(Figure::busiestShare, share);
+      if (share > plan_.maxHelperShare)
+        markVoid(fmt::format("{}: {} took {:.2f} of a core", window, now[i].first, share));
     }
-    raise(Figure::lagMs, testbed_.lagMs());
-    if (testbed_.lagMs() > plan_.lagMostMs)
-      voidFor(fmt::format("{}: the testbed was {:.0f} ms late", window, testbed_.lagMs()));
+    raiseTo(Figure::lagMs, testbed_.lagMs());
+    if (testbed_.lagMs() > plan_.maxHelperLagMs)
+      markVoid(fmt::format("{}: the testbed was {:.0f} ms late", window, testbed_.lagMs()));
+  }
+  void raiseTo(Figure figure, double value) {
+    result_[figure] = std::max(result_[figure].value_or(0), value);
   }
-  void raise(Figure figure, double value) { result_[figure] = std::max(result_[figure].value_or(0), value); }
-  void voidFor(const std::string& why) {
-    result_.voidReason += (result_.voidReason.empty() ? "" : "; ") + why;
+  void markVoid(const std::string& reason) {
+    result_.voidReason += (result_.voidReason.empty() ? "" : "; ") + reason;
   }
 
-  // --- Measures ---
+  // --- Start, idle and load ---
 
   void waitForMembers() {
     if (plan_.membershipPeriodMs <= 0 || size_.stubs == 0)
-      return testbed_.playFor(kSettleS);
+      return testbed_.runFor(kSettleS);
     const auto all = static_cast<std::uint32_t>(size_.gateways + size_.stubs);
     const Time from = clockNow();
-    if (testbed_.playUntil([&] { return testbed_.stubMembersSeen() >= all; }, plan_.joinTimeoutS))
-      result_[Figure::joinMs] = inSeconds(clockNow() - from) * kMs;
-    testbed_.playFor(kSettleS);
+    if (testbed_.runUntil([&] { return testbed_.stubMembersSeen() >= all; }, plan_.joinTimeoutS))
+      result_[Figure::joinMs] = inSeconds(clockNow() - from) * kMsPerSecond;
+    testbed_.runFor(kSettleS);
   }
 
   void measureStart() {
     double sum = 0;
     for (const auto& gateway : testbed_.gateways())
       sum += gateway->startProcessorS;
-    result_[Figure::startMs] = sum / static_cast<double>(testbed_.gateways().size()) * kMs;
+    result_[Figure::startMs] = sum / static_cast<double>(testbed_.gateways().size()) * kMsPerSecond;
   }
 
   void measureIdle() {
     if (plan_.idleS <= 0)
       return;
-    const GatewayCounts before = counts();
-    testbed_.playFor(plan_.idleS);
+    const GatewayUsage before = measureUsage();
+    testbed_.runFor(plan_.idleS);
     const double processorS = processorSeconds() - before.processorS;
     const double passed = inSeconds(clockNow() - before.at);
-    const GatewayCounts after = counts();
+    const GatewayUsage after = measureUsage();
     idleShare_ = processorS / passed;
     result_[Figure::idlePercent] = idleShare_ * kPercent;
     result_[Figure::discoveryBytes] = (after.discoveryBytes - before.discoveryBytes) / passed;
@@ -152,27 +156,28 @@
   void measureLoad() {
     if (plan_.loadS <= 0 || size_.rate <= 0)
       return;
-    beginWatch();
+    beginHelperCheck();
     const double before = processorSeconds();
     const Time from = clockNow();
-    const Load& through = testbed_.play(gatewayTargets(), plan_.loadS);
+    const Load& through = testbed_.runLoad(gatewayTargets(), plan_.loadS);
     const double used = processorSeconds() - before, passed = inSeconds(clockNow() - from);
-    endWatch("the load");
-    const Result r = through.result();
-    const double requests = static_cast<double>(r.requests) / static_cast<double>(size_.gateways);
-    result_[Figure::requestUs] = (used - idleShare_ * passed) / requests * kUs;
-    result_[Figure::unservedPercent] = (r.rejectedShare + r.failedShare) * kPercent;
-    result_[Figure::residentMb] = counts().residentMb;
-    beginWatch();
-    const Load& direct = testbed_.play(serverTargets(), plan_.loadS);
-    endWatch("the direct load");
-    latency(through.latencies(), direct.latencies(), 0.5, Figure::directP50, Figure::addedP50);
-    latency(through.latencies(), direct.latencies(), 0.99, Figure::directP99, Figure::addedP99);
-    latency(through.latencies(), direct.latencies(), 0.999, Figure::directP999, Figure::addedP999);
+    endHelperCheck("the load");
+    const Result loadResult = through.result();
+    const double requests = static_cast<double>(loadResult.requests) / static_cast<double>(size_.gateways);
+    result_[Figure::requestUs] = (used - idleShare_ * passed) / requests * kUsPerSecond;
+    result_[Figure::unservedPercent] = (loadResult.rejectedShare + loadResult.failedShare) * kPercent;
+    result_[Figure::residentMb] = measureUsage().residentMb;
+    beginHelperCheck();
+    const Load& direct = testbed_.runLoad(serverTargets(), plan_.loadS);
+    endHelperCheck("the direct load");
+    setLatency(through.latencies(), direct.latencies(), 0.5, Figure::directP50, Figure::addedP50);
+    setLatency(through.latencies(), direct.latencies(), 0.99, Figure::directP99, Figure::addedP99);
+    setLatency(through.latencies(), direct.latencies(), 0.999, Figure::directP999, Figure::addedP999);
   }
-  void latency(const Latencies& through, const Latencies& direct, double part, Figure of, Figure added) {
-    result_[of] = direct.percentile(part);
-    result_[added] = through.percentile(part) - direct.percentile(part);
+  void setLatency(const Latencies& through, const Latencies& direct, double fraction, Figure directFigure,
+                  Figure addedFigure) {
+    result_[directFigure] = direct.percentile(fraction);
+    result_[addedFigure] = through.percentile(fraction) - direct.percentile(fraction);
   }
 
   // --- SIGHUP ---
@@ -180,109 +185,112 @@
   void measureHangups() {
     double processorS = 0, stallMs = 0;
     for (unsigned i = 0; i < plan_.hangups; ++i) {
-      const Hangup one = hangUp(i + 1);
-      processorS += one.processorS / plan_.hangups;
-      stallMs = std::max(stallMs, one.stallMs);
+      const HangupCost cost = measureHangup(i + 1);
+      processorS += cost.processorS / plan_.hangups;
+      stallMs = std::max(stallMs, cost.stallMs);
     }
     if (plan_.hangups == 0)
       return;
-    result_[Figure::hangupMs] = processorS * kMs;
+    result_[Figure::hangupMs] = processorS * kMsPerSecond;
     result_[Figure::stallMs] = stallMs;
   }
-  struct Hangup {
+  struct HangupCost {
     double processorS = 0, stallMs = 0;
   };
-  struct Asked {
+  struct StatsSample {
     int reloads = 0;
-    double ms = 0;
+    double responseMs = 0;
   };
-  // The statistics: how many SIGHUPs it has taken, and how long it took to say so.
-  Asked askStatistics(const RealGateway& gateway) {
+  // Returns the number of reloads that the gateway's statistics count and the response time of the request.
+  StatsSample sampleStats(const RealGateway& gateway) {
     const Time from = clockNow();
-    const std::string body = testbed_.ask(gateway, "/ops/stats");
-    const double ms = inSeconds(clockNow() - from) * kMs;
-    const std::string name = ".reconfig_ok=";
-    const std::size_t at = body.find(name);
-    if (at == std::string::npos)
-      throw std::runtime_error(gateway.name + " counts no SIGHUP");
-    return {std::atoi(body.c_str() + at + name.size()), ms};
+    const std::string body = testbed_.get(gateway, "/ops/stats");
+    const double ms = inSeconds(clockNow() - from) * kMsPerSecond;
+    const std::string counter = ".reconfig_ok=";
+    const std::size_t counterAt = body.find(counter);
+    if (counterAt == std::string::npos)
+      throw std::runtime_error(gateway.name + ": /ops/stats has no counter reconfig_ok");
+    return {std::atoi(body.c_str() + counterAt + counter.size()), ms};
   }
-  // One that it is asked again and again until it has taken the settings; what asking costs is taken off.
-  Hangup hangUp(unsigned version) {
+  // Sends a SIGHUP and polls the gateway's statistics until it has applied the changed configuration. The
+  // cost of polling is subtracted.
+  HangupCost measureHangup(unsigned version) {
     const RealGateway& gateway = *testbed_.gateways().front();
     testbed_.writeChangedConfig(gateway, version);
-    const auto used = [&] { return usageOf(gateway.process->pid).processorS; };
-    const double before = used();
-    Asked last;
+    const auto processorS = [&] { return usageOf(gateway.process->pid).processorS; };
+    const double before = processorS();
+    StatsSample last;
     double usualMs = 1e9;
-    for (int i = 0; i < kAsksBefore; ++i) {
-      last = askStatistics(gateway);
-      usualMs = std::min(usualMs, last.ms);
+    for (int i = 0; i < kBaselineRequests; ++i) {
+      last = sampleStats(gateway);
+      usualMs = std::min(usualMs, last.responseMs);
     }
-    const double askS = (used() - before) / kAsksBefore, from = used();
+    const double requestS = (processorS() - before) / kBaselineRequests, from = processorS();
     const int reloads = last.reloads;
-    const Time most = clockNow() + seconds(kHangupMostS);
+    const Time deadline = clockNow() + seconds(kHangupTimeoutS);
     gateway.process->send(SIGHUP);
-    double longest = 0;
-    int asks = 0;
+    double longestMs = 0;
+    int requests = 0;
     while (last.reloads == reloads) {
-      if (clockNow() > most)
-        throw std::runtime_error(gateway.name + " does not take a SIGHUP");
-      last = askStatistics(gateway);
-      longest = std::max(longest, last.ms);
-      ++asks;
+      if (clockNow() > deadline)
+        throw std::runtime_error(
+            fmt::format("{} did not reload within {:g} s of SIGHUP", gateway.name, kHangupTimeoutS));
+      last = sampleStats(gateway);
+      longestMs = std::max(longestMs, last.responseMs);
+      ++requests;
     }
-    return {std::max(0.0, used() - from - asks * askS), std::max(0.0, longest - usualMs)};
+    return {std::max(0.0, processorS() - from - requests * requestS), std::max(0.0, longestMs - usualMs)};
   }
 
-  // --- The list at the stub gateways ---
+  // --- Endpoint list at the stub gateways ---
 
   void measureListChanges() {
     if (size_.stubs == 0)
       return;
-    beginWatch();
+    beginHelperCheck();
     for (unsigned i = 0; i < plan_.listChanges; ++i) {
       const Time from = clockNow();
-      const std::int64_t revision = testbed_.discovery().change(i % size_.servers);
-      if (!testbed_.playUntil([&] { return testbed_.stubRevision() >= revision; }, kChangeMostS))
-        throw std::runtime_error("a change of the list does not reach all stub gateways");
-      raise(Figure::changeMs, inSeconds(testbed_.stubChangedAt() - from) * kMs);
+      const std::int64_t revision = testbed_.discovery().toggleDraining(i % size_.servers);
+      if (!testbed_.runUntil([&] { return testbed_.stubRevision() >= revision; }, kChangeTimeoutS))
+        throw std::runtime_error("a change of the endpoint list did not reach all stub gateways in time");
+      raiseTo(Figure::changeMs, inSeconds(testbed_.stubChangedAt() - from) * kMsPerSecond);
     }
     if (plan_.listChanges > 0)
-      endWatch("list changes");
+      endHelperCheck("list changes");
   }
 
   void measureOutages() {
     if (size_.stubs == 0 || plan_.outageS <= 0)
       return;
-    const Return cut = outage(false);
-    result_[Figure::resumeMs] = cut.ms;
-    result_[Figure::resumeKb] = cut.kilobytes;
-    const Return anew = outage(true);
-    result_[Figure::relistMs] = anew.ms;
-    result_[Figure::relistKb] = anew.kilobytes;
+    const Recovery resumed = measureOutage(false);
+    result_[Figure::resumeMs] = resumed.ms;
+    result_[Figure::resumeKb] = resumed.kilobytes;
+    const Recovery relisted = measureOutage(true);
+    result_[Figure::relistMs] = relisted.ms;
+    result_[Figure::relistKb] = relisted.kilobytes;
   }
-  struct Return {
+  struct Recovery {
     double ms = 0, kilobytes = 0;
   };
-  // Discovery is away for a while, as with regions apart, and all ask it anew once it is back.
-  Return outage(bool anew) {
+  // Suspends discovery, as a network partition between regions does, and measures how long all stub gateways
+  // need to catch up after it resumes. With `revisionsLost` they have to fetch the whole list.
+  Recovery measureOutage(bool revisionsLost) {
     StubDiscovery& discovery = testbed_.discovery();
     discovery.suspend();
-    testbed_.playFor(plan_.outageS);
-    const std::int64_t revision = discovery.change(0);
-    const std::uint64_t lists = testbed_.stubSnapshots();
-    const auto& counts = discovery.counts(testbed_.stubDiscovery());
+    testbed_.runFor(plan_.outageS);
+    const std::int64_t revision = discovery.toggleDraining(0);
+    const std::uint64_t lists = testbed_.stubWholeLists();
+    const auto& counts = discovery.counts(testbed_.stubDiscoveryAddress());
     const std::uint64_t sent = counts.bytesOut;
     const Time from = clockNow();
-    discovery.resume(anew);
-    const auto back = [&] {
-      return anew ? testbed_.stubSnapshots() > lists : testbed_.stubRevision() >= revision;
+    discovery.resume(revisionsLost);
+    const auto caughtUp = [&] {
+      return revisionsLost ? testbed_.stubWholeLists() > lists : testbed_.stubRevision() >= revision;
     };
-    if (!testbed_.playUntil(back, kOutageMostS))
-      throw std::runtime_error("the stub gateways do not watch again");
-    return {inSeconds(testbed_.stubChangedAt() - from) * kMs,
-            static_cast<double>(counts.bytesOut - sent) / kKilobyte};
+    if (!testbed_.runUntil(caughtUp, kOutageTimeoutS))
+      throw std::runtime_error("the stub gateways did not catch up after the outage of discovery");
+    return {inSeconds(testbed_.stubChangedAt() - from) * kMsPerSecond,
+            static_cast<double>(counts.bytesOut - sent) / kBytesPerKilobyte};
   }
 
   const ScalePlan& plan_;
@@ -290,8 +298,8 @@
   ScaleTestbed testbed_;
   StepResult result_;
   double idleShare_ = 0;
-  Time watchFrom_{};
-  std::vector<std::pair<std::string, ProcessUsage>> helpers_;
+  Time helperCheckFrom_{};
+  std::vector<std::pair<std::string, ProcessUsage>> helperUsageBefore_;
 };
 
 }  // namespace
--- a/src/lab/testbed/scale_step.hpp
+++ b/src/lab/testbed/scale_step.hpp
@@ -1,4 +1,4 @@
-// One step of a scale run: starts its processes, measures, and ends them.
+// Measures one step of a scale run, with processes of its own.
 #pragma once
 
 #include "lab/testbed/scale_figures.hpp"
@@ -6,8 +6,8 @@
 
 namespace hollyrun::lab {
 
-/// Measures a fleet of that size. A step for which this machine was too slow says so in `voidReason`. Throws
-/// ScaleInterrupted, and std::runtime_error if a process fails.
+/// Measures a fleet of that size. Sets `voidReason` if the machine was too slow for the step. Throws
+/// ScaleInterrupted on SIGINT or SIGTERM, and std::runtime_error if a process fails.
 StepResult measureStep(const ScalePlan& plan, const ScaleSize& size);
 
 }  // namespace hollyrun::lab
--- a/src/lab/testbed/scale_testbed.cpp
+++ b/src/lab/testbed/scale_testbed.cpp
@@ -20,33 +20,35 @@
 
 namespace {
 
-constexpr std::size_t kStubsPerProcess = 52;  // gateways of a process: 410 in eight
-constexpr std::size_t kSeeds = 3;
-constexpr std::size_t kCell = 6;  // servers of one
-constexpr double kReadyMostS = 30, kAnswerMostS = 10;
-// What a load owes once its arrivals have ended: the longest deadline and some.
-constexpr double kLoadEndS = 10;
-constexpr double kMemoryMostMb = 12 * 1024;
-// Rigs beside each other have servers at other addresses: 127.1.0.0 to 127.63.255.255, by process.
-constexpr std::uint32_t kServersFrom = 0x7f010001;
-constexpr std::uint32_t kServersBlock = 1 << 14, kServersBlocks = 250;
+constexpr std::size_t kStubGatewaysPerProcess = 52;  // 410 stub gateways need eight processes
+constexpr std::size_t kSeedCount = 3;
+constexpr std::size_t kServersPerCell = 6;
+constexpr double kStartTimeoutS = 30, kOpsTimeoutS = 10;
+// Requests may stay open for the longest deadline after the last arrival.
+constexpr double kLoadEndTimeoutS = 10;
+constexpr double kMaxMemoryMb = 12 * 1024;
+// Testbeds that run side by side use different blocks from 127.1.0.0 to 127.63.255.255, by process id.
+constexpr std::uint32_t kFirstServerAddress = 0x7f010001;
+constexpr std::uint32_t kAddressesPerBlock = 1 << 14, kAddressBlocks = 250;
 
 std::uint32_t firstServerAddress() {
-  return kServersFrom + static_cast<std::uint32_t>(::getpid()) % kServersBlocks * kServersBlock;
+  return kFirstServerAddress + static_cast<std::uint32_t>(::getpid()) % kAddressBlocks * kAddressesPerBlock;
 }
 
-// A port that was free a moment ago. It may be taken since, and the gateway tries until it is free again.
+// Returns an address whose port is free now. If another process binds the port before the gateway does, the
+// gateway retries until it is free again.
 std::string freeMembershipAddress(asio::io_context& io) {
   return textOf(udp::socket(io, {asio::ip::address_v4::loopback(), 0}).local_endpoint());
 }
 
 fs::path makeFolder() {
-  // Danger: files that are renamed over others are written to a disk at once, which holds the testbed up.
-  const fs::path memory = "/dev/shm";
-  const fs::path base = ::access(memory.c_str(), W_OK) == 0 ? memory : fs::temp_directory_path();
+  // A file system on disk may flush a file that is renamed over another at once, which blocks the testbed. A
+  // file system in memory does not.
+  const fs::path memoryFolder = "/dev/shm";
+  const fs::path base = ::access(memoryFolder.c_str(), W_OK) == 0 ? memoryFolder : fs::temp_directory_path();
   std::string pattern = (base / "hollyrun-scale-XXXXXX").string();
   if (!::mkdtemp(pattern.data()))
-    throw std::runtime_error("no temporary directory");
+    throw std::runtime_error("cannot create a temporary directory in " + base.string());
   return pattern;
 }
 
@@ -58,8 +60,8 @@
 
 }  // namespace
 
-RealGateway::RealGateway(asio::io_context& io, std::size_t n)
-    : number(n), name("gateway-" + std::to_string(n)), port(io), management(io) {}
+RealGateway::RealGateway(asio::io_context& io, std::size_t gatewayNumber)
+    : number(gatewayNumber), name("gateway-" + std::to_string(gatewayNumber)), port(io), management(io) {}
 
 ScaleTestbed::ScaleTestbed(const ScalePlan& plan, const ScaleSize& size)
     : plan_(plan),
@@ -69,7 +71,7 @@
       signals_(io_, SIGINT, SIGTERM),
       children_(io_, SIGCHLD),
       lag_(io_),
-      changes_(io_),
+      changeTimer_(io_),
       dir_(makeFolder()),
       loadSeed_(plan.seed) {
   signals_.async_wait([this](error_code ec, int) { interrupted_ = !ec; });
@@ -87,51 +89,53 @@
   killAll();
 }
 
-// --- The loop ---------------------------------------------------------------------------------------------
+// --- Event loop -------------------------------------------------------------------------------------------
 
-bool ScaleTestbed::playUntil(const std::function<bool()>& holds, double mostS) {
-  const Time most = clockNow() + seconds(mostS);
-  while (!holds()) {
+bool ScaleTestbed::runUntil(const std::function<bool()>& condition, double timeoutS) {
+  const Time deadline = clockNow() + seconds(timeoutS);
+  while (!condition()) {
     if (interrupted_)
       throw ScaleInterrupted();
     if (!failure_.empty())
       throw std::runtime_error(failure_);
-    if (clockNow() >= most)
+    if (clockNow() >= deadline)
       return false;
-    io_.run_one_for(std::min<Duration>(most - clockNow(), std::chrono::milliseconds(100)));
+    io_.run_one_for(std::min<Duration>(deadline - clockNow(), std::chrono::milliseconds(100)));
   }
   return true;
 }
 
-void ScaleTestbed::playFor(double s) {
-  playUntil([] { return false; }, s);
+void ScaleTestbed::runFor(double durationS) {
+  runUntil([] { return false; }, durationS);
   checkMemory();
 }
 
-ScaleTestbed::OpsAnswer ScaleTestbed::answerOf(const RealGateway& gateway, const std::string& target) {
-  const auto answer = std::make_shared<OpsAnswer>();
-  httpGet(io_, gateway.management.endpoint(), target, seconds(kAnswerMostS),
-          [answer](int status, const std::string& body) {
-            *answer = {status, body};
+ScaleTestbed::OpsResponse ScaleTestbed::requestOps(const RealGateway& gateway, const std::string& target) {
+  const auto response = std::make_shared<OpsResponse>();
+  httpGet(io_, gateway.management.endpoint(), target, seconds(kOpsTimeoutS),
+          [response](int status, const std::string& body) {
+            *response = {status, body};
           });
-  playUntil([&] { return answer->status >= 0; }, kAnswerMostS + 1);
-  return *answer;
+  runUntil([&] { return response->status >= 0; }, kOpsTimeoutS + 1);
+  return *response;
 }
 
-std::string ScaleTestbed::ask(const RealGateway& gateway, const std::string& target) {
-  const OpsAnswer answer = answerOf(gateway, target);
-  if (answer.status != 200)
-    throw std::runtime_error(gateway.name + " does not answer " + target);
-  return answer.body;
+std::string ScaleTestbed::get(const RealGateway& gateway, const std::string& target) {
+  const OpsResponse response = requestOps(gateway, target);
+  if (response.status != 200)
+    throw std::runtime_error(
+        fmt::format("{}: GET {} failed with status {}", gateway.name, target, response.status));
+  return response.body;
 }
 
 void ScaleTestbed::checkMemory() const {
-  double sum = usageOf(::getpid()).residentMb;
+  double residentMb = usageOf(::getpid()).residentMb;
   for (const auto& process : processes_)
     if (!process->ended)
-      sum += usageOf(process->pid).residentMb;
-  if (sum > kMemoryMostMb)
-    throw std::runtime_error(fmt::format("all processes hold {:.0f} MB", sum));
+      residentMb += usageOf(process->pid).residentMb;
+  if (residentMb > kMaxMemoryMb)
+    throw std::runtime_error(fmt::format("the processes use {:.0f} MB of memory, allowed are {:.0f} MB",
+                                         residentMb, kMaxMemoryMb));
 }
 
 // --- Processes --------------------------------------------------------------------------------------------
@@ -152,9 +156,10 @@
       continue;
     process->ended = true;
     process->exitCode = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
-    // What it said last is still in its pipe.
+    // The last output lines may still be in the pipe; handle the exit after them.
     asio::post(io_, [this, process] {
-      failure_ = fmt::format("{} ended with {}: {}", process->name, process->exitCode, process->lastLine);
+      failure_ =
+          fmt::format("{} exited with code {}: {}", process->name, process->exitCode, process->lastLine);
     });
   }
 }
@@ -193,12 +198,12 @@
                                std::to_string(size_.servers), "--answer-ms", std::to_string(plan_.answerMs)});
   servers_ = std::move(stubs_.back());
   stubs_.pop_back();
-  if (!playUntil([this] { return servers_->report.port != 0; }, kReadyMostS))
-    throw std::runtime_error("the stub servers do not listen");
+  if (!runUntil([this] { return servers_->report.port != 0; }, kStartTimeoutS))
+    throw std::runtime_error("the stub servers did not start listening in time");
   std::vector<ListedServer> listed;
   for (std::size_t i = 0; i < size_.servers; ++i)
     listed.push_back({fmt::format("server-{}", i), scenario_.zones[i % scenario_.zones.size()],
-                      serverEndpoint(i), static_cast<std::int64_t>(i / kCell)});
+                      serverEndpoint(i), static_cast<std::int64_t>(i / kServersPerCell)});
   discovery_ = std::make_unique<StubDiscovery>(io_, listed);
 }
 
@@ -208,7 +213,7 @@
 
 std::string ScaleTestbed::seeds() const {
   std::string all;
-  for (std::size_t i = 0; i < std::min(kSeeds, gateways_.size()); ++i)
+  for (std::size_t i = 0; i < std::min(kSeedCount, gateways_.size()); ++i)
     if (!gateways_[i]->membership.empty())
       all += (all.empty() ? "" : ",") + gateways_[i]->membership;
   return all;
@@ -223,51 +228,53 @@
     if (plan_.membershipPeriodMs > 0)
       gateway.membership = freeMembershipAddress(io_);
   }
-  stubAddress_ = discovery_->addAddress();
+  stubDiscoveryAddress_ = discovery_->addAddress();
   for (const auto& gateway : gateways_)
     startGateway(*gateway, seeds());
   for (const auto& gateway : gateways_) {
-    const auto ready = [&] { return answerOf(*gateway, "/ops/readiness").status == 200; };
-    if (!playUntil(ready, kReadyMostS))
-      throw std::runtime_error(gateway->name + " is not ready");
+    const auto ready = [&] { return requestOps(*gateway, "/ops/readiness").status == 200; };
+    if (!runUntil(ready, kStartTimeoutS))
+      throw std::runtime_error(gateway->name + " did not become ready in time");
     gateway->startProcessorS = usageOf(gateway->process->pid).processorS;
   }
   startStubGateways(seeds());
 }
 
 void ScaleTestbed::startGateway(RealGateway& gateway, const std::string& seeds) {
-  const fs::path own = dir_ / (gateway.name + ".tmp");
-  fs::create_directories(own);
+  const fs::path temporaryFolder = dir_ / (gateway.name + ".tmp");
+  fs::create_directories(temporaryFolder);
   write(gateway.config, configOf(gateway, seeds, 0));
   gateway.process = std::make_shared<Process>(io_, gateway.name);
-  gateway.process->start(plan_.program, {"GW_CONFIG=" + gateway.config.string(), "TMPDIR=" + own.string()});
+  gateway.process->start(plan_.program,
+                         {"GW_CONFIG=" + gateway.config.string(), "TMPDIR=" + temporaryFolder.string()});
   processes_.push_back(gateway.process);
 }
 
 void ScaleTestbed::startStubGateways(const std::string& seeds) {
   const fs::path config = dir_ / "stub.toml";
   write(config, stubConfig());
-  for (std::size_t first = 0; first < size_.stubs; first += kStubsPerProcess) {
+  for (std::size_t first = 0; first < size_.stubs; first += kStubGatewaysPerProcess) {
     std::vector<std::string> arguments{"stub-gateways",
                                        "--first",
                                        std::to_string(size_.gateways + first),
                                        "--count",
-                                       std::to_string(std::min(kStubsPerProcess, size_.stubs - first)),
+                                       std::to_string(std::min(kStubGatewaysPerProcess, size_.stubs - first)),
                                        "--config",
                                        config.string(),
                                        "--discovery",
-                                       textOf(discovery_->endpoint(stubAddress_))};
+                                       textOf(discovery_->endpoint(stubDiscoveryAddress_))};
     if (!seeds.empty())
       arguments.insert(arguments.end(), {"--seeds", seeds});
     startHelper("stub gateways " + std::to_string(first), arguments);
   }
-  if (!playUntil([this] { return stubs_.empty() || stubRevision() >= discovery_->revision(); }, kReadyMostS))
-    throw std::runtime_error("the stub gateways have no list");
+  if (!runUntil([this] { return stubs_.empty() || stubRevision() >= discovery_->revision(); },
+                kStartTimeoutS))
+    throw std::runtime_error("the stub gateways did not receive the endpoint list in time");
 }
 
-// --- Settings ---------------------------------------------------------------------------------------------
+// --- Configuration ----------------------------------------------------------------------------------------
 
-// The settings allow no number of a gateway beyond it.
+// A configuration is valid only if the gateway's number is below fleet.gateways.
 std::uint32_t ScaleTestbed::configuredGateways() const {
   return static_cast<std::uint32_t>(std::max(plan_.configuredGateways, size_.gateways + size_.stubs));
 }
@@ -284,13 +291,13 @@
     membership = fmt::format("[membership]\nlisten = \"{}\"\nseeds = [{}]\nperiod_ms = {}\n\n",
                              gateway.membership, quoted, static_cast<int>(plan_.membershipPeriodMs));
   }
-  Scenario varied = scenario_;
-  varied.maxRetryAfterMs += version;  // the one value that tells one version from another
+  Scenario scenario = scenario_;
+  scenario.maxRetryAfterMs += version;  // the value that differs between versions
   std::string text =
-      lab::configOf(varied, day_, static_cast<std::uint32_t>(gateway.number), configuredGateways(),
+      lab::configOf(scenario, day_, static_cast<std::uint32_t>(gateway.number), configuredGateways(),
                     textOf(gateway.port.endpoint()), textOf(discovery_->endpoint(gateway.discovery)),
                     textOf(gateway.management.endpoint()), membership);
-  // The rate of the whole load for each: none of it is over its share.
+  // Each tenant's quota is the rate of the whole load, so that no request exceeds a quota.
   for (std::size_t i = 0; i < size_.tenants; ++i)
     text += fmt::format("\n[[tenant]]\nname = \"{}\"\nquota_per_s = {}\n", tenantName(i),
                         std::max(size_.rate * configuredGateways(), 1.0));
@@ -298,77 +305,76 @@
 }
 
 std::string ScaleTestbed::stubConfig() const {
-  ScaleSize own = size_;
-  own.classes = 0;
-  const Scenario scenario = scenarioOf(plan_, own);
+  ScaleSize scenarioSize = size_;
+  scenarioSize.classes = 0;
+  const Scenario scenario = scenarioOf(plan_, scenarioSize);
   const std::string membership =
       plan_.membershipPeriodMs > 0
           ? fmt::format("[membership]\nperiod_ms = {}\n\n", static_cast<int>(plan_.membershipPeriodMs))
           : "";
-  const std::string nowhere = "127.0.0.1:1";
-  return lab::configOf(scenario, DrawnDay(scenario, plan_.seed), 0, configuredGateways(), nowhere, nowhere,
-                       nowhere, membership);
+  const std::string unusedAddress = "127.0.0.1:1";
+  return lab::configOf(scenario, DrawnDay(scenario, plan_.seed), 0, configuredGateways(), unusedAddress,
+                       unusedAddress, unusedAddress, membership);
 }
 
 void ScaleTestbed::writeChangedConfig(const RealGateway& gateway, unsigned version) {
   write(gateway.config, configOf(gateway, seeds(), version));
 }
 
-// --- Load and changes -------------------------------------------------------------------------------------
+// --- Load and list changes --------------------------------------------------------------------------------
 
-const Load& ScaleTestbed::play(std::vector<Target> targets, double s) {
+const Load& ScaleTestbed::runLoad(std::vector<Target> targets, double durationS) {
   const double rate = size_.rate * static_cast<double>(size_.gateways);
-  loads_.push_back(std::make_unique<Load>(io_, scenario_, ++loadSeed_, LoadPlan{rate, s, {}, size_.tenants},
-                                          0, std::move(targets)));
+  loads_.push_back(std::make_unique<Load>(
+      io_, scenario_, ++loadSeed_, LoadPlan{rate, durationS, {}, size_.tenants}, 0, std::move(targets)));
   Load& load = *loads_.back();
   bool done = false;
   load.start([&done] { done = true; });
-  if (!playUntil([&done] { return done; }, s + kLoadEndS))
-    throw std::runtime_error("a load does not end");
+  if (!runUntil([&done] { return done; }, durationS + kLoadEndTimeoutS))
+    throw std::runtime_error("the load did not end in time");
   checkMemory();
   return load;
 }
 
-void ScaleTestbed::changeRegularly(bool on) {
-  changes_.cancel();
+void ScaleTestbed::setRegularChanges(bool on) {
+  changeTimer_.cancel();
   if (!on || size_.changes <= 0)
     return;
-  changes_.expires_after(seconds(1 / size_.changes));
-  changes_.async_wait([this](error_code ec) {
+  changeTimer_.expires_after(seconds(1 / size_.changes));
+  changeTimer_.async_wait([this](error_code ec) {
     if (ec)
       return;
-    changeOne();
-    changeRegularly(true);
+    changeNextServer();
+    setRegularChanges(true);
   });
 }
 
-// One after another, from the last on: the first servers are asked directly.
-void ScaleTestbed::changeOne() {
-  discovery_->change(size_.servers - 1 - changed_++ % size_.servers);
+// Changes the servers in turn, beginning with the last: the first ones get the direct load.
+void ScaleTestbed::changeNextServer() {
+  discovery_->toggleDraining(size_.servers - 1 - changesMade_++ % size_.servers);
 }
 
-// --- Stub processes
-// ---------------------------------------------------------------------------------------
+// --- Stub processes ---------------------------------------------------------------------------------------
 
 std::int64_t ScaleTestbed::stubRevision() const {
-  std::int64_t least = discovery_->revision();
+  std::int64_t lowest = discovery_->revision();
   for (const auto& helper : stubs_)
-    least = std::min(least, helper->report.revision);
-  return least;
+    lowest = std::min(lowest, helper->report.revision);
+  return lowest;
 }
 
-std::uint64_t ScaleTestbed::stubSnapshots() const {
-  std::uint64_t least = UINT64_MAX;
+std::uint64_t ScaleTestbed::stubWholeLists() const {
+  std::uint64_t lowest = UINT64_MAX;
   for (const auto& helper : stubs_)
-    least = std::min(least, helper->report.wholeLists);
-  return least;
+    lowest = std::min(lowest, helper->report.wholeLists);
+  return lowest;
 }
 
 std::uint32_t ScaleTestbed::stubMembersSeen() const {
-  std::uint32_t least = UINT32_MAX;
+  std::uint32_t lowest = UINT32_MAX;
   for (const auto& helper : stubs_)
-    least = std::min(least, helper->report.membersSeen);
-  return least;
+    lowest = std::min(lowest, helper->report.membersSeen);
+  return lowest;
 }
 
 Time ScaleTestbed::stubChangedAt() const {
@@ -388,10 +394,10 @@
 }
 
 double ScaleTestbed::lagMs() const {
-  double most = std::max(lag_.maxLagMs(), servers_->lagMs);
+  double maxLagMs = std::max(lag_.maxLagMs(), servers_->lagMs);
   for (const auto& helper : stubs_)
-    most = std::max(most, helper->lagMs);
-  return most;
+    maxLagMs = std::max(maxLagMs, helper->lagMs);
+  return maxLagMs;
 }
 
 void ScaleTestbed::resetLag() {
--- a/src/lab/testbed/scale_testbed.hpp
+++ b/src/lab/testbed/scale_testbed.hpp
@@ -1,5 +1,5 @@
-// The processes of one step of a scale run: real gateways, stub gateways and stub servers, with an
-// emulated discovery in the testbed itself. All of them end with it.
+// Runs the processes of one step of a scale run: real gateways, stub gateways and stub servers. An emulated
+// discovery runs in the testbed's own process. The processes end with the testbed.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,22 +23,22 @@
 
 namespace hollyrun::lab {
 
-/// SIGINT or SIGTERM came.
+/// Thrown after SIGINT or SIGTERM.
 struct ScaleInterrupted : std::runtime_error {
   ScaleInterrupted() : std::runtime_error("interrupted") {}
 };
 
 struct RealGateway {
-  RealGateway(asio::io_context& io, std::size_t n);
+  RealGateway(asio::io_context& io, std::size_t gatewayNumber);
 
   std::size_t number;
   std::string name;
   ReservedPort port, management;
-  std::size_t discovery = 0;  ///< its address at discovery
-  std::string membership;     ///< address:port; empty: it is no member
+  std::size_t discovery = 0;  ///< number of its address at the emulated discovery
+  std::string membership;     ///< address:port; empty: without membership
   std::filesystem::path config;
   std::shared_ptr<Process> process;
-  double startProcessorS = 0;  ///< until it was ready
+  double startProcessorS = 0;  ///< processor time until it was ready
 };
 
 class ScaleTestbed {
@@ -49,34 +49,39 @@
   ScaleTestbed(const ScaleTestbed&) = delete;
   ScaleTestbed& operator=(const ScaleTestbed&) = delete;
 
-  /// Plays on until the condition holds; false if it did not in that time. Throws ScaleInterrupted, and
-  /// std::runtime_error if a process ended or the memory of all is beyond the bound.
-  bool playUntil(const std::function<bool()>& holds, double mostS);
-  void playFor(double s);
-  /// GET from a gateway's management address; throws std::runtime_error if it does not answer 200.
-  std::string ask(const RealGateway& gateway, const std::string& target);
+  /// Runs the event loop until the condition is true. Returns false after the timeout. Throws
+  /// ScaleInterrupted, and std::runtime_error if a process has ended.
+  bool runUntil(const std::function<bool()>& condition, double timeoutS);
+  /// Runs the event loop for a time. Also throws std::runtime_error if the processes exceed the bound on
+  /// memory.
+  void runFor(double durationS);
+  /// Sends a GET request to a gateway's management address and returns the body. Throws std::runtime_error if
+  /// the status is not 200.
+  std::string get(const RealGateway& gateway, const std::string& target);
 
   const std::vector<std::unique_ptr<RealGateway>>& gateways() const { return gateways_; }
   StubDiscovery& discovery() { return *discovery_; }
-  std::size_t stubDiscovery() const { return stubAddress_; }  ///< address of the stub gateways there
+  /// Returns the number of the discovery address that the stub gateways share.
+  std::size_t stubDiscoveryAddress() const { return stubDiscoveryAddress_; }
   tcp::endpoint serverEndpoint(std::size_t number) const;
 
-  /// A load on these targets; its results once it has ended.
-  const Load& play(std::vector<Target> targets, double seconds);
-  /// Has changes of the list come at the size's rate from now on, or none.
-  void changeRegularly(bool on);
+  /// Runs a load on the targets to its end and returns it with its results.
+  const Load& runLoad(std::vector<Target> targets, double durationS);
+  /// Starts or stops changes of the endpoint list at the size's rate.
+  void setRegularChanges(bool on);
 
-  /// Other text with the same meaning for most, to be taken at a SIGHUP.
+  /// Writes a configuration that differs in a single value, to be applied at a SIGHUP.
   void writeChangedConfig(const RealGateway& gateway, unsigned version);
 
-  /// What all stub processes have come to.
-  std::int64_t stubRevision() const;
-  std::uint64_t stubSnapshots() const;
-  std::uint32_t stubMembersSeen() const;
-  Time stubChangedAt() const;  ///< clock of clockNow()
+  // What the stub gateways have reported, over all their processes.
+  std::int64_t stubRevision() const;      ///< lowest revision of the endpoint list
+  std::uint64_t stubWholeLists() const;   ///< lowest number of whole lists received
+  std::uint32_t stubMembersSeen() const;  ///< lowest number of members
+  Time stubChangedAt() const;             ///< latest time of a list change, on the clock of clockNow()
 
-  /// Of the testbed and of its helper processes, to judge whether they were fast enough.
+  /// Returns the usage of the testbed and of its helper processes, to detect that they are overloaded.
   std::vector<std::pair<std::string, ProcessUsage>> helperUsage() const;
+  /// Returns the longest delay of an event loop of the testbed or a helper process since resetLag().
   double lagMs() const;
   void resetLag();
 
@@ -84,7 +89,7 @@
   struct Helper {
     std::shared_ptr<Process> process;
     StubReport report;
-    double lagMs = 0;  // the most since the last reset
+    double lagMs = 0;  // maximum since the last reset
   };
 
   void startServers();
@@ -93,15 +98,15 @@
   void startStubGateways(const std::string& seeds);
   Helper& startHelper(const std::string& name, std::vector<std::string> arguments);
   std::string seeds() const;
-  struct OpsAnswer {
-    int status = -1;  // 0: it did not answer
+  struct OpsResponse {
+    int status = -1;  // -1: pending, 0: no response
     std::string body;
   };
-  OpsAnswer answerOf(const RealGateway& gateway, const std::string& target);
+  OpsResponse requestOps(const RealGateway& gateway, const std::string& target);
   std::string configOf(const RealGateway& gateway, const std::string& seeds, unsigned version) const;
   std::string stubConfig() const;
   std::uint32_t configuredGateways() const;
-  void changeOne();
+  void changeNextServer();
   void watchChildren();
   void reap();
   void checkMemory() const;
@@ -114,15 +119,15 @@
   asio::io_context io_{1};
   asio::signal_set signals_, children_;
   LagMeter lag_;
-  asio::steady_timer changes_;
+  asio::steady_timer changeTimer_;
   std::filesystem::path dir_;
   std::vector<std::shared_ptr<Process>> processes_;
   std::vector<std::unique_ptr<Helper>> stubs_;
   std::unique_ptr<Helper> servers_;
   std::unique_ptr<StubDiscovery> discovery_;
-  std::size_t stubAddress_ = 0, changed_ = 0;
+  std::size_t stubDiscoveryAddress_ = 0, changesMade_ = 0;
   std::vector<std::unique_ptr<RealGateway>> gateways_;
-  std::vector<std::unique_ptr<Load>> loads_;  // their connections stay with the loop
+  std::vector<std::unique_ptr<Load>> loads_;  // kept, because their connections stay in the event loop
   std::uint64_t loadSeed_;
   std::string failure_;
   bool interrupted_ = false;
--- a/src/lab/testbed/stub_discovery.cpp
+++ b/src/lab/testbed/stub_discovery.cpp
@@ -25,23 +25,23 @@
 namespace {
 
 constexpr const char* kPath = "/discovery/hosts";
-constexpr std::int64_t kLongestWatchMs = 60000;
+constexpr std::int64_t kMaxWatchMs = 60000;
 
-// A whole answer with its head, so that one text serves every client.
-std::shared_ptr<const std::string> answerWith(const char* status, const std::string& body) {
+// Returns a complete HTTP response. Clients share the text.
+std::shared_ptr<const std::string> makeResponse(const char* status, const std::string& body) {
   return std::make_shared<const std::string>(std::string("HTTP/1.1 ") + status +
                                              "\r\nContent-Type: application/json\r\nContent-Length: " +
                                              std::to_string(body.size()) + "\r\n\r\n" + body);
 }
 
-// The whole number of a query's parameter; none if the target does not have it.
-std::optional<std::int64_t> parameter(std::string_view target, std::string_view name) {
-  const std::string assigned = std::string(name) + "=";
-  const std::size_t at = target.find(assigned);
-  if (at == std::string_view::npos)
+// Returns the integer value of a query parameter, or std::nullopt if the target does not have it.
+std::optional<std::int64_t> queryParameter(std::string_view target, std::string_view name) {
+  const std::string assignment = std::string(name) + "=";
+  const std::size_t assignmentAt = target.find(assignment);
+  if (assignmentAt == std::string_view::npos)
     return std::nullopt;
   std::int64_t value = 0;
-  const char* from = target.data() + at + assigned.size();
+  const char* from = target.data() + assignmentAt + assignment.size();
   std::from_chars(from, target.data() + target.size(), value);
   return value;
 }
@@ -62,11 +62,11 @@
   std::set<std::shared_ptr<Connection>> connections;
 };
 
-// A client's connection: one call at a time, of which the last may be a watch.
+// A client connection. It handles one request at a time, which may be a watch.
 class StubDiscovery::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(StubDiscovery& owner, Address& at, tcp::socket socket)
-      : owner_(owner), address_(at), socket_(std::move(socket)), timer_(owner.io_) {
+  Connection(StubDiscovery& owner, Address& address, tcp::socket socket)
+      : owner_(owner), address_(address), socket_(std::move(socket)), watchTimer_(owner.io_) {
     error_code ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
   }
@@ -83,18 +83,18 @@
       self->owner_.answer(*self, self->request_.target().to_string());
     });
   }
-  /// Answers as soon as the list is newer than that, and after this time in any case.
-  void watch(std::int64_t revision, std::chrono::milliseconds atMost) {
+  /// Responds when the list becomes newer than the revision, or after the timeout.
+  void watch(std::int64_t revision, std::chrono::milliseconds timeout) {
     since_ = revision;
-    timer_.expires_after(atMost);
-    timer_.async_wait([self = shared_from_this()](error_code ec) {
+    watchTimer_.expires_after(timeout);
+    watchTimer_.async_wait([self = shared_from_this()](error_code ec) {
       if (ec || std::erase(self->owner_.watches_, self) == 0)
         return;
       self->write(self->owner_.changesSince(self->since_));
     });
   }
   void write(std::shared_ptr<const std::string> text) {
-    timer_.cancel();
+    watchTimer_.cancel();
     address_.counts.bytesOut += text->size();
     asio::async_write(socket_, asio::buffer(*text),
                       [self = shared_from_this(), text](error_code ec, std::size_t) {
@@ -109,7 +109,7 @@
     if (!open_)
       return;
     open_ = false;
-    timer_.cancel();
+    watchTimer_.cancel();
     error_code ignored;
     socket_.close(ignored);
     const auto self = shared_from_this();
@@ -123,7 +123,7 @@
   StubDiscovery& owner_;
   Address& address_;
   tcp::socket socket_;
-  asio::steady_timer timer_;
+  asio::steady_timer watchTimer_;
   boost::beast::flat_buffer buffer_;
   http::request<http::string_body> request_;
   std::int64_t since_ = 0;
@@ -181,12 +181,12 @@
   });
 }
 
-std::int64_t StubDiscovery::change(std::size_t server) {
+std::int64_t StubDiscovery::toggleDraining(std::size_t server) {
   Entry& entry = entries_.at(server);
   entry.draining = !entry.draining;
   entry.target["state"] = entry.draining ? "DRAINING" : "SERVING";
   entry.revision = ++revision_;
-  tellWatches();
+  notifyWatches();
   return revision_;
 }
 
@@ -201,10 +201,10 @@
   }
 }
 
-void StubDiscovery::resume(bool anew) {
-  if (anew) {
+void StubDiscovery::resume(bool revisionsLost) {
+  if (revisionsLost) {
     revision_ = 1;
-    wholeAt_ = -1;
+    wholeListRevision_ = -1;
     for (Entry& entry : entries_)
       entry.revision = 1;
   }
@@ -215,21 +215,21 @@
 
 void StubDiscovery::answer(Connection& connection, const std::string& target) {
   if (!target.starts_with(kPath))
-    return connection.write(answerWith("404 Not Found", "{}"));
-  const auto since = parameter(target, "since");
+    return connection.write(makeResponse("404 Not Found", "{}"));
+  const auto since = queryParameter(target, "since");
   if (!since || *since > revision_) {
     ++connection.counts().wholeLists;
     return connection.write(wholeList());
   }
   const std::int64_t wait =
-      std::clamp(parameter(target, "timeout_ms").value_or(0), std::int64_t{0}, kLongestWatchMs);
+      std::clamp(queryParameter(target, "timeout_ms").value_or(0), std::int64_t{0}, kMaxWatchMs);
   if (*since < revision_ || wait == 0)
     return connection.write(changesSince(*since));
   watches_.push_back(connection.shared_from_this());
   connection.watch(*since, std::chrono::milliseconds(wait));
 }
 
-void StubDiscovery::tellWatches() {
+void StubDiscovery::notifyWatches() {
   std::shared_ptr<const std::string> text;
   std::int64_t textSince = -1;
   for (const auto& connection : std::exchange(watches_, {})) {
@@ -240,14 +240,14 @@
 }
 
 std::shared_ptr<const std::string> StubDiscovery::wholeList() {
-  if (wholeAt_ == revision_)
-    return whole_;
+  if (wholeListRevision_ == revision_)
+    return wholeList_;
   json targets = json::array();
   for (const Entry& entry : entries_)
     targets.push_back(entry.target);
-  whole_ = answerWith("200 OK", json{{"rev", revision_}, {"all", true}, {"targets", targets}}.dump());
-  wholeAt_ = revision_;
-  return whole_;
+  wholeList_ = makeResponse("200 OK", json{{"rev", revision_}, {"all", true}, {"targets", targets}}.dump());
+  wholeListRevision_ = revision_;
+  return wholeList_;
 }
 
 std::shared_ptr<const std::string> StubDiscovery::changesSince(std::int64_t revision) {
@@ -255,7 +255,7 @@
   for (const Entry& entry : entries_)
     if (entry.revision > revision)
       targets.push_back(entry.target);
-  return answerWith("200 OK", json{{"rev", revision_}, {"all", false}, {"targets", targets}}.dump());
+  return makeResponse("200 OK", json{{"rev", revision_}, {"all", false}, {"targets", targets}}.dump());
 }
 
 }  // namespace hollyrun::lab
--- a/src/lab/testbed/stub_discovery.hpp
+++ b/src/lab/testbed/stub_discovery.hpp
@@ -1,5 +1,5 @@
-// An emulated discovery for thousands of stub servers: one list with revisions, whole lists and watches by
-// the published protocol, and a count of what each of its addresses sent.
+// Emulates discovery for thousands of stub servers: an endpoint list with revisions, which is served whole or
+// as watches by the published protocol, with traffic counts for each of its addresses.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,7 +14,7 @@
 struct ListedServer {
   std::string uid, zone;
   boost::asio::ip::tcp::endpoint endpoint;
-  std::int64_t cell = 0;
+  std::int64_t cell = 0;  ///< sent as pod_group
 };
 
 class StubDiscovery {
@@ -28,18 +28,19 @@
   StubDiscovery(const StubDiscovery&) = delete;
   StubDiscovery& operator=(const StubDiscovery&) = delete;
 
-  /// A further address of it, with counts of its own; its number, from 0.
+  /// Listens on a further address, which has counts of its own, and returns its number, from 0.
   std::size_t addAddress();
   boost::asio::ip::tcp::endpoint endpoint(std::size_t address) const;
   const Counts& counts(std::size_t address) const;
 
   std::int64_t revision() const { return revision_; }
-  /// The server changes between SERVING and DRAINING, and every watch is told. The new revision.
-  std::int64_t change(std::size_t server);
-  /// Closes every connection and refuses new ones, as a cut between regions does, until resume().
+  /// Switches the server between SERVING and DRAINING, notifies all watches and returns the new revision.
+  std::int64_t toggleDraining(std::size_t server);
+  /// Closes all connections and refuses new ones until resume(), as a network partition between regions does.
   void suspend();
-  /// `anew`: it has forgotten its revisions, so that every client has to take the whole list.
-  void resume(bool anew);
+  /// Accepts connections again. With `revisionsLost` the revisions restart, so that every client has to fetch
+  /// the whole list.
+  void resume(bool revisionsLost);
 
  private:
   struct Entry;
@@ -49,7 +50,7 @@
   void accept(Address& address);
   void listen(Address& address);
   void answer(Connection& connection, const std::string& target);
-  void tellWatches();
+  void notifyWatches();
   std::shared_ptr<const std::string> wholeList();
   std::shared_ptr<const std::string> changesSince(std::int64_t revision);
 
@@ -57,8 +58,8 @@
   std::vector<Entry> entries_;
   std::vector<std::unique_ptr<Address>> addresses_;
   std::vector<std::shared_ptr<Connection>> watches_;
-  std::shared_ptr<const std::string> whole_;  // as last made, for this revision
-  std::int64_t wholeAt_ = -1, revision_ = 1;
+  std::shared_ptr<const std::string> wholeList_;  // cached
+  std::int64_t wholeListRevision_ = -1, revision_ = 1;
   bool suspended_ = false;
 };
 
--- a/src/lab/testbed/stub_gateway.cpp
+++ b/src/lab/testbed/stub_gateway.cpp
@@ -25,25 +25,27 @@
 
 namespace {
 
-constexpr auto kReportEvery = std::chrono::seconds(1);
-constexpr const char* kNoClients = "127.0.0.1:1";  // the settings need an address; nobody listens there
+constexpr auto kReportInterval = std::chrono::seconds(1);
+constexpr const char* kUnusedAddress = "127.0.0.1:1";  // a configuration needs a listening address
 constexpr const char* kAnyPort = "127.0.0.1:0";
 
 }  // namespace
 
 StubGateway::StubGateway(asio::io_context& io, const StubGatewayPlan& plan, std::size_t number,
-                         std::function<void()> changed)
+                         std::function<void()> onChanged)
     : config_(configOf(plan, number)),
       log_(config_.name, config_.log),
       balancer_(config_.balancer, now()),
-      discovery_(io, config_.discovery,
-                 {[this](const EndpointList& list) { told(list); }, [this] { unavailable(); }}, {}),
-      waker_(io),
-      changed_(std::move(changed)) {
+      discovery_(
+          io, config_.discovery,
+          {[this](const EndpointList& list) { onEndpointList(list); }, [this] { onDiscoveryUnavailable(); }},
+          {}),
+      wakeTimer_(io),
+      onChanged_(std::move(onChanged)) {
   if (config_.membership)
-    fleet_.emplace(io, config_, log_, [this] { divide(); });
+    membership_.emplace(io, config_, log_, [this] { updateReplicaCount(); });
   balancer_.onEndpoints(now(), EndpointListKind::cached, {});
-  carryOut();
+  executeActions();
 }
 
 StubGateway::~StubGateway() {
@@ -53,25 +55,26 @@
 Config StubGateway::configOf(const StubGatewayPlan& plan, std::size_t number) {
   const std::string name = "stub-" + std::to_string(number);
   const auto environment = [&](const char* variable) -> const char* {
-    const std::string_view asked = variable;
-    if (asked == "GW_CONFIG")
+    const std::string_view requested = variable;
+    if (requested == "GW_CONFIG")
       return plan.config.c_str();
-    if (asked == "GW_NAME")
+    if (requested == "GW_NAME")
       return name.c_str();
-    if (asked == "GW_LISTEN")
-      return kNoClients;
-    if (asked == "GW_DISCOVERY")
+    if (requested == "GW_LISTEN")
+      return kUnusedAddress;
+    if (requested == "GW_DISCOVERY")
       return plan.discovery.c_str();
     if (plan.seeds.empty())
       return nullptr;
-    if (asked == "GW_MEMBERSHIP")
+    if (requested == "GW_MEMBERSHIP")
       return kAnyPort;
-    if (asked == "GW_SEEDS")
+    if (requested == "GW_SEEDS")
       return plan.seeds.c_str();
     return nullptr;
   };
   Config config = gateway::readConfig(environment);
-  config.balancer.seed += number;  // or all would ask discovery anew at the same moment
+  // With equal seeds all stub gateways would retry discovery at the same moment.
+  config.balancer.seed += number;
   config.balancer.replicaIndex = static_cast<std::uint32_t>(number);
   config.log.level = gateway::LogLevel::off;
   return config;
@@ -81,97 +84,99 @@
   return clockNow();
 }
 
-void StubGateway::told(const EndpointList& list) {
+void StubGateway::onEndpointList(const EndpointList& list) {
   revision_ = list.version;
   if (list.snapshot)
     ++wholeLists_;
   balancer_.onEndpoints(now(), list.snapshot ? EndpointListKind::snapshot : EndpointListKind::delta, {});
-  carryOut();
-  changed_();
+  executeActions();
+  onChanged_();
 }
 
-void StubGateway::unavailable() {
+void StubGateway::onDiscoveryUnavailable() {
   balancer_.onEndpoints(now(), EndpointListKind::unavailable, {});
-  carryOut();
+  executeActions();
 }
 
-// As in a gateway: what the whole fleet may do is divided by its members.
-void StubGateway::divide() {
-  const std::uint32_t size = std::max(config_.balancer.replicaCount, fleet_ ? fleet_->quotaHolders() : 1);
+// Divides the limits of the whole fleet by its number of members, as a gateway does.
+void StubGateway::updateReplicaCount() {
+  const std::uint32_t size =
+      std::max(config_.balancer.replicaCount, membership_ ? membership_->quotaHolders() : 1);
   if (size == config_.balancer.replicaCount)
     return;
   config_.balancer.replicaCount = size;
   balancer_.onSettings(now(), config_.balancer);
-  carryOut();
+  executeActions();
 }
 
-void StubGateway::carryOut() {
+void StubGateway::executeActions() {
   for (const balancer::Action& action : std::exchange(balancer_.actions(), {})) {
     if (action.kind == ActionKind::pollDiscovery)
       discovery_.watch();
     else if (action.kind == ActionKind::wake)
-      wakeAt(action.wakeAt);
+      scheduleWake(action.wakeAt);
   }
 }
 
-// Only the earliest counts: the module asks anew at each event.
-void StubGateway::wakeAt(balancer::Time at) {
+// Keeps the earliest wake only: the decision module requests the next one at each event.
+void StubGateway::scheduleWake(balancer::Time at) {
   if (wakeAt_ > balancer::Time{} && wakeAt_ <= at)
     return;
   wakeAt_ = at;
-  waker_.expires_after(at - now());
-  waker_.async_wait([this](error_code ec) {
+  wakeTimer_.expires_after(at - now());
+  wakeTimer_.async_wait([this](error_code ec) {
     if (ec)
       return;
     wakeAt_ = balancer::Time{};
     balancer_.onWake(now());
-    carryOut();
+    executeActions();
   });
 }
 
 namespace {
 
-// The gateways of one process, and what they have come to together.
+// The stub gateways of one process and their common report.
 class StubGateways {
  public:
   StubGateways(asio::io_context& io, const StubGatewayPlan& plan) : lag_(io), timer_(io) {
     for (std::size_t i = 0; i < plan.count; ++i)
-      gateways_.push_back(std::make_unique<StubGateway>(io, plan, plan.first + i, [this] { changed(); }));
+      gateways_.push_back(
+          std::make_unique<StubGateway>(io, plan, plan.first + i, [this] { reportChange(); }));
     reportRegularly();
   }
 
  private:
-  void changed() {
+  void reportChange() {
     if (gateways_.empty())
       return;
-    StubReport now = last_;
-    sum(now);
-    if (now.revision == last_.revision && now.wholeLists == last_.wholeLists)
+    StubReport report = last_;
+    fillMinimums(report);
+    if (report.revision == last_.revision && report.wholeLists == last_.wholeLists)
       return;
-    now.changedAtNs = std::chrono::nanoseconds(Clock::now().time_since_epoch()).count();
-    say(now);
+    report.changedAtNs = std::chrono::nanoseconds(Clock::now().time_since_epoch()).count();
+    write(report);
   }
-  void sum(StubReport& into) const {
-    into.revision = gateways_.front()->revision();
-    into.wholeLists = gateways_.front()->wholeLists();
-    into.membersSeen = gateways_.front()->membersSeen();
+  void fillMinimums(StubReport& report) const {
+    report.revision = gateways_.front()->revision();
+    report.wholeLists = gateways_.front()->wholeLists();
+    report.membersSeen = gateways_.front()->membersSeen();
     for (const auto& gateway : gateways_) {
-      into.revision = std::min(into.revision, gateway->revision());
-      into.wholeLists = std::min(into.wholeLists, gateway->wholeLists());
-      into.membersSeen = std::min(into.membersSeen, gateway->membersSeen());
+      report.revision = std::min(report.revision, gateway->revision());
+      report.wholeLists = std::min(report.wholeLists, gateway->wholeLists());
+      report.membersSeen = std::min(report.membersSeen, gateway->membersSeen());
     }
   }
-  void say(const StubReport& report) {
+  void write(const StubReport& report) {
     last_ = report;
     std::cout << textOf(report) << std::endl;
   }
   void reportRegularly() {
-    StubReport now = last_;
-    sum(now);
-    now.lagMs = lag_.maxLagMs();
+    StubReport report = last_;
+    fillMinimums(report);
+    report.lagMs = lag_.maxLagMs();
     lag_.reset();
-    say(now);
-    timer_.expires_after(kReportEvery);
+    write(report);
+    timer_.expires_after(kReportInterval);
     timer_.async_wait([this](error_code ec) {
       if (!ec)
         reportRegularly();
--- a/src/lab/testbed/stub_gateway.hpp
+++ b/src/lab/testbed/stub_gateway.hpp
@@ -1,6 +1,6 @@
-// Stub gateways: many to a process, each with the gateway's own settings, discovery and membership code on
-// sockets of its own, and without clients or servers. The decision module holds no servers here; it only says
-// when a watch that broke is asked for anew, as it does in a gateway.
+// Stub gateways: many in one process, without clients or servers. Each runs the gateway's own configuration,
+// discovery and membership code on sockets of its own. The decision module gets no endpoints here; it only
+// schedules the retries of a failed watch, as in a gateway.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,49 +19,49 @@
 namespace hollyrun::lab {
 
 struct StubGatewayPlan {
-  std::size_t first = 0, count = 1;  ///< numbers of this process's gateways
-  std::string config;                ///< the file that all of them read
+  std::size_t first = 0, count = 1;  ///< numbers of this process's stub gateways
+  std::string config;                ///< path of their common configuration
   std::string discovery;             ///< address:port
-  std::string seeds;                 ///< of membership, with commas between; empty: they are no members
+  std::string seeds;                 ///< of membership, separated by commas; empty: no membership
 };
 
 class StubGateway {
  public:
-  /// `changed` is called whenever it has taken a list.
+  /// Calls `onChanged` after each update of the endpoint list.
   StubGateway(boost::asio::io_context& io, const StubGatewayPlan& plan, std::size_t number,
-              std::function<void()> changed);
+              std::function<void()> onChanged);
   ~StubGateway();
   StubGateway(const StubGateway&) = delete;
   StubGateway& operator=(const StubGateway&) = delete;
 
-  std::int64_t revision() const { return revision_; }  ///< of the list that it holds, -1: none yet
+  std::int64_t revision() const { return revision_; }  ///< of the endpoint list, -1 before the first
   std::uint64_t wholeLists() const { return wholeLists_; }
-  /// Members that it counts, itself included; 0 if it is no member.
-  std::uint32_t membersSeen() const { return fleet_ ? fleet_->quotaHolders() : 0; }
+  /// Returns the number of members that it counts, including itself, or 0 without membership.
+  std::uint32_t membersSeen() const { return membership_ ? membership_->quotaHolders() : 0; }
 
  private:
   static gateway::Config configOf(const StubGatewayPlan& plan, std::size_t number);
   static balancer::Time now();
 
-  void told(const gateway::EndpointList& list);
-  void unavailable();
-  void divide();
-  void carryOut();
-  void wakeAt(balancer::Time at);
+  void onEndpointList(const gateway::EndpointList& list);
+  void onDiscoveryUnavailable();
+  void updateReplicaCount();
+  void executeActions();
+  void scheduleWake(balancer::Time at);
 
   gateway::Config config_;
   gateway::Log log_;
   balancer::Balancer balancer_;
   gateway::Discovery discovery_;
-  boost::asio::steady_timer waker_;
-  balancer::Time wakeAt_{};  // zero: no wake is asked for
-  std::function<void()> changed_;
+  boost::asio::steady_timer wakeTimer_;
+  balancer::Time wakeAt_{};  // zero: no wake is scheduled
+  std::function<void()> onChanged_;
   std::int64_t revision_ = -1;
   std::uint64_t wholeLists_ = 0;
-  std::optional<gateway::MembershipTransport> fleet_;
+  std::optional<gateway::MembershipTransport> membership_;
 };
 
-/// Runs them until the process is ended, and reports on its output. Returns an exit code.
+/// Runs stub gateways until SIGTERM or SIGINT and writes reports to standard output. Returns an exit code.
 int runStubGateways(const StubGatewayPlan& plan);
 
 }  // namespace hollyrun::lab
--- a/src/lab/testbed/stub_report.cpp
+++ b/src/lab/testbed/stub_report.cpp
@@ -17,17 +17,17 @@
 }
 
 std::optional<StubReport> parseStubReport(const std::string& line) {
-  const json read = json::parse(line, nullptr, false);
-  if (!read.is_object())
+  const json object = json::parse(line, nullptr, false);
+  if (!object.is_object())
     return std::nullopt;
   try {
     StubReport report;
-    read.at("port").get_to(report.port);
-    read.at("revision").get_to(report.revision);
-    read.at("whole_lists").get_to(report.wholeLists);
-    read.at("changed_at_ns").get_to(report.changedAtNs);
-    read.at("members_seen").get_to(report.membersSeen);
-    read.at("lag_ms").get_to(report.lagMs);
+    object.at("port").get_to(report.port);
+    object.at("revision").get_to(report.revision);
+    object.at("whole_lists").get_to(report.wholeLists);
+    object.at("changed_at_ns").get_to(report.changedAtNs);
+    object.at("members_seen").get_to(report.membersSeen);
+    object.at("lag_ms").get_to(report.lagMs);
     return report;
   } catch (const json::exception&) {
     return std::nullopt;
--- a/src/lab/testbed/stub_report.hpp
+++ b/src/lab/testbed/stub_report.hpp
@@ -1,4 +1,4 @@
-// What a process that holds stub servers or gateways tells the testbed: one JSON object a line on its output.
+// The reports of a process with stub servers or stub gateways: one JSON object per line on its output.
 #pragma once
 
 #include <cstdint>
@@ -8,17 +8,18 @@
 namespace hollyrun::lab {
 
 struct StubReport {
-  std::uint16_t port = 0;         ///< stub servers: where all of them listen
-  std::int64_t revision = -1;     ///< stub gateways: the list that every one of the process holds, -1: none
-  std::uint64_t wholeLists = 0;   ///< whole lists that every one of them has taken since its start
-  std::int64_t changedAtNs = 0;   ///< steady clock, one for the machine: when the last of them came that far
-  std::uint32_t membersSeen = 0;  ///< the fewest members that one of them counts in its fleet
-  double lagMs = 0;               ///< the longest that the process's own loop was late since its last report
+  std::uint16_t port = 0;        ///< stub servers: the port that all of them listen on
+  std::int64_t revision = -1;    ///< stub gateways: lowest revision of the list among them, -1: none yet
+  std::uint64_t wholeLists = 0;  ///< lowest number of whole lists received among them since the start
+  /// When the last of them reached that revision and number, on the steady clock that all processes share.
+  std::int64_t changedAtNs = 0;
+  std::uint32_t membersSeen = 0;  ///< lowest number of members that one of them counts
+  double lagMs = 0;               ///< longest delay of the process's event loop since its last report
 };
 
-/// One line, without its end.
+/// Formats the report as one line, without a line break.
 std::string textOf(const StubReport& report);
-/// None if the line is no report, as with a message of a failing process.
+/// Returns std::nullopt if the line is not a report, such as an error message of a failing process.
 std::optional<StubReport> parseStubReport(const std::string& line);
 
 }  // namespace hollyrun::lab
--- a/src/lab/testbed/stub_server.cpp
+++ b/src/lab/testbed/stub_server.cpp
@@ -21,9 +21,9 @@
 
 namespace {
 
-constexpr int kPortsTried = 20;  // one that is free at one address may be taken at another
-constexpr std::uint64_t kBodyMost = 1 << 20;
-constexpr auto kReportEvery = std::chrono::seconds(1);
+constexpr int kMaxPortTries = 20;  // a port that is free at one address may be in use at another
+constexpr std::uint64_t kMaxBodyBytes = 1 << 20;
+constexpr auto kReportInterval = std::chrono::seconds(1);
 
 std::uint16_t freePort(asio::io_context& io, std::uint32_t address) {
   return tcp::acceptor(io, {asio::ip::address_v4(address), 0}).local_endpoint().port();
@@ -32,67 +32,67 @@
 }  // namespace
 
 struct StubServers::Shared {
-  std::chrono::nanoseconds answerAfter{};
-  std::uint64_t answered = 0;
+  std::chrono::nanoseconds responseDelay{};
+  std::uint64_t requestsAnswered = 0;
 };
 
-// One request at a time, as a gateway sends them.
+// A connection that serves one request at a time, as a gateway does not pipeline.
 class StubServers::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(tcp::socket socket, std::shared_ptr<Shared> shared)
-      : socket_(std::move(socket)), timer_(socket_.get_executor()), shared_(std::move(shared)) {
+      : socket_(std::move(socket)), responseTimer_(socket_.get_executor()), shared_(std::move(shared)) {
     error_code ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
   }
 
   void read() {
     parser_.emplace();
-    parser_->body_limit(kBodyMost);
+    parser_->body_limit(kMaxBodyBytes);
     http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](error_code ec, std::size_t) {
       if (!ec)
-        self->wait();
+        self->scheduleResponse();
     });
   }
 
  private:
-  void wait() {
-    if (shared_->answerAfter.count() <= 0)
-      return answer();
-    timer_.expires_after(shared_->answerAfter);
-    timer_.async_wait([self = shared_from_this()](error_code ec) {
+  void scheduleResponse() {
+    if (shared_->responseDelay.count() <= 0)
+      return respond();
+    responseTimer_.expires_after(shared_->responseDelay);
+    responseTimer_.async_wait([self = shared_from_this()](error_code ec) {
       if (!ec)
-        self->answer();
+        self->respond();
     });
   }
-  void answer() {
+  void respond() {
     const auto& request = parser_->get();
-    answer_ = {http::status::ok, 11};
-    answer_.set(http::field::content_type, "application/json");
-    answer_.body() = "{\"id\":\"" + request["X-Request-Id"].to_string() + "\"}\n";
-    answer_.keep_alive(request.keep_alive());
-    answer_.prepare_payload();
-    ++shared_->answered;
-    http::async_write(socket_, answer_, [self = shared_from_this()](error_code ec, std::size_t) {
-      if (!ec && self->answer_.keep_alive())
+    response_ = {http::status::ok, 11};
+    response_.set(http::field::content_type, "application/json");
+    response_.body() = "{\"id\":\"" + request["X-Request-Id"].to_string() + "\"}\n";
+    response_.keep_alive(request.keep_alive());
+    response_.prepare_payload();
+    ++shared_->requestsAnswered;
+    http::async_write(socket_, response_, [self = shared_from_this()](error_code ec, std::size_t) {
+      if (!ec && self->response_.keep_alive())
         self->read();
     });
   }
 
   tcp::socket socket_;
-  asio::steady_timer timer_;
+  asio::steady_timer responseTimer_;
   std::shared_ptr<Shared> shared_;
   boost::beast::flat_buffer buffer_;
   std::optional<http::request_parser<http::string_body>> parser_;
-  http::response<http::string_body> answer_;
+  http::response<http::string_body> response_;
 };
 
 StubServers::StubServers(asio::io_context& io, const StubServerPlan& plan)
     : io_(io), shared_(std::make_shared<Shared>()) {
-  shared_->answerAfter = std::chrono::nanoseconds(static_cast<std::int64_t>(plan.answerMs * 1e6));
-  bool free = false;
-  for (int i = 0; i < kPortsTried && !free; ++i)
-    free = listenAt(freePort(io, plan.firstAddress), plan);
-  if (!free)
+  shared_->responseDelay = std::chrono::nanoseconds(static_cast<std::int64_t>(plan.answerMs * 1e6));
+  bool listening = false;
+  for (int i = 0; i < kMaxPortTries && !listening; ++i)
+    listening = listenAt(freePort(io, plan.firstAddress), plan);
+  if (!listening)
     throw boost::system::system_error(make_error_code(boost::system::errc::address_in_use), "stub servers");
   for (tcp::acceptor& acceptor : acceptors_)
     accept(acceptor);
@@ -100,8 +100,8 @@
 
 StubServers::~StubServers() = default;
 
-std::uint64_t StubServers::answered() const {
-  return shared_->answered;
+std::uint64_t StubServers::requestsAnswered() const {
+  return shared_->requestsAnswered;
 }
 
 bool StubServers::listenAt(std::uint16_t port, const StubServerPlan& plan) {
@@ -144,12 +144,12 @@
   LagMeter lag(io);
   asio::steady_timer timer(io);
   std::function<void()> report = [&] {
-    StubReport now;
-    now.port = servers.port();
-    now.lagMs = lag.maxLagMs();
+    StubReport stubReport;
+    stubReport.port = servers.port();
+    stubReport.lagMs = lag.maxLagMs();
     lag.reset();
-    std::cout << textOf(now) << std::endl;
-    timer.expires_after(kReportEvery);
+    std::cout << textOf(stubReport) << std::endl;
+    timer.expires_after(kReportInterval);
     timer.async_wait([&](error_code ec) {
       if (!ec)
         report();
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -180,7 +180,7 @@
 
 // Plays until the condition holds, for ten seconds at the most.
 template <class Condition>
-bool playUntil(asio::io_context& io, Condition holds) {
+bool runUntil(asio::io_context& io, Condition holds) {
   const auto most = std::chrono::steady_clock::now() + std::chrono::seconds(10);
   while (!holds() && std::chrono::steady_clock::now() < most)
     io.run_one_for(std::chrono::milliseconds(100));
@@ -214,12 +214,12 @@
 
 TEST_F(StubDiscoveryTest, AClientTakesTheWholeListAndThenEachChange) {
   client->watch();
-  ASSERT_TRUE(playUntil(io, [&] { return told.size() == 1; }));
+  ASSERT_TRUE(runUntil(io, [&] { return told.size() == 1; }));
   EXPECT_TRUE(told[0].snapshot);
   EXPECT_EQ(told[0].endpoints.size(), 30u);
   // A watch is asked for once the list was taken; the change may come before or after it.
-  const std::int64_t revision = discovery.change(4);
-  ASSERT_TRUE(playUntil(io, [&] { return told.size() == 2; }));
+  const std::int64_t revision = discovery.toggleDraining(4);
+  ASSERT_TRUE(runUntil(io, [&] { return told.size() == 2; }));
   EXPECT_FALSE(told[1].snapshot);
   EXPECT_EQ(told[1].version, revision);
   ASSERT_EQ(told[1].endpoints.size(), 1u);
@@ -235,22 +235,22 @@
 
 TEST_F(StubDiscoveryTest, AfterACutAClientTakesWhatChangedAndFromOneThatForgotAllTheWholeList) {
   client->watch();
-  ASSERT_TRUE(playUntil(io, [&] { return told.size() == 1; }));
+  ASSERT_TRUE(runUntil(io, [&] { return told.size() == 1; }));
   discovery.suspend();
-  ASSERT_TRUE(playUntil(io, [&] { return failures == 1; }));
+  ASSERT_TRUE(runUntil(io, [&] { return failures == 1; }));
   client->watch();
-  ASSERT_TRUE(playUntil(io, [&] { return failures == 2; })) << "nobody listens";
-  const std::int64_t revision = discovery.change(1);
+  ASSERT_TRUE(runUntil(io, [&] { return failures == 2; })) << "nobody listens";
+  const std::int64_t revision = discovery.toggleDraining(1);
   discovery.resume(false);
   client->watch();
-  ASSERT_TRUE(playUntil(io, [&] { return told.size() == 2; }));
+  ASSERT_TRUE(runUntil(io, [&] { return told.size() == 2; }));
   EXPECT_FALSE(told[1].snapshot);
   EXPECT_EQ(told[1].version, revision);
   discovery.suspend();
-  ASSERT_TRUE(playUntil(io, [&] { return failures == 3; }));
+  ASSERT_TRUE(runUntil(io, [&] { return failures == 3; }));
   discovery.resume(true);
   client->watch();
-  ASSERT_TRUE(playUntil(io, [&] { return told.size() == 3; }));
+  ASSERT_TRUE(runUntil(io, [&] { return told.size() == 3; }));
   EXPECT_TRUE(told[2].snapshot);
   EXPECT_EQ(told[2].endpoints.size(), 30u);
 }
@@ -265,9 +265,9 @@
               ++all;
               well += status == 200 && body.find("\"id\"") != std::string::npos;
             });
-  EXPECT_TRUE(playUntil(io, [&] { return all == 3; }));
+  EXPECT_TRUE(runUntil(io, [&] { return all == 3; }));
   EXPECT_EQ(well, 3);
-  EXPECT_EQ(servers.answered(), 3u);
+  EXPECT_EQ(servers.requestsAnswered(), 3u);
 }
 
 // --- Small runs on processes ------------------------------------------------------------------------------
@@ -287,7 +287,7 @@
   plan.hangups = 1;
   plan.listChanges = 2;
   plan.outageS = 0.2;
-  plan.voidTries = 5;
+  plan.maxTriesPerStep = 5;
   return plan;
 }
 
@@ -314,8 +314,8 @@
 
 TEST(ScaleRunTest, AStepForWhichTheTestbedWasTooSlowIsVoid) {
   ScalePlan plan = smallPlan();
-  plan.lagMostMs = 0;  // no loop is never late
-  plan.voidTries = 2;
+  plan.maxHelperLagMs = 0;  // no loop is never late
+  plan.maxTriesPerStep = 2;
   const ScaleRun run = playScale(plan, [](const StepResult&) {});
   EXPECT_TRUE(hasVoidStep(run));
   EXPECT_NE(run.steps.front().voidReason.find("ms late"), std::string::npos) << run.steps.front().voidReason;
