--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -70,7 +70,7 @@
 
 TEST(ScaleFiguresTest, AVoidStepCountsForNothingAndIsShown) {
   ScaleRun run = runOf({{1, 1}, {2, 2}, {3, 99}});
-  run.steps.back().voided = "the testbed was late";
+  run.steps.back().voidReason = "the testbed was late";
   const auto fit = slopeOf(run, Figure::requestUs);
   ASSERT_TRUE(fit);
   EXPECT_NEAR(fit->slope, 1, 1e-9);
@@ -87,15 +87,15 @@
 
 TEST(ScaleFiguresTest, GrowthBeyondABoundIsAFaultAndSoIsAFigureThatIsMissing) {
   const ScaleRun run = runOf({{200, 100}, {800, 250}});
-  EXPECT_TRUE(shapeFaults(run, {parseShapeBound("request_us=2.5")}).empty());
+  EXPECT_TRUE(growthViolations(run, {parseGrowthBound("request_us=2.5")}).empty());
   const auto faults =
-      shapeFaults(run, {parseShapeBound("request_us=2.4"), parseShapeBound("idle_percent=9")});
+      growthViolations(run, {parseGrowthBound("request_us=2.4"), parseGrowthBound("idle_percent=9")});
   ASSERT_EQ(faults.size(), 2u);
   EXPECT_NE(faults[0].find("2.50 times, allowed 2.4"), std::string::npos) << faults[0];
   EXPECT_NE(faults[1].find("idle_percent: not measured"), std::string::npos) << faults[1];
-  EXPECT_THROW(parseShapeBound("request_us"), std::invalid_argument);
-  EXPECT_THROW(parseShapeBound("speed=2"), std::invalid_argument);
-  EXPECT_THROW(parseShapeBound("request_us=0"), std::invalid_argument);
+  EXPECT_THROW(parseGrowthBound("request_us"), std::invalid_argument);
+  EXPECT_THROW(parseGrowthBound("speed=2"), std::invalid_argument);
+  EXPECT_THROW(parseGrowthBound("request_us=0"), std::invalid_argument);
 }
 
 TEST(ScaleFiguresTest, KeptStepsComeBackAsTheyWere) {
@@ -103,7 +103,7 @@
   ScaleRun run = runOf({{200, 30.5}, {1000, 110}});
   run.label = "before";
   run.command = "hollyrun-lab scale";
-  run.steps[1].voided = "late";
+  run.steps[1].voidReason = "late";
   run.steps[1].round = 1;
   Store(file).putScale(run);
   const auto kept = Store(file).scaleRuns("before");
@@ -113,7 +113,7 @@
   ASSERT_EQ(kept[0].steps.size(), 2u);
   EXPECT_EQ(kept[0].steps[0][Figure::requestUs], 30.5);
   EXPECT_FALSE(kept[0].steps[0][Figure::stallMs]);
-  EXPECT_EQ(kept[0].steps[1].voided, "late");
+  EXPECT_EQ(kept[0].steps[1].voidReason, "late");
   EXPECT_EQ(kept[0].steps[1].round, 1u);
   EXPECT_TRUE(Store(file).scaleRuns("after").empty());
   std::filesystem::remove(file);
@@ -180,7 +180,7 @@
 
 // Plays until the condition holds, for ten seconds at the most.
 template <class Condition>
-bool playUntil(asio::io_context& io, Condition holds) {
+bool runUntil(asio::io_context& io, Condition holds) {
   const auto most = std::chrono::steady_clock::now() + std::chrono::seconds(10);
   while (!holds() && std::chrono::steady_clock::now() < most)
     io.run_one_for(std::chrono::milliseconds(100));
@@ -214,12 +214,12 @@
 
 TEST_F(StubDiscoveryTest, AClientTakesTheWholeListAndThenEachChange) {
   client->watch();
-  ASSERT_TRUE(playUntil(io, [&] { return told.size() == 1; }));
+  ASSERT_TRUE(runUntil(io, [&] { return told.size() == 1; }));
   EXPECT_TRUE(told[0].snapshot);
   EXPECT_EQ(told[0].endpoints.size(), 30u);
   // A watch is asked for once the list was taken; the change may come before or after it.
-  const std::int64_t revision = discovery.change(4);
-  ASSERT_TRUE(playUntil(io, [&] { return told.size() == 2; }));
+  const std::int64_t revision = discovery.toggleDraining(4);
+  ASSERT_TRUE(runUntil(io, [&] { return told.size() == 2; }));
   EXPECT_FALSE(told[1].snapshot);
   EXPECT_EQ(told[1].version, revision);
   ASSERT_EQ(told[1].endpoints.size(), 1u);
@@ -235,22 +235,22 @@
 
 TEST_F(StubDiscoveryTest, AfterACutAClientTakesWhatChangedAndFromOneThatForgotAllTheWholeList) {
   client->watch();
-  ASSERT_TRUE(playUntil(io, [&] { return told.size() == 1; }));
+  ASSERT_TRUE(runUntil(io, [&] { return told.size() == 1; }));
   discovery.suspend();
-  ASSERT_TRUE(playUntil(io, [&] { return failures == 1; }));
+  ASSERT_TRUE(runUntil(io, [&] { return failures == 1; }));
   client->watch();
-  ASSERT_TRUE(playUntil(io, [&] { return failures == 2; })) << "nobody listens";
-  const std::int64_t revision = discovery.change(1);
+  ASSERT_TRUE(runUntil(io, [&] { return failures == 2; })) << "nobody listens";
+  const std::int64_t revision = discovery.toggleDraining(1);
   discovery.resume(false);
   client->watch();
-  ASSERT_TRUE(playUntil(io, [&] { return told.size() == 2; }));
+  ASSERT_TRUE(runUntil(io, [&] { return told.size() == 2; }));
   EXPECT_FALSE(told[1].snapshot);
   EXPECT_EQ(told[1].version, revision);
   discovery.suspend();
-  ASSERT_TRUE(playUntil(io, [&] { return failures == 3; }));
+  ASSERT_TRUE(runUntil(io, [&] { return failures == 3; }));
   discovery.resume(true);
   client->watch();
-  ASSERT_TRUE(playUntil(io, [&] { return told.size() == 3; }));
+  ASSERT_TRUE(runUntil(io, [&] { return told.size() == 3; }));
   EXPECT_TRUE(told[2].snapshot);
   EXPECT_EQ(told[2].endpoints.size(), 30u);
 }
@@ -260,14 +260,14 @@
   StubServers servers(io, {kTestAddresses, 300, 0.5});
   int well = 0, all = 0;
   for (const std::size_t number : {0, 150, 299})
-    ask(io, stubServerEndpoint(kTestAddresses, number, servers.port()), "/lookup/1", std::chrono::seconds(5),
-        [&](int status, const std::string& body) {
-          ++all;
-          well += status == 200 && body.find("\"id\"") != std::string::npos;
-        });
-  EXPECT_TRUE(playUntil(io, [&] { return all == 3; }));
+    httpGet(io, stubServerEndpoint(kTestAddresses, number, servers.port()), "/lookup/1",
+            std::chrono::seconds(5), [&](int status, const std::string& body) {
+              ++all;
+              well += status == 200 && body.find("\"id\"") != std::string::npos;
+            });
+  EXPECT_TRUE(runUntil(io, [&] { return all == 3; }));
   EXPECT_EQ(well, 3);
-  EXPECT_EQ(servers.answered(), 3u);
+  EXPECT_EQ(servers.requestsAnswered(), 3u);
 }
 
 // --- Small runs on processes ------------------------------------------------------------------------------
@@ -287,7 +287,7 @@
   plan.hangups = 1;
   plan.listChanges = 2;
   plan.outageS = 0.2;
-  plan.voidTries = 5;
+  plan.maxTriesPerStep = 5;
   return plan;
 }
 
@@ -298,14 +298,14 @@
   plan.size.classes = 9;
   plan.size.changes = 10;
   plan.membershipPeriodMs = 200;
-  plan.configured = 3;  // fewer than there are: their numbers go beyond it
+  plan.configuredGateways = 3;  // fewer than there are: their numbers go beyond it
   std::size_t heard = 0;
   const ScaleRun run = playScale(plan, [&](const StepResult&) { ++heard; });
   EXPECT_EQ(heard, 1u);
   ASSERT_EQ(run.steps.size(), 1u);
   const StepResult& step = run.steps.front();
-  for (std::size_t i = 0; i < kFigures; ++i)
-    EXPECT_TRUE(step.figures[i]) << textOf(static_cast<Figure>(i)).name << " is missing: " << step.voided;
+  for (std::size_t i = 0; i < kFigureCount; ++i)
+    EXPECT_TRUE(step.figures[i]) << textOf(static_cast<Figure>(i)).name << " is missing: " << step.voidReason;
   EXPECT_GT(*step[Figure::requestUs], 0);
   EXPECT_LT(*step[Figure::unservedPercent], 20) << "the load is light and its servers answer at once";
   EXPECT_GT(*step[Figure::hangupMs], 0);
@@ -314,11 +314,11 @@
 
 TEST(ScaleRunTest, AStepForWhichTheTestbedWasTooSlowIsVoid) {
   ScalePlan plan = smallPlan();
-  plan.lagMostMs = 0;  // no loop is never late
-  plan.voidTries = 2;
+  plan.maxHelperLagMs = 0;  // no loop is never late
+  plan.maxTriesPerStep = 2;
   const ScaleRun run = playScale(plan, [](const StepResult&) {});
   EXPECT_TRUE(hasVoidStep(run));
-  EXPECT_NE(run.steps.front().voided.find("ms late"), std::string::npos) << run.steps.front().voided;
+  EXPECT_NE(run.steps.front().voidReason.find("ms late"), std::string::npos) << run.steps.front().voidReason;
 }
 
 TEST(ScaleRunTest, AProgramThatIsMissingOrEndsIsNamed) {
