--- a/src/lab/commands/check_command.cpp
+++ b/src/lab/commands/check_command.cpp
@@ -11,12 +11,14 @@
 namespace hollyrun::lab {
 namespace {
 
-/// `check`: reads scenarios and names what is wrong with each.
+/// `check`: validates scenarios and reports the errors of each.
 class CheckCommand final : public Command {
  public:
-  explicit CheckCommand(CLI::App& app) : Command(app, "check", "read scenarios and name their faults") {
+  explicit CheckCommand(CLI::App& app) : Command(app, "check", "validate scenario files") {
     subcommand().add_option("scenario", files_, "scenario files (TOML)")->required();
-    subcommand().add_option("--set", overrides_, "KEY=VALUE over the file's")->allow_extra_args(false);
+    subcommand()
+        .add_option("--set", overrides_, "KEY=VALUE, overrides the value in the files")
+        ->allow_extra_args(false);
   }
 
   int run() override {
@@ -24,7 +26,7 @@
     for (const std::string& file : files_) {
       try {
         readScenario(file, overrides_);
-        fmt::print("{}: good\n", file);
+        fmt::print("{}: valid\n", file);
       } catch (const ScenarioError& error) {
         fmt::print(stderr, "{}\n", error.what());
         exitCode = kExitInvalidInput;
--- a/src/lab/commands/command.hpp
+++ b/src/lab/commands/command.hpp
@@ -5,8 +5,8 @@
 
 namespace hollyrun::lab {
 
-/// Adds itself and its options to the program when it is constructed. The options are stored in the object,
-/// so that it must outlive the parsing.
+/// The constructor adds the subcommand and its options to the program. Parsed options are stored in this
+/// object, which must therefore outlive the parsing.
 class Command {
  public:
   Command(CLI::App& app, const char* name, const char* description)
@@ -15,9 +15,9 @@
   Command(const Command&) = delete;
   Command& operator=(const Command&) = delete;
 
-  /// Whether the command line names it.
+  /// Returns whether the command line selects this subcommand.
   bool parsed() const { return subcommand_.parsed(); }
-  /// Returns an exit code; throws std::exception if an argument, a scenario or a file is wrong.
+  /// Returns an exit code. Throws std::exception if an argument, a scenario or a file is invalid.
   virtual int run() = 0;
 
  protected:
--- a/src/lab/commands/commands.hpp
+++ b/src/lab/commands/commands.hpp
@@ -1,4 +1,4 @@
-/// The subcommands of hollyrun-lab , one file each; a function adds one to the program.
+/// The subcommands of hollyrun-lab, one file each. Each function adds one subcommand to the program.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -18,7 +18,7 @@
 std::unique_ptr<Command> addLoadCommand(CLI::App& app);
 std::unique_ptr<Command> addFleetCommand(CLI::App& app);
 std::unique_ptr<Command> addMembersCommand(CLI::App& app);
-/// `commandLine` is kept with the results: runs of the same command line are rounds of one.
+/// `commandLine` is stored with the results; runs with the same label and command line are merged in reports.
 std::unique_ptr<Command> addScaleCommand(CLI::App& app, const std::string& commandLine);
 std::unique_ptr<Command> addStubServersCommand(CLI::App& app);
 std::unique_ptr<Command> addStubGatewaysCommand(CLI::App& app);
--- a/src/lab/commands/compare_command.cpp
+++ b/src/lab/commands/compare_command.cpp
@@ -19,7 +19,7 @@
 namespace hollyrun::lab {
 namespace {
 
-/// An arm of a comparison: `policy`, `policy,key=value,...`, or `@label` of a file of results.
+/// One side of a comparison: `policy`, `policy,key=value,...`, or `@label` for stored results.
 struct Arm {
   /// Throws if the policy is unknown.
   explicit Arm(const std::string& text) : name(text) {
@@ -35,7 +35,7 @@
 
   std::string name;
   std::string policy = kDefaultPolicy;
-  std::string label;  ///< empty: the arm is played
+  std::string label;  ///< label of stored results; empty: the scenarios are simulated
   std::vector<std::string> overrides;
 };
 
@@ -63,8 +63,8 @@
     {"p99 ms", [](const Result& result) { return result.p99; }},
 };
 
-/// The scenarios to print: an empty name for all of them together, then each; only the one if there is but
-/// one.
+/// Returns the sections to print: an empty name for all scenarios together, then each scenario. A single
+/// scenario has only its own section.
 std::vector<std::string> scenarioSections(const ResultsByRun& results) {
   std::vector<std::string> names{""};
   for (const auto& [run, result] : results)
@@ -77,11 +77,11 @@
 
 const char* verdictOf(const Estimate& difference) {
   if (std::abs(difference.mean) <= difference.half)
-    return "not told apart";
+    return "no significant difference";
   return difference.mean > 0 ? "a higher" : "b higher";
 }
 
-/// Compares one figure over the runs that both arms have; an empty `scenario` is all of them.
+/// Compares one figure over the runs that both arms have; an empty `scenario` selects all scenarios.
 void printFigure(const ComparedFigure& figure, const std::string& scenario, const ResultsByRun& resultsA,
                  const ResultsByRun& resultsB) {
   std::vector<double> valuesA;
@@ -96,21 +96,23 @@
     differences.push_back(valuesA.back() - valuesB.back());
   }
   if (differences.empty())
-    throw std::runtime_error("the two arms have no scenario and seed in common");
+    throw std::runtime_error("arms a and b have no run of the same scenario and seed in common");
   const Estimate difference = estimate(differences);
   fmt::print("  {:<12} a {:>9.4f}  b {:>9.4f}  a - b {:>+9.4f} -+ {:.4f}  {} up, {} down of {}  {}\n",
              figure.name, estimate(valuesA).mean, estimate(valuesB).mean, difference.mean, difference.half,
              difference.better, difference.worse, difference.count, verdictOf(difference));
 }
 
-/// `compare`: plays two arms on the same seeds and prints the difference with its confidence.
+/// `compare`: runs two arms on the same seeds and prints the differences with their confidence intervals.
 class CompareCommand final : public Command {
  public:
   explicit CompareCommand(CLI::App& app)
-      : Command(app, "compare", "play two arms on the same seeds and tell the difference") {
+      : Command(app, "compare", "run two arms on the same seeds and print the differences") {
     simulation_.addTo(subcommand());
-    subcommand().add_option("-a", armA_, "POLICY[,KEY=VALUE...], or @LABEL of --db")->capture_default_str();
-    subcommand().add_option("-b", armB_, "likewise")->capture_default_str();
+    subcommand()
+        .add_option("-a", armA_, "first arm: POLICY[,KEY=VALUE...], or @LABEL of runs in --db")
+        ->capture_default_str();
+    subcommand().add_option("-b", armB_, "second arm, in the same form as -a")->capture_default_str();
   }
 
   int run() override {
@@ -143,14 +145,14 @@
 
   ResultsByRun readStored(const std::string& label) const {
     if (simulation_.database.empty())
-      throw std::runtime_error("@" + label + " needs --db");
+      throw std::runtime_error("arm '@" + label + "' requires --db");
     ResultsByRun byRun;
     for (StoredRun& stored : Store(simulation_.database).runs(label)) {
       RunKey key{stored.result.scenario, stored.result.seed};
       byRun.insert_or_assign(std::move(key), std::move(stored.result));
     }
     if (byRun.empty())
-      throw std::runtime_error("no runs are kept under '" + label + "'");
+      throw std::runtime_error("no runs with label '" + label + "' in " + simulation_.database);
     return byRun;
   }
 
--- a/src/lab/commands/cost_command.cpp
+++ b/src/lab/commands/cost_command.cpp
@@ -9,22 +9,27 @@
 namespace hollyrun::lab {
 namespace {
 
-/// `cost`: processor time and memory of the decision module, a row for each number of servers and tenants.
+/// `cost`: measures processor time and memory of the decision module, one row per number of servers and
+/// tenants.
 class CostCommand final : public Command {
  public:
   explicit CostCommand(CLI::App& app)
-      : Command(app, "cost", "processor time and memory of the decision module alone") {
+      : Command(app, "cost", "measure processor time and memory of the decision module alone") {
     CLI::App& options = subcommand();
-    options.add_option("--hosts", hostCounts_, "numbers of servers")->check(CLI::Range(1, 60000));
-    options.add_option("--tenants", tenantCounts_, "numbers of tenants")->check(CLI::Range(0, 1000000));
+    options.add_option("--hosts", hostCounts_, "numbers of servers to measure")->check(CLI::Range(1, 60000));
+    options.add_option("--tenants", tenantCounts_, "numbers of tenants to measure")
+        ->check(CLI::Range(0, 1000000));
     options.add_option("--classes", settings_.classes, "number of classes")->check(CLI::Range(1, 10000));
-    options.add_option("--gateways", settings_.gateways, "in the fleet")->check(CLI::Range(1, 100000));
-    options.add_option("--candidates", settings_.candidates, "hosts to choose from; 0: all")
+    options.add_option("--gateways", settings_.gateways, "number of gateways in the fleet")
+        ->check(CLI::Range(1, 100000));
+    options
+        .add_option("--candidates", settings_.candidates,
+                    "number of hosts that each decision considers; 0: all")
         ->capture_default_str();
-    options.add_option("--rate", settings_.rate, "requests a second of the one gateway")
+    options.add_option("--rate", settings_.rate, "requests per second at the measured gateway")
         ->capture_default_str();
-    options.add_option("--requests", settings_.requests, "played for each row")->capture_default_str();
-    options.add_option("--seed", settings_.seed, "of all that is drawn")->capture_default_str();
+    options.add_option("--requests", settings_.requests, "number of requests per row")->capture_default_str();
+    options.add_option("--seed", settings_.seed, "random seed")->capture_default_str();
   }
 
   int run() override {
--- a/src/lab/commands/fleet_command.cpp
+++ b/src/lab/commands/fleet_command.cpp
@@ -25,19 +25,19 @@
   return kExitRuleBroken;
 }
 
-/// `fleet`: real gateway processes under load and faults.
+/// `fleet`: runs gateway processes under load and faults.
 class FleetCommand final : public Command {
  public:
   explicit FleetCommand(CLI::App& app)
-      : Command(app, "fleet", "real processes of the program under load and faults, judged") {
+      : Command(app, "fleet", "run gateway processes under load and faults and check the rules") {
     CLI::App& options = subcommand();
     emulation_.addTo(options);
     measurement_.addTo(options);
-    options.add_option("--program", program_, "the built gateway")->capture_default_str();
+    options.add_option("--program", program_, "path of the hollyrun executable")->capture_default_str();
     options.add_option("--dir", directory_,
-                       "an existing folder for the processes' files; none: one that goes again");
-    options.add_option("--out", outputFile_, "HTML page to write");
-    options.add_flag("--log", printTimeline_, "print the time line, too");
+                       "existing directory for the files of the processes; default: a temporary directory");
+    options.add_option("--out", outputFile_, "HTML report to write");
+    options.add_flag("--log", printTimeline_, "also print the timeline");
   }
 
   int run() override {
--- a/src/lab/commands/load_command.cpp
+++ b/src/lab/commands/load_command.cpp
@@ -24,35 +24,36 @@
 constexpr double kDefaultDurationS = 10;
 constexpr int kMaxPort = 65535;
 
-/// Reads ADDRESS:PORT. Only loopback is accepted, so that a load never reaches another machine.
+/// Parses ADDRESS:PORT. Only loopback addresses are accepted, so that the load never reaches another machine.
 tcp::endpoint parseLoopbackEndpoint(const std::string& text) {
   const auto colon = text.rfind(':');
   error_code error;
   const auto address = asio::ip::make_address(text.substr(0, colon), error);
   const int port = colon == std::string::npos ? 0 : std::atoi(text.c_str() + colon + 1);
   if (error || port < 1 || port > kMaxPort)
-    throw std::runtime_error("'" + text + "' is no ADDRESS:PORT");
+    throw std::runtime_error("--to: invalid endpoint '" + text + "', expected ADDRESS:PORT");
   if (!address.is_loopback())
-    throw std::runtime_error(text + ": a load goes to loopback only");
+    throw std::runtime_error("--to: '" + text + "' is not a loopback address; load is sent to loopback only");
   return {address, static_cast<unsigned short>(port)};
 }
 
-void logProgress(const Load& clients) {
-  const Result result = clients.result();
-  spdlog::info("{} calls, {} open, {:.3f} of the worth in time, p99 {:.1f} ms", result.calls, clients.open(),
+void logProgress(const Load& load) {
+  const Result result = load.result();
+  spdlog::info("{} calls, {} in flight, goodput {:.3f}, p99 {:.1f} ms", result.calls, load.open(),
                result.goodput, result.p99);
 }
 
 void printLatencies(const Latencies& latencies) {
-  fmt::print("times ms: p50 {:.2f}  p90 {:.2f}  p99 {:.2f}  p99.9 {:.2f}\n", latencies.percentile(0.5),
-             latencies.percentile(0.9), latencies.percentile(0.99), latencies.percentile(0.999));
+  fmt::print("response times in ms: p50 {:.2f}  p90 {:.2f}  p99 {:.2f}  p99.9 {:.2f}\n",
+             latencies.percentile(0.5), latencies.percentile(0.9), latencies.percentile(0.99),
+             latencies.percentile(0.999));
 }
 
-/// How a load ended.
+/// How the load generation ended.
 enum class LoadEnd { completed, interrupted };
 
-/// Runs the load until its last request is over or a signal interrupts it.
-LoadEnd runLoad(asio::io_context& io, Load& clients) {
+/// Runs the load until its last request has completed or a signal interrupts it.
+LoadEnd runLoad(asio::io_context& io, Load& load) {
   LoadEnd end = LoadEnd::completed;
   asio::signal_set signals(io, SIGINT, SIGTERM);
   signals.async_wait([&](error_code error, int) {
@@ -61,23 +62,22 @@
     end = LoadEnd::interrupted;
     io.stop();
   });
-  const PeriodicTask progress(io, kProgressInterval, [&clients] { logProgress(clients); });
-  clients.start([&io] { io.stop(); });
+  const PeriodicTask progress(io, kProgressInterval, [&load] { logProgress(load); });
+  load.start([&io] { io.stop(); });
   io.run();
   return end;
 }
 
-/// `load`: clients in an open loop against gateways on loopback.
+/// `load`: sends open-loop load to gateways on loopback.
 class LoadCommand final : public Command {
  public:
-  explicit LoadCommand(CLI::App& app)
-      : Command(app, "load", "clients in an open loop against gateways on loopback") {
+  explicit LoadCommand(CLI::App& app) : Command(app, "load", "send open-loop load to gateways on loopback") {
     CLI::App& options = subcommand();
     emulation_.addTo(options);
     measurement_.addTo(options);
-    options.add_option("--to", gateways_, "ADDRESS:PORT of a gateway, or several")->required();
-    options.add_option("--for", durationS_, "seconds of arrivals, up to 3600; 10 unless told");
-    options.add_option("--class", className_, "only this class of the scenario");
+    options.add_option("--to", gateways_, "ADDRESS:PORT of one or more gateways")->required();
+    options.add_option("--for", durationS_, "duration of the load in seconds, at most 3600 (default: 10)");
+    options.add_option("--class", className_, "send only requests of this class of the scenario");
   }
 
   int run() override {
@@ -86,19 +86,19 @@
     const std::vector<Target> targets = readTargets(scenario.zones.size());
     const double capacity = capacityOf(scenario, emulation_.seed, DrawnFleet(scenario, emulation_.seed));
     const LoadPlan plan{measurement_.rate, durationS_ > 0 ? durationS_ : kDefaultDurationS, className_};
-    Load clients(io, scenario, emulation_.seed, plan, capacity, targets);
-    const LoadEnd end = runLoad(io, clients);
-    const Result result = clients.result();
+    Load load(io, scenario, emulation_.seed, plan, capacity, targets);
+    const LoadEnd end = runLoad(io, load);
+    const Result result = load.result();
     measurement_.store(result);
     fmt::print("{}", textOf(result));
-    printLatencies(clients.latencies());
+    printLatencies(load.latencies());
     if (end == LoadEnd::interrupted)
       return kExitInterrupted;
     return result.breaches.empty() ? kExitSuccess : kExitRuleBroken;
   }
 
  private:
-  /// The gateways, spread over the zones in turn.
+  /// Parses the gateways and assigns them to the zones in turn.
   std::vector<Target> readTargets(std::size_t zoneCount) const {
     std::vector<Target> targets;
     for (std::size_t i = 0; i < gateways_.size(); ++i) {
--- a/src/lab/commands/members_command.cpp
+++ b/src/lab/commands/members_command.cpp
@@ -14,15 +14,16 @@
 namespace hollyrun::lab {
 namespace {
 
-/// Of the explored states, every so many are played on until all members agree.
-constexpr std::uint64_t kHealEvery = 50;
+/// One in this many explored states is continued until all members agree, to check convergence.
+constexpr std::uint64_t kConvergenceCheckInterval = 50;
 
-/// `members`: the membership protocol in virtual time, as measurements, under faults, or explored
-/// exhaustively.
+/// `members`: simulates the membership protocol in virtual time: measurements, faults, or an exhaustive
+/// exploration of schedules.
 class MembersCommand final : public Command {
  public:
   explicit MembersCommand(CLI::App& app)
-      : Command(app, "members", "the fleet's membership in virtual time: a table of times and cost") {
+      : Command(app, "members",
+                "simulate the fleet's membership in virtual time and print a table of times and cost") {
     addMeasurementOptions();
     addFaultOptions();
     addExplorationOptions();
@@ -41,38 +42,39 @@
  private:
   void addMeasurementOptions() {
     CLI::App& options = subcommand();
-    options.add_option("--members", memberCounts_, "numbers of members")->check(CLI::Range(2, 1000));
-    options.add_option("--loss", lossFractions_, "shares of datagrams that get lost")
-        ->check(CLI::Range(0.0, 0.9));
-    options.add_option("--kills", kills_, "members killed and started again for each row")
+    options.add_option("--members", memberCounts_, "numbers of members to measure")
+        ->check(CLI::Range(2, 1000));
+    options.add_option("--loss", lossFractions_, "fractions of datagrams lost")->check(CLI::Range(0.0, 0.9));
+    options.add_option("--kills", kills_, "number of members killed and restarted per row")
         ->capture_default_str();
-    options.add_option("--seed", seed_, "of all that is drawn")->capture_default_str();
-    options.add_flag("--trace", trace_, "a hash of all that is sent and raised, to compare two builds");
+    options.add_option("--seed", seed_, "random seed")->capture_default_str();
+    options.add_flag("--trace", trace_, "print a hash of all datagrams and events, to compare two builds");
   }
 
   void addFaultOptions() {
     subcommand()
-        .add_option("--fault", faults_, "instead: zone, cut or restarts, what it costs until views agree")
+        .add_option("--fault", faults_,
+                    "measure the cost until views agree after a fault instead: zone, cut or restarts")
         ->check(CLI::IsMember({"zone", "cut", "restarts"}));
     subcommand()
-        .add_option("--apart", partitionPeriods_, "with cut: its length in periods")
+        .add_option("--apart", partitionPeriods_, "with --fault cut: duration of the partition in periods")
         ->capture_default_str();
   }
 
   void addExplorationOptions() {
     subcommand()
         .add_option("--explore", exploredSteps_,
-                    "instead: three members through every schedule of so many steps")
+                    "explore every schedule of this many steps with three members instead")
         ->check(CLI::Range(1, 12));
     subcommand()
-        .add_option("--crashes", exploredCrashes_, "with it: the most on a way")
+        .add_option("--crashes", exploredCrashes_, "with --explore: maximum number of crashes per schedule")
         ->capture_default_str();
   }
 
   int explore() const {
-    const Explored explored = exploreMembers(exploredSteps_, exploredCrashes_, kHealEvery);
+    const Explored explored = exploreMembers(exploredSteps_, exploredCrashes_, kConvergenceCheckInterval);
     fmt::print(
-        "three members, {} steps deep, {} crashes: {} states, {} steps, {} of the states played on until all "
+        "three members, {} steps deep, {} crashes: {} states, {} steps, {} of the states continued until all "
         "agreed\n",
         exploredSteps_, exploredCrashes_, explored.states, explored.steps, explored.convergenceChecks);
     for (const std::string& violation : explored.violations)
--- a/src/lab/commands/periodic_task.hpp
+++ b/src/lab/commands/periodic_task.hpp
@@ -1,4 +1,4 @@
-/// Repeats a task on an io_context for as long as the object lives.
+/// Runs a task periodically on an io_context until the object is destroyed.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,7 +11,7 @@
 
 class PeriodicTask {
  public:
-  /// The first run is one period from now.
+  /// The task first runs after one period.
   PeriodicTask(boost::asio::io_context& io, std::chrono::seconds period, std::function<void()> task)
       : timer_(io), period_(period), task_(std::move(task)) {
     schedule();
--- a/src/lab/commands/process_options.cpp
+++ b/src/lab/commands/process_options.cpp
@@ -6,9 +6,10 @@
 namespace hollyrun::lab {
 
 void EmulationOptions::addTo(CLI::App& subcommand) {
-  subcommand.add_option("file", files, "scenario (TOML)")->required()->expected(1);
-  subcommand.add_option("--set", overrides, "KEY=VALUE over the file's")->allow_extra_args(false);
-  subcommand.add_option("--seed", seed, "of all that is drawn")->capture_default_str();
+  subcommand.add_option("file", files, "scenario file (TOML)")->required()->expected(1);
+  subcommand.add_option("--set", overrides, "KEY=VALUE, overrides the value in the file")
+      ->allow_extra_args(false);
+  subcommand.add_option("--seed", seed, "random seed")->capture_default_str();
 }
 
 Scenario EmulationOptions::read() const {
@@ -18,9 +19,10 @@
 MeasurementOptions::MeasurementOptions() : label(kDefaultLabel) {}
 
 void MeasurementOptions::addTo(CLI::App& subcommand) {
-  subcommand.add_option("--rate", rate, "first tries a second; 0: by the scenario's level");
-  subcommand.add_option("--db", database, "SQLite file that keeps the results");
-  subcommand.add_option("--label", label, "name of this run there")->capture_default_str();
+  subcommand.add_option("--rate", rate,
+                        "calls per second, not counting retries; 0: by the level of the scenario");
+  subcommand.add_option("--db", database, "SQLite file to store the results in");
+  subcommand.add_option("--label", label, "label of this run in the SQLite file")->capture_default_str();
 }
 
 void MeasurementOptions::store(const Result& result) const {
--- a/src/lab/commands/process_options.hpp
+++ b/src/lab/commands/process_options.hpp
@@ -1,4 +1,4 @@
-/// What the commands that work on real sockets have in common: options and how their results are stored.
+/// Options and result storage shared by the commands that use real sockets.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -11,10 +11,10 @@
 
 namespace hollyrun::lab {
 
-/// The one scenario that is emulated.
+/// The scenario to emulate.
 struct EmulationOptions {
   std::vector<std::string> files;      ///< exactly one
-  std::vector<std::string> overrides;  ///< KEY=VALUE over the file's
+  std::vector<std::string> overrides;  ///< KEY=VALUE, override the values in the file
   std::uint64_t seed = 1;
 
   void addTo(CLI::App& subcommand);
@@ -22,10 +22,10 @@
   Scenario read() const;
 };
 
-/// The load, and where its result is stored.
+/// The rate of the load and the storage of its result.
 struct MeasurementOptions {
-  double rate = 0;       ///< first tries a second; 0: by the scenario's level
-  std::string database;  ///< SQLite file; empty: none
+  double rate = 0;       ///< calls per second, not counting retries; 0: by the level of the scenario
+  std::string database;  ///< SQLite file; empty: results are not stored
   std::string label;
 
   MeasurementOptions();
--- a/src/lab/commands/report_command.cpp
+++ b/src/lab/commands/report_command.cpp
@@ -19,18 +19,20 @@
 class ReportCommand final : public Command {
  public:
   explicit ReportCommand(CLI::App& app)
-      : Command(app, "report", "list kept runs, or draw them into one HTML file") {
+      : Command(app, "report", "list stored runs, or write them to an HTML file with plots") {
     CLI::App& options = subcommand();
-    options.add_option("--db", database_, "SQLite file of the results")->required()->check(CLI::ExistingFile);
-    options.add_option("--run", runIds_, "numbers of runs; none: all, without plots");
-    options.add_option("--label", label_, "only runs of this label");
-    options.add_option("--out", outputFile_, "HTML file to write; none: a list");
+    options.add_option("--db", database_, "SQLite file with the results")
+        ->required()
+        ->check(CLI::ExistingFile);
+    options.add_option("--run", runIds_, "ids of runs; default: all runs, without plots");
+    options.add_option("--label", label_, "select only runs with this label");
+    options.add_option("--out", outputFile_, "HTML file to write; default: print a list");
   }
 
   int run() override {
     const std::vector<StoredRun> runs = readRuns();
     if (runs.empty())
-      throw std::runtime_error(database_ + " holds no such runs");
+      throw std::runtime_error("no matching runs in " + database_);
     if (outputFile_.empty()) {
       printList(runs);
       return kExitSuccess;
@@ -59,7 +61,7 @@
   }
 
   std::string database_;
-  std::string label_ = kDefaultLabel;  // which stands for every label
+  std::string label_ = kDefaultLabel;  // the default selects all labels
   std::string outputFile_;
   std::vector<std::int64_t> runIds_;
 };
--- a/src/lab/commands/run_command.cpp
+++ b/src/lab/commands/run_command.cpp
@@ -13,22 +13,23 @@
 namespace hollyrun::lab {
 namespace {
 
-/// `run`: plays scenarios and prints a line or the whole text of each day.
+/// `run`: simulates scenarios and prints one line or the full report of each day.
 class RunCommand final : public Command {
  public:
-  explicit RunCommand(CLI::App& app) : Command(app, "run", "play scenarios") {
+  explicit RunCommand(CLI::App& app) : Command(app, "run", "simulate scenarios") {
     CLI::App& options = subcommand();
     simulation_.addTo(options);
-    options.add_option("--policy", policy_, "module, random, least, two or truth")->capture_default_str();
-    options.add_option("--label", label_, "name of these runs in the file of results")->capture_default_str();
-    options.add_flag("--series", keepSeries_, "keep the servers' states over time, for a report");
-    options.add_flag("--text", printText_, "the whole text of each day, not only its line");
-    options.add_flag("--log", printLog_, "with the text: what the gateways logged");
+    options.add_option("--policy", policy_, "policy: module, random, least, two or truth")
+        ->capture_default_str();
+    options.add_option("--label", label_, "label of these runs in the SQLite file")->capture_default_str();
+    options.add_flag("--series", keepSeries_, "store the servers' states over time, for plots");
+    options.add_flag("--text", printText_, "print the full report of each day");
+    options.add_flag("--log", printLog_, "also print the gateways' logs with each report");
   }
 
   int run() override {
     const std::vector<Scenario> scenarios = readScenarios(simulation_);
-    policyNamed(policy_);  // throws on an unknown one
+    policyNamed(policy_);  // throws if the policy is unknown
     const std::vector<Result> results = playScenarios(scenarios, policy_, simulation_, keepSeries_);
     if (!simulation_.database.empty())
       Store(simulation_.database).put(label_, results, keepSeries_);
--- a/src/lab/commands/scale_command.cpp
+++ b/src/lab/commands/scale_command.cpp
@@ -21,15 +21,15 @@
 namespace hollyrun::lab {
 namespace {
 
-const std::map<Dimension, const char*>& helpOfSizes() {
+const std::map<Dimension, const char*>& sizeHelpTexts() {
   static const std::map<Dimension, const char*> all{
-      {Dimension::gateways, "real gateways, processes of their own"},
-      {Dimension::stubs, "gateways without clients, 52 to a process"},
-      {Dimension::servers, "stub servers, each at an address of its own"},
-      {Dimension::tenants, "tenants of the settings and of the load"},
-      {Dimension::classes, "classes of the settings and of the load; 0: the scenario's own"},
-      {Dimension::rate, "requests a second at each real gateway"},
-      {Dimension::changes, "changes of the list a second, while idle and under the load"}};
+      {Dimension::gateways, "numbers of real gateway processes"},
+      {Dimension::stubs, "numbers of stub gateways without clients, 52 per process"},
+      {Dimension::servers, "numbers of stub servers, each with its own address"},
+      {Dimension::tenants, "numbers of tenants in the settings and the load"},
+      {Dimension::classes, "numbers of classes in the settings and the load; 0: those of the scenario"},
+      {Dimension::rate, "requests per second at each real gateway"},
+      {Dimension::changes, "endpoint list changes per second, while idle and under load"}};
   return all;
 }
 
@@ -41,15 +41,15 @@
   return step.voided.empty() ? line : line + " VOID: " + step.voided;
 }
 
-void keepStep(const std::string& db, ScaleRun run, const StepResult& step) {
-  if (db.empty())
+void storeStep(const std::string& database, ScaleRun run, const StepResult& step) {
+  if (database.empty())
     return;
   run.steps = {step};
-  Store(db).putScale(run);
+  Store(database).putScale(run);
 }
 
-// Runs of one label by the same command are rounds of one.
-std::vector<ScaleRun> byCommand(const std::vector<ScaleRun>& runs) {
+// Merges the steps of runs that have the same label and command line.
+std::vector<ScaleRun> mergeRepeatedRuns(const std::vector<ScaleRun>& runs) {
   std::vector<ScaleRun> all;
   for (const ScaleRun& run : runs) {
     const auto same = std::find_if(all.begin(), all.end(), [&](const ScaleRun& other) {
@@ -63,7 +63,8 @@
   return all;
 }
 
-/// `scale`: what a gateway costs by the size of its fleet, on processes. It starts the stub commands.
+/// `scale`: measures the cost of a gateway by the size of its fleet with real processes. Starts the stub
+/// commands.
 class ScaleCommand final : public Command {
  public:
   ScaleCommand(CLI::App& app, std::string commandLine);
@@ -76,24 +77,27 @@
   void addSizes();
   void readSizes();
   int play();
-  int showKept() const;
+  int printStoredRuns() const;
 
   std::string commandLine_;
   ScalePlan plan_;
   std::string scenario_;
-  std::string db_;
+  std::string database_;
   std::string label_ = "scale";
-  std::vector<std::string> set_;
+  std::vector<std::string> overrides_;
   std::vector<std::string> bounds_;
-  std::vector<std::vector<double>> sizes_;  // by dimension; one of them may have several
-  bool kept_ = false;
+  std::vector<std::vector<double>> sizes_;  // by dimension; only one dimension may have several
+  bool printStored_ = false;
 };
 
 ScaleCommand::ScaleCommand(CLI::App& app, std::string commandLine)
-    : Command(app, "scale", "what a gateway costs by the size of its fleet, on processes"),
+    : Command(app, "scale", "measure the cost of a gateway process by the size of its fleet"),
       commandLine_(std::move(commandLine)) {
-  subcommand().add_option("scenario", scenario_, "scenario (TOML): classes, keys and zones of the load");
-  subcommand().add_option("--set", set_, "KEY=VALUE over the file's")->allow_extra_args(false);
+  subcommand().add_option("scenario", scenario_,
+                          "scenario file (TOML) with the classes, keys and zones of the load");
+  subcommand()
+      .add_option("--set", overrides_, "KEY=VALUE, overrides the value in the file")
+      ->allow_extra_args(false);
   addSizes();
   addLoadOptions();
   addFleetOptions();
@@ -103,37 +107,39 @@
 void ScaleCommand::addLoadOptions() {
   CLI::App& options = subcommand();
   plan_.program = "build/hollyrun";
-  options.add_option("--program", plan_.program, "the built gateway")->capture_default_str();
-  options.add_option("--rounds", plan_.rounds, "of all steps")->capture_default_str();
-  options.add_option("--idle", plan_.idleS, "seconds without requests")->capture_default_str();
-  options.add_option("--for", plan_.loadS, "seconds of each load")->capture_default_str();
-  options.add_option("--warm", plan_.warmS, "seconds of a load before it")->capture_default_str();
-  options.add_option("--answer-ms", plan_.answerMs, "until a stub server answers")->capture_default_str();
-  options.add_option("--hangups", plan_.hangups, "SIGHUPs a step")->capture_default_str();
+  options.add_option("--program", plan_.program, "path of the hollyrun executable")->capture_default_str();
+  options.add_option("--rounds", plan_.rounds, "number of repetitions of all steps")->capture_default_str();
+  options.add_option("--idle", plan_.idleS, "duration of the idle phase in seconds")->capture_default_str();
+  options.add_option("--for", plan_.loadS, "duration of each load in seconds")->capture_default_str();
+  options.add_option("--warm", plan_.warmS, "duration of the warm-up load in seconds")->capture_default_str();
+  options.add_option("--answer-ms", plan_.answerMs, "response time of a stub server in ms")
+      ->capture_default_str();
+  options.add_option("--hangups", plan_.hangups, "number of SIGHUPs per step")->capture_default_str();
 }
 
 void ScaleCommand::addFleetOptions() {
   CLI::App& options = subcommand();
-  options.add_option("--list-changes", plan_.listChanges, "followed to all stub gateways")
-      ->capture_default_str();
   options
-      .add_option("--outage", plan_.outageS, "seconds of discovery before its watches begin anew; 0: none")
+      .add_option("--list-changes", plan_.listChanges,
+                  "number of endpoint list changes timed until all stub gateways have them")
+      ->capture_default_str();
+  options.add_option("--outage", plan_.outageS, "duration of the discovery outage in seconds; 0: none")
       ->capture_default_str();
-  options.add_option("--configured", plan_.configured, "fleet.gateways of the settings")
+  options.add_option("--configured", plan_.configured, "value of fleet.gateways in the settings")
       ->capture_default_str();
-  options.add_option("--period", plan_.membershipPeriodMs, "of membership, ms; 0: no membership")
+  options.add_option("--period", plan_.membershipPeriodMs, "membership period in ms; 0: no membership")
       ->capture_default_str();
-  options.add_option("--join", plan_.joinMostS, "seconds until all members have to see all")
+  options.add_option("--join", plan_.joinMostS, "time limit in seconds for all members to see each other")
       ->capture_default_str();
 }
 
 void ScaleCommand::addResultOptions() {
   CLI::App& options = subcommand();
-  options.add_option("--seed", plan_.seed, "of all that is drawn")->capture_default_str();
-  options.add_option("--db", db_, "SQLite file that keeps the steps");
-  options.add_option("--label", label_, "name of this run there")->capture_default_str();
-  options.add_flag("--kept", kept_, "play nothing, print the tables of the kept runs");
-  options.add_option("--at-most", bounds_, "FIGURE=FACTOR: from the first size to the last")
+  options.add_option("--seed", plan_.seed, "random seed")->capture_default_str();
+  options.add_option("--db", database_, "SQLite file to store the steps in");
+  options.add_option("--label", label_, "label of this run in the SQLite file")->capture_default_str();
+  options.add_flag("--kept", printStored_, "run nothing, print the tables of the stored runs");
+  options.add_option("--at-most", bounds_, "FIGURE=FACTOR: maximum growth from the first size to the last")
       ->allow_extra_args(false);
 }
 
@@ -143,28 +149,28 @@
     const Dimension dimension = kDimensions[i];
     sizes_[i] = {plan_.size.of(dimension)};
     subcommand()
-        .add_option(std::string("--") + nameOf(dimension), sizes_[i], helpOfSizes().at(dimension))
+        .add_option(std::string("--") + nameOf(dimension), sizes_[i], sizeHelpTexts().at(dimension))
         ->delimiter(',')
         ->capture_default_str();
   }
 }
 
 int ScaleCommand::run() {
-  std::signal(SIGPIPE, SIG_IGN);  // a peer that left shows as an error of the write
-  return kept_ ? showKept() : play();
+  std::signal(SIGPIPE, SIG_IGN);  // a closed connection is reported by the error of the write
+  return printStored_ ? printStoredRuns() : play();
 }
 
-/// Of the dimensions, the one with several sizes is the one that is varied.
+/// Copies the sizes into the plan. The dimension with several sizes is the one that is varied.
 void ScaleCommand::readSizes() {
-  std::size_t stepped = 0;
+  std::size_t variedDimensions = 0;
   plan_.values = {plan_.size.of(plan_.dimension)};
   for (std::size_t i = 0; i < sizes_.size(); ++i) {
     plan_.size.set(kDimensions[i], sizes_[i].front());
-    if (kDimensions[i] == plan_.dimension && stepped == 0)
+    if (kDimensions[i] == plan_.dimension && variedDimensions == 0)
       plan_.values = sizes_[i];
     if (sizes_[i].size() < 2)
       continue;
-    if (++stepped > 1)
+    if (++variedDimensions > 1)
       throw std::invalid_argument("scale: only one dimension may have several sizes");
     plan_.dimension = kDimensions[i];
     plan_.values = sizes_[i];
@@ -174,7 +180,7 @@
 int ScaleCommand::play() {
   if (scenario_.empty())
     throw std::invalid_argument("scale: a scenario is required");
-  plan_.scenario = readScenario(scenario_, set_);
+  plan_.scenario = readScenario(scenario_, overrides_);
   plan_.lab = std::filesystem::read_symlink("/proc/self/exe").string();
   std::vector<ShapeBound> bounds;
   for (const std::string& text : bounds_)
@@ -187,7 +193,7 @@
   try {
     run.steps = playScale(plan_, [&](const StepResult& step) {
                   spdlog::info("{}", lineOf(run.dimension.c_str(), step));
-                  keepStep(db_, run, step);
+                  storeStep(database_, run, step);
                 }).steps;
   } catch (const ScaleInterrupted&) {
     return kExitInterrupted;
@@ -195,16 +201,16 @@
   fmt::print("{}", tableOf(run));
   if (hasVoidStep(run))
     return kExitVoid;
-  const std::vector<std::string> faults = shapeFaults(run, bounds);
-  for (const std::string& fault : faults)
-    fmt::print("{}\n", fault);
-  return faults.empty() ? kExitSuccess : kExitRuleBroken;
+  const std::vector<std::string> violations = shapeFaults(run, bounds);
+  for (const std::string& violation : violations)
+    fmt::print("{}\n", violation);
+  return violations.empty() ? kExitSuccess : kExitRuleBroken;
 }
 
-int ScaleCommand::showKept() const {
-  if (db_.empty())
-    throw std::invalid_argument("scale --kept needs --db");
-  for (const ScaleRun& run : byCommand(Store(db_).scaleRuns(label_)))
+int ScaleCommand::printStoredRuns() const {
+  if (database_.empty())
+    throw std::invalid_argument("scale: --kept requires --db");
+  for (const ScaleRun& run : mergeRepeatedRuns(Store(database_).scaleRuns(label_)))
     fmt::print("{}: {}\n\n{}\n", run.label, run.command, tableOf(run));
   return kExitSuccess;
 }
--- a/src/lab/commands/serve_command.cpp
+++ b/src/lab/commands/serve_command.cpp
@@ -20,14 +20,14 @@
 
 constexpr std::chrono::seconds kStateLogInterval{5};
 
-/// `serve`: the emulated platform, until it is interrupted or for a given time.
+/// `serve`: runs the emulated platform until interrupted or for a given time.
 class ServeCommand final : public Command {
  public:
   explicit ServeCommand(CLI::App& app)
-      : Command(app, "serve", "the emulated platform on loopback, in real time") {
+      : Command(app, "serve", "run the emulated platform on loopback in real time") {
     emulation_.addTo(subcommand());
-    subcommand().add_option("--write", configFile_, "write a gateway's configuration to this file");
-    subcommand().add_option("--for", durationS_, "seconds; 0: until it is interrupted");
+    subcommand().add_option("--write", configFile_, "file to write a gateway configuration to");
+    subcommand().add_option("--for", durationS_, "duration in seconds; 0: until interrupted");
   }
 
   int run() override {
@@ -47,7 +47,7 @@
   }
 
  private:
-  /// Writes the configuration of a gateway in front of the platform and prints how to use it.
+  /// Writes the configuration of a gateway for this platform and prints commands that use it.
   void writeConfiguration(const Scenario& scenario, const std::string& listen, const std::string& discovery,
                           const std::string& management) const {
     const DrawnDay day(scenario, emulation_.seed);
@@ -68,7 +68,7 @@
     }
     const PeriodicTask stateLog(io, kStateLogInterval, [&platform] {
       if (platform.held() > 0)
-        spdlog::info("held {}", platform.stateLine());
+        spdlog::info("requests in flight: {}", platform.stateLine());
     });
     io.run();
   }
--- a/src/lab/commands/simulation_options.cpp
+++ b/src/lab/commands/simulation_options.cpp
@@ -13,7 +13,7 @@
 namespace hollyrun::lab {
 namespace {
 
-/// Logs how many days are played, at most every two seconds.
+/// Logs the number of simulated days, at most every two seconds.
 class ProgressLog {
  public:
   explicit ProgressLog(std::size_t total) : total_(total), lastLogged_(std::chrono::steady_clock::now()) {}
@@ -23,7 +23,7 @@
     if (now - lastLogged_ < kInterval)
       return;
     lastLogged_ = now;
-    spdlog::info("{} of {} days played", done, total_);
+    spdlog::info("{} of {} days simulated", done, total_);
   }
 
  private:
@@ -37,11 +37,15 @@
 
 void SimulationOptions::addTo(CLI::App& subcommand) {
   subcommand.add_option("scenario", files, "scenario files (TOML)")->required();
-  subcommand.add_option("--set", overrides, "KEY=VALUE over the file's, in TOML: load.level=0.9")
+  subcommand
+      .add_option("--set", overrides,
+                  "KEY=VALUE in TOML, overrides the value in the files, for example load.level=0.9")
       ->allow_extra_args(false);
-  subcommand.add_option("--seeds,--seed", seeds, "7, 1-30 or 1,4,9-12")->capture_default_str();
-  subcommand.add_option("--threads", threads, "days at a time; 0: one a core")->capture_default_str();
-  subcommand.add_option("--db", database, "SQLite file for the results");
+  subcommand.add_option("--seeds,--seed", seeds, "random seeds, for example 7, 1-30 or 1,4,9-12")
+      ->capture_default_str();
+  subcommand.add_option("--threads", threads, "number of days to simulate in parallel; 0: one per core")
+      ->capture_default_str();
+  subcommand.add_option("--db", database, "SQLite file to store the results in");
 }
 
 std::vector<Scenario> readScenarios(const SimulationOptions& options,
--- a/src/lab/commands/simulation_options.hpp
+++ b/src/lab/commands/simulation_options.hpp
@@ -1,4 +1,4 @@
-/// What the commands that play scenarios in virtual time have in common: options, playing, results.
+/// Options, execution and printing shared by the commands that simulate scenarios in virtual time.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -12,33 +12,33 @@
 
 struct SimulationOptions {
   std::vector<std::string> files;
-  std::vector<std::string> overrides;  ///< KEY=VALUE over the files'
-  std::string seeds = "1";             ///< as seedsFrom reads them
+  std::vector<std::string> overrides;  ///< KEY=VALUE, override the values in the files
+  std::string seeds = "1";             ///< in the form parsed by seedsFrom
   std::string database;                ///< SQLite file; empty: none
-  unsigned threads = 0;                ///< 0: one a core
+  unsigned threads = 0;                ///< 0: one per core
 
   void addTo(CLI::App& subcommand);
 };
 
-/// The policy that is played unless an option names another, and the only one that is judged.
+/// The policy used by default, and the only one whose rule violations are reported.
 inline constexpr const char* kDefaultPolicy = "module";
-/// The label of a run that has none of its own.
+/// The label of a run without an explicit label.
 inline constexpr const char* kDefaultLabel = "run";
 
-/// All files, with the options' overrides and then these.
+/// Reads all files and applies the overrides of the options, then `moreOverrides`.
 std::vector<Scenario> readScenarios(const SimulationOptions& options,
                                     const std::vector<std::string>& moreOverrides = {});
 
-/// Plays every scenario with every seed and logs the progress. With `series`, the servers' states over time
-/// are kept in the results.
+/// Simulates every scenario with every seed and logs the progress. With `series`, the results include the
+/// servers' states over time.
 std::vector<Result> playScenarios(const std::vector<Scenario>& scenarios, const std::string& policy,
                                   const SimulationOptions& options, bool series);
 
-/// Prints the rules that the module broke, a line each, and returns the exit code. Other policies are a
-/// baseline and not judged.
+/// Prints each rule violation of the module as a line and returns the exit code. Other policies are a
+/// baseline and their violations are ignored.
 int printBreaches(const std::vector<Result>& results);
 
-/// The line that names the columns of `lineOf(Result)`.
+/// Prints the column names of `lineOf(Result)`.
 void printResultHeader();
 
 }  // namespace hollyrun::lab
--- a/src/lab/commands/stub_commands.cpp
+++ b/src/lab/commands/stub_commands.cpp
@@ -7,18 +7,18 @@
 namespace hollyrun::lab {
 namespace {
 
-/// `stub-servers`: the process of servers that `scale` starts.
+/// `stub-servers`: a process of stub servers, started by `scale`.
 class StubServersCommand final : public Command {
  public:
   explicit StubServersCommand(CLI::App& app)
-      : Command(app, "stub-servers", "started by `scale`: servers that do no work") {
+      : Command(app, "stub-servers", "run stub servers that do no work (started by `scale`)") {
     subcommand().add_option("--first-address", plan_.firstAddress)->required();
     subcommand().add_option("--count", plan_.count)->required();
     subcommand().add_option("--answer-ms", plan_.answerMs)->required();
   }
 
   int run() override {
-    std::signal(SIGPIPE, SIG_IGN);  // a peer that left shows as an error of the write
+    std::signal(SIGPIPE, SIG_IGN);  // a closed connection is reported by the error of the write
     return runStubServers(plan_);
   }
 
@@ -26,11 +26,11 @@
   StubServerPlan plan_;
 };
 
-/// `stub-gateways`: a process of gateways that `scale` starts.
+/// `stub-gateways`: a process of stub gateways, started by `scale`.
 class StubGatewaysCommand final : public Command {
  public:
   explicit StubGatewaysCommand(CLI::App& app)
-      : Command(app, "stub-gateways", "started by `scale`: gateways without clients") {
+      : Command(app, "stub-gateways", "run stub gateways without clients (started by `scale`)") {
     subcommand().add_option("--first", plan_.first)->required();
     subcommand().add_option("--count", plan_.count)->required();
     subcommand().add_option("--config", plan_.config)->required();
@@ -39,7 +39,7 @@
   }
 
   int run() override {
-    std::signal(SIGPIPE, SIG_IGN);  // a peer that left shows as an error of the write
+    std::signal(SIGPIPE, SIG_IGN);  // a closed connection is reported by the error of the write
     return runStubGateways(plan_);
   }
 
--- a/src/lab/commands/sweep_command.cpp
+++ b/src/lab/commands/sweep_command.cpp
@@ -32,21 +32,22 @@
              meanOf(results, &Result::chokedShare), meanOf(results, &Result::p99));
 }
 
-/// `sweep`: plays the scenarios with each value of one key and each policy.
+/// `sweep`: simulates the scenarios with each value of one key and each policy.
 class SweepCommand final : public Command {
  public:
-  explicit SweepCommand(CLI::App& app) : Command(app, "sweep", "play over the values of one key") {
+  explicit SweepCommand(CLI::App& app)
+      : Command(app, "sweep", "simulate scenarios with several values of one key") {
     CLI::App& options = subcommand();
     simulation_.addTo(options);
-    options.add_option("--vary", variation_, "KEY=VALUE,VALUE,...")->required();
-    options.add_option("--policy", policies_, "policies, set apart by commas")->capture_default_str();
-    options.add_option("--label", label_, "name of these runs in the file of results")->capture_default_str();
+    options.add_option("--vary", variation_, "key and values to sweep: KEY=VALUE,VALUE,...")->required();
+    options.add_option("--policy", policies_, "comma-separated policies")->capture_default_str();
+    options.add_option("--label", label_, "label of these runs in the SQLite file")->capture_default_str();
   }
 
   int run() override {
     const std::size_t separator = variation_.find('=');
     if (separator == std::string::npos)
-      throw std::runtime_error("--vary wants KEY=VALUE,VALUE,...");
+      throw std::runtime_error("--vary: invalid value '" + variation_ + "', expected KEY=VALUE,VALUE,...");
     const std::string key = variation_.substr(0, separator);
     fmt::print("{} policy G mean half refused failed jammed p99_ms\n", key);
     int exitCode = kExitSuccess;
@@ -58,7 +59,7 @@
 
  private:
   int playValue(const std::string& key, const std::string& value, const std::string& policy) const {
-    policyNamed(policy);  // throws on an unknown one
+    policyNamed(policy);  // throws if the policy is unknown
     const std::vector<Scenario> scenarios = readScenarios(simulation_, {key + "=" + value});
     const std::vector<Result> results = playScenarios(scenarios, policy, simulation_, false);
     if (!simulation_.database.empty())
--- a/src/lab/commands/text_file.cpp
+++ b/src/lab/commands/text_file.cpp
@@ -10,7 +10,7 @@
   file << content;
   file.close();
   if (!file)
-    throw std::runtime_error(path + " could not be written");
+    throw std::runtime_error("cannot write " + path);
 }
 
 }  // namespace hollyrun::lab
--- a/src/lab/commands/text_file.hpp
+++ b/src/lab/commands/text_file.hpp
@@ -1,11 +1,11 @@
-/// Writes the files that options of hollyrun-lab name.
+/// Writes the output files of hollyrun-lab.
 #pragma once
 
 #include <string>
 
 namespace hollyrun::lab {
 
-/// Replaces the file's content. Throws std::runtime_error that names the file if it can't be written.
+/// Replaces the content of the file. Throws std::runtime_error with the path if the file cannot be written.
 void writeTextFile(const std::string& path, const std::string& content);
 
 }  // namespace hollyrun::lab
--- a/src/lab/commands/text_split.hpp
+++ b/src/lab/commands/text_split.hpp
@@ -1,4 +1,4 @@
-/// Splits the values of options at commas.
+/// Splits option values at commas.
 #pragma once
 
 #include <string>
@@ -7,10 +7,10 @@
 
 namespace hollyrun::lab {
 
-/// The parts between commas, empty ones too; at least one.
+/// Returns the parts between commas, including empty ones; at least one.
 std::vector<std::string> splitAtCommas(std::string_view text);
 
-/// The same, but commas within [..] or {..} belong to a TOML value and don't split.
+/// Like splitAtCommas, but commas within [..] or {..} are part of a TOML value and do not separate.
 std::vector<std::string> splitTomlValues(std::string_view text);
 
 }  // namespace hollyrun::lab
--- a/src/lab/faults/fault_file.hpp
+++ b/src/lab/faults/fault_file.hpp
@@ -1,4 +1,4 @@
-// The file that holds a page of faults, for the one who writes it: a test or the soak.
+// Creates and maps the file of a fault page, for the process that injects the faults: a test or the soak.
 #pragma once
 
 #include <fcntl.h>
@@ -14,19 +14,20 @@
 
 namespace hollyrun::lab {
 
-/// Made at its begin and removed at its end; the processes that mapped it keep their page.
+/// Owns the file: created by the constructor, removed by the destructor. Processes that have mapped the page
+/// keep their mapping.
 class FaultFile {
  public:
-  /// Throws std::runtime_error if the file cannot be made or mapped.
+  /// Throws std::runtime_error if the file cannot be created or mapped.
   explicit FaultFile(const std::string& path, std::uint64_t seed = 1) : path_(path) {
     const int file = ::open(path.c_str(), O_CREAT | O_TRUNC | O_RDWR | O_CLOEXEC, 0600);
     if (file < 0 || ::ftruncate(file, sizeof(FaultPage)) != 0)
-      throw std::runtime_error("no file for faults at " + path);
-    void* at = ::mmap(nullptr, sizeof(FaultPage), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
+      throw std::runtime_error("cannot create the fault page file '" + path + "'");
+    void* mapped = ::mmap(nullptr, sizeof(FaultPage), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
     ::close(file);
-    if (at == MAP_FAILED)
-      throw std::runtime_error("no page for faults at " + path);
-    page_ = new (at) FaultPage();
+    if (mapped == MAP_FAILED)
+      throw std::runtime_error("cannot map the fault page file '" + path + "'");
+    page_ = new (mapped) FaultPage();
     page_->seed = seed;
   }
   ~FaultFile() {
--- a/src/lab/faults/fault_library.cpp
+++ b/src/lab/faults/fault_library.cpp
@@ -1,5 +1,5 @@
-// A library for LD_PRELOAD that makes system calls of one process fail, move fewer bytes than asked, or read
-// a wall clock that was moved, as the page of fault_page.hpp says. It changes nothing outside of the process.
+// A library for LD_PRELOAD that makes system calls of one process fail, transfer fewer bytes than requested,
+// or read a shifted wall clock, as configured by the page of fault_page.hpp. Other processes are unaffected.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <poll.h>
@@ -26,9 +26,9 @@
 using hollyrun::lab::FaultPage;
 using hollyrun::lab::FaultyCall;
 
-// The function that this library stands in front of.
+// Returns the function that this library intercepts.
 template <class Function>
-Function* next(const char* name) {
+Function* nextDefinition(const char* name) {
   return reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
 }
 
@@ -36,12 +36,12 @@
   const char* path = std::getenv(hollyrun::lab::kFaultPageVariable);
   if (!path)
     return nullptr;
-  const int file = next<int(const char*, int, ...)>("open")(path, O_RDWR | O_CLOEXEC);
+  const int file = nextDefinition<int(const char*, int, ...)>("open")(path, O_RDWR | O_CLOEXEC);
   if (file < 0)
     return nullptr;
-  void* at = ::mmap(nullptr, sizeof(FaultPage), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
+  void* mapped = ::mmap(nullptr, sizeof(FaultPage), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
   ::close(file);
-  return at == MAP_FAILED ? nullptr : static_cast<FaultPage*>(at);
+  return mapped == MAP_FAILED ? nullptr : static_cast<FaultPage*>(mapped);
 }
 
 FaultPage* page() {
@@ -49,8 +49,8 @@
   return mapped;
 }
 
-// splitmix64: the draws of a process are the same for the same seed and calls.
-std::uint64_t draw() {
+// SplitMix64: a process draws the same numbers for the same seed and sequence of calls.
+std::uint64_t nextRandom() {
   static std::atomic<std::uint64_t> state{page()->seed.load()};
   std::uint64_t x = state.fetch_add(0x9e3779b97f4a7c15ULL) + 0x9e3779b97f4a7c15ULL;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -58,71 +58,71 @@
   return x ^ (x >> 31);
 }
 
-// The fault that this call meets, or null.
-CallFault* faultOf(FaultyCall call) {
+// Returns the fault to inject into this call, or null.
+CallFault* faultToInject(FaultyCall call) {
   if (!page())
     return nullptr;
   CallFault& fault = page()->of(call);
   const std::uint32_t oneIn = fault.oneIn.load(std::memory_order_relaxed);
-  if (oneIn == 0 || draw() % oneIn != 0)
+  if (oneIn == 0 || nextRandom() % oneIn != 0)
     return nullptr;
   fault.injected.fetch_add(1, std::memory_order_relaxed);
   return &fault;
 }
 
-// Whether the call fails; errno is set then.
+// Returns whether the call fails, in which case errno is set.
 bool fails(FaultyCall call) {
-  const CallFault* fault = faultOf(call);
+  const CallFault* fault = faultToInject(call);
   if (!fault || fault->error == 0)
     return false;
   errno = fault->error;
   return true;
 }
 
-// As fails(); `size` becomes what a short call moves.
+// Like fails(). For a short call, `size` is reduced to the bytes to transfer.
 bool failsOrShortens(FaultyCall call, std::size_t& size) {
-  const CallFault* fault = faultOf(call);
+  const CallFault* fault = faultToInject(call);
   if (!fault)
     return false;
   if (fault->error != 0) {
     errno = fault->error;
     return true;
   }
-  const std::size_t atMost = fault->atMost;
-  if (atMost > 0)
-    size = std::min(size, atMost);
+  const std::size_t maxBytes = fault->maxBytes;
+  if (maxBytes > 0)
+    size = std::min(size, maxBytes);
   return false;
 }
 
 bool isRegularFile(int descriptor) {
   struct stat status {};
-  const int before = errno;
-  const bool is = ::fstat(descriptor, &status) == 0 && S_ISREG(status.st_mode);
-  errno = before;
-  return is;
+  const int savedErrno = errno;
+  const bool regular = ::fstat(descriptor, &status) == 0 && S_ISREG(status.st_mode);
+  errno = savedErrno;
+  return regular;
 }
 
-// The first bytes of a message with several parts, as one part of at most `size` bytes.
-iovec firstPart(const msghdr* message, std::size_t size) {
+// Returns at most `size` bytes of the first non-empty buffer of the message.
+iovec firstBuffer(const msghdr* message, std::size_t size) {
   for (std::size_t i = 0; i < message->msg_iovlen; ++i)
     if (message->msg_iov[i].iov_len > 0)
       return {message->msg_iov[i].iov_base, std::min(message->msg_iov[i].iov_len, size)};
   return {nullptr, 0};
 }
 
-constexpr std::size_t kWhole = SIZE_MAX;
+constexpr std::size_t kUnlimited = SIZE_MAX;
 
-// sendmsg and recvmsg: the message whole, or a part of its first bytes.
+// Implements sendmsg and recvmsg: transfers the whole message or, for a short call, only its first bytes.
 template <class Real, class Message>
-ssize_t moveMessage(FaultyCall call, Real* real, int descriptor, Message* message, int flags) {
-  std::size_t size = kWhole;
+ssize_t transferMessage(FaultyCall call, Real* real, int descriptor, Message* message, int flags) {
+  std::size_t size = kUnlimited;
   if (failsOrShortens(call, size))
     return -1;
-  if (size == kWhole)
+  if (size == kUnlimited)
     return real(descriptor, message, flags);
   msghdr shortened = *message;
-  iovec part = firstPart(message, size);
-  shortened.msg_iov = &part;
+  iovec buffer = firstBuffer(message, size);
+  shortened.msg_iov = &buffer;
   shortened.msg_iovlen = 1;
   return real(descriptor, &shortened, flags);
 }
@@ -132,76 +132,76 @@
 extern "C" {
 
 int clock_gettime(clockid_t clock, timespec* time) noexcept {
-  static auto* const real = next<int(clockid_t, timespec*)>("clock_gettime");
+  static auto* const real = nextDefinition<int(clockid_t, timespec*)>("clock_gettime");
   const int result = real(clock, time);
   if (result != 0 || clock != CLOCK_REALTIME || !page())
     return result;
-  constexpr std::int64_t kSecond = 1'000'000'000;
-  const std::int64_t at = time->tv_sec * kSecond + time->tv_nsec + page()->wallClockOffsetNs;
-  time->tv_sec = at / kSecond;
-  time->tv_nsec = at % kSecond;
+  constexpr std::int64_t kNsPerSecond = 1'000'000'000;
+  const std::int64_t shifted = time->tv_sec * kNsPerSecond + time->tv_nsec + page()->wallClockOffsetNs;
+  time->tv_sec = shifted / kNsPerSecond;
+  time->tv_nsec = shifted % kNsPerSecond;
   return result;
 }
 
 int accept(int listener, sockaddr* address, socklen_t* length) {
-  static auto* const real = next<int(int, sockaddr*, socklen_t*)>("accept");
+  static auto* const real = nextDefinition<int(int, sockaddr*, socklen_t*)>("accept");
   return fails(FaultyCall::accept) ? -1 : real(listener, address, length);
 }
 
 int accept4(int listener, sockaddr* address, socklen_t* length, int flags) {
-  static auto* const real = next<int(int, sockaddr*, socklen_t*, int)>("accept4");
+  static auto* const real = nextDefinition<int(int, sockaddr*, socklen_t*, int)>("accept4");
   return fails(FaultyCall::accept) ? -1 : real(listener, address, length, flags);
 }
 
 int socket(int domain, int type, int protocol) noexcept {
-  static auto* const real = next<int(int, int, int)>("socket");
+  static auto* const real = nextDefinition<int(int, int, int)>("socket");
   return fails(FaultyCall::socket) ? -1 : real(domain, type, protocol);
 }
 
 int connect(int descriptor, const sockaddr* address, socklen_t length) {
-  static auto* const real = next<int(int, const sockaddr*, socklen_t)>("connect");
+  static auto* const real = nextDefinition<int(int, const sockaddr*, socklen_t)>("connect");
   return fails(FaultyCall::connect) ? -1 : real(descriptor, address, length);
 }
 
 ssize_t send(int descriptor, const void* data, std::size_t size, int flags) {
-  static auto* const real = next<ssize_t(int, const void*, std::size_t, int)>("send");
+  static auto* const real = nextDefinition<ssize_t(int, const void*, std::size_t, int)>("send");
   return failsOrShortens(FaultyCall::send, size) ? -1 : real(descriptor, data, size, flags);
 }
 
 ssize_t sendmsg(int descriptor, const msghdr* message, int flags) {
-  static auto* const real = next<ssize_t(int, const msghdr*, int)>("sendmsg");
-  return moveMessage(FaultyCall::send, real, descriptor, message, flags);
+  static auto* const real = nextDefinition<ssize_t(int, const msghdr*, int)>("sendmsg");
+  return transferMessage(FaultyCall::send, real, descriptor, message, flags);
 }
 
 ssize_t recv(int descriptor, void* data, std::size_t size, int flags) {
-  static auto* const real = next<ssize_t(int, void*, std::size_t, int)>("recv");
+  static auto* const real = nextDefinition<ssize_t(int, void*, std::size_t, int)>("recv");
   return failsOrShortens(FaultyCall::receive, size) ? -1 : real(descriptor, data, size, flags);
 }
 
 ssize_t recvmsg(int descriptor, msghdr* message, int flags) {
-  static auto* const real = next<ssize_t(int, msghdr*, int)>("recvmsg");
-  return moveMessage(FaultyCall::receive, real, descriptor, message, flags);
+  static auto* const real = nextDefinition<ssize_t(int, msghdr*, int)>("recvmsg");
+  return transferMessage(FaultyCall::receive, real, descriptor, message, flags);
 }
 
 ssize_t read(int descriptor, void* data, std::size_t size) {
-  static auto* const real = next<ssize_t(int, void*, std::size_t)>("read");
+  static auto* const real = nextDefinition<ssize_t(int, void*, std::size_t)>("read");
   if (isRegularFile(descriptor) && failsOrShortens(FaultyCall::read, size))
     return -1;
   return real(descriptor, data, size);
 }
 
 int poll(pollfd* descriptors, nfds_t count, int timeout) {
-  static auto* const real = next<int(pollfd*, nfds_t, int)>("poll");
+  static auto* const real = nextDefinition<int(pollfd*, nfds_t, int)>("poll");
   return fails(FaultyCall::poll) ? -1 : real(descriptors, count, timeout);
 }
 
-int epoll_wait(int descriptor, epoll_event* events, int most, int timeout) {
-  static auto* const real = next<int(int, epoll_event*, int, int)>("epoll_wait");
-  return fails(FaultyCall::wait) ? -1 : real(descriptor, events, most, timeout);
+int epoll_wait(int descriptor, epoll_event* events, int maxEvents, int timeout) {
+  static auto* const real = nextDefinition<int(int, epoll_event*, int, int)>("epoll_wait");
+  return fails(FaultyCall::wait) ? -1 : real(descriptor, events, maxEvents, timeout);
 }
 
 int open(const char* path, int flags, ...) {
-  static auto* const real = next<int(const char*, int, ...)>("open");
+  static auto* const real = nextDefinition<int(const char*, int, ...)>("open");
   va_list arguments;
   va_start(arguments, flags);
   const mode_t mode = flags & O_CREAT ? va_arg(arguments, mode_t) : 0;
@@ -210,12 +210,12 @@
 }
 
 int mkostemp(char* path, int flags) {
-  static auto* const real = next<int(char*, int)>("mkostemp");
+  static auto* const real = nextDefinition<int(char*, int)>("mkostemp");
   return fails(FaultyCall::open) ? -1 : real(path, flags);
 }
 
 int flock(int descriptor, int operation) noexcept {
-  static auto* const real = next<int(int, int)>("flock");
+  static auto* const real = nextDefinition<int(int, int)>("flock");
   return fails(FaultyCall::lock) ? -1 : real(descriptor, operation);
 }
 
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -1,6 +1,6 @@
-/// hollyrun-lab: plays scenarios of the platform with the decision module or another policy.
+/// hollyrun-lab: simulates and emulates scenarios of the platform with the decision module or another policy.
 ///
-/// The exit codes are in lab/commands/exit_codes.hpp.
+/// See lab/commands/exit_codes.hpp for the exit codes.
 #include <spdlog/fmt/fmt.h>
 #include <spdlog/sinks/stdout_color_sinks.h>
 #include <spdlog/spdlog.h>
@@ -20,7 +20,7 @@
 
 using Commands = std::vector<std::unique_ptr<Command>>;
 
-/// In the order in which the help lists them.
+/// Adds the commands in the order of the help text.
 Commands addCommands(CLI::App& app, const std::string& commandLine) {
   Commands commands;
   commands.push_back(addCheckCommand(app));
@@ -59,10 +59,13 @@
 }
 
 int runProgram(int argc, char** argv) {
-  CLI::App app{"hollyrun lab: the decision module on a model of the record platform, in virtual time"};
+  CLI::App app{
+      "hollyrun lab: simulations, load tests and fault tests of the gateway and its decision module"};
   app.require_subcommand(1);
   app.footer(
-      "Exit codes: 0 well, 1 a rule was broken, 2 wrong arguments, scenario or file. See docs/lab.md.");
+      "Exit codes: 0 success, 1 a rule was broken, 2 invalid arguments, scenario or file, 3 run void because "
+      "this "
+      "machine was too slow, 130 interrupted. See docs/lab.md.");
   const Commands commands = addCommands(app, commandLineOf(argc, argv));
   try {
     app.parse(argc, argv);
--- a/src/lab/report/report.hpp
+++ b/src/lab/report/report.hpp
@@ -1,4 +1,4 @@
-// What a day came to, for a person: a text for the terminal, and one HTML file with plots.
+// Human-readable reports of simulated days: text for the terminal and one HTML file with plots.
 #pragma once
 
 #include <string>
@@ -9,19 +9,19 @@
 
 namespace hollyrun::lab {
 
-/// A line for each second step, the classes, what happened, which servers jammed. The same for the same
-/// result.
+/// Formats the totals, the classes, a table over time, the timeline, overloaded servers and rule violations.
+/// Equal results yield equal texts.
 std::string textOf(const Result& result);
-/// One line: the figures that are compared.
+/// Formats the compared figures as one line.
 std::string lineOf(const Result& result);
-/// `RULE lost at 3.250 s: request 17, server 10.0.0.1:80: no answer before its deadline`
+/// Example: `RULE lost at 3.250 s: request 17, server 10.0.0.1:80: no answer before its deadline`
 std::string lineOf(const Breach& breach);
 
-/// As it may stand in HTML.
+/// Escapes the characters that are special in HTML text.
 std::string escaped(const std::string& text);
 
-/// A table of the runs, and plots of each that has its series. Needs gnuplot; throws std::runtime_error if
-/// that cannot be run.
+/// Formats a table of the runs, and plots of each run that has its series. Throws std::runtime_error if
+/// gnuplot cannot be run.
 std::string htmlOf(const std::vector<StoredRun>& runs);
 
 }  // namespace hollyrun::lab
--- a/src/lab/report/store.cpp
+++ b/src/lab/report/store.cpp
@@ -37,28 +37,30 @@
   CREATE TABLE IF NOT EXISTS scale_figures (step INTEGER REFERENCES scale_steps, name TEXT, value REAL);
 )";
 
-[[noreturn]] void raise(sqlite3* db, const std::string& what) {
-  throw std::runtime_error(what + ": " + (db ? sqlite3_errmsg(db) : "no memory"));
+constexpr int kBusyTimeoutMs = 5000;
+
+[[noreturn]] void throwError(sqlite3* db, const std::string& context) {
+  throw std::runtime_error(context + ": " + (db ? sqlite3_errmsg(db) : "out of memory"));
 }
 
-// A prepared statement; values are bound and columns read in their order.
+// A prepared statement. Values are bound, and columns read, in order.
 class Statement {
  public:
   Statement(sqlite3* db, const char* text) : db_(db) {
     if (sqlite3_prepare_v2(db, text, -1, &statement_, nullptr) != SQLITE_OK)
-      raise(db, text);
+      throwError(db, std::string("cannot prepare '") + text + "'");
   }
   ~Statement() { sqlite3_finalize(statement_); }
   Statement(const Statement&) = delete;
   Statement& operator=(const Statement&) = delete;
 
-  Statement& bind(double v) { return check(sqlite3_bind_double(statement_, ++bound_, v)); }
-  Statement& bind(std::int64_t v) { return check(sqlite3_bind_int64(statement_, ++bound_, v)); }
-  Statement& bind(std::uint64_t v) { return bind(static_cast<std::int64_t>(v)); }
-  Statement& bind(std::uint32_t v) { return bind(static_cast<std::int64_t>(v)); }
-  Statement& bind(const std::string& v) {
-    return check(
-        sqlite3_bind_text(statement_, ++bound_, v.c_str(), static_cast<int>(v.size()), SQLITE_TRANSIENT));
+  Statement& bind(double value) { return check(sqlite3_bind_double(statement_, ++bound_, value)); }
+  Statement& bind(std::int64_t value) { return check(sqlite3_bind_int64(statement_, ++bound_, value)); }
+  Statement& bind(std::uint64_t value) { return bind(static_cast<std::int64_t>(value)); }
+  Statement& bind(std::uint32_t value) { return bind(static_cast<std::int64_t>(value)); }
+  Statement& bind(const std::string& value) {
+    return check(sqlite3_bind_text(statement_, ++bound_, value.c_str(), static_cast<int>(value.size()),
+                                   SQLITE_TRANSIENT));
   }
   Statement& blob(const void* data, std::size_t size) {
     return check(sqlite3_bind_blob(statement_, ++bound_, data, static_cast<int>(size), SQLITE_TRANSIENT));
@@ -70,7 +72,7 @@
   }
   void finish() {
     if (sqlite3_step(statement_) != SQLITE_DONE)
-      raise(db_, "could not be written");
+      throwError(db_, "cannot write results");
     sqlite3_reset(statement_);
     bound_ = 0;
   }
@@ -78,24 +80,28 @@
     column_ = 0;
     const int state = sqlite3_step(statement_);
     if (state != SQLITE_ROW && state != SQLITE_DONE)
-      raise(db_, "could not be read");
+      throwError(db_, "cannot read results");
     return state == SQLITE_ROW;
   }
-  void read(double& v) { v = sqlite3_column_double(statement_, column_++); }
-  void read(std::int64_t& v) { v = sqlite3_column_int64(statement_, column_++); }
-  void read(std::uint64_t& v) { v = static_cast<std::uint64_t>(sqlite3_column_int64(statement_, column_++)); }
-  void read(std::uint32_t& v) { v = static_cast<std::uint32_t>(sqlite3_column_int64(statement_, column_++)); }
-  void read(std::string& v) {
+  void read(double& value) { value = sqlite3_column_double(statement_, column_++); }
+  void read(std::int64_t& value) { value = sqlite3_column_int64(statement_, column_++); }
+  void read(std::uint64_t& value) {
+    value = static_cast<std::uint64_t>(sqlite3_column_int64(statement_, column_++));
+  }
+  void read(std::uint32_t& value) {
+    value = static_cast<std::uint32_t>(sqlite3_column_int64(statement_, column_++));
+  }
+  void read(std::string& value) {
     const auto* text = reinterpret_cast<const char*>(sqlite3_column_text(statement_, column_++));
-    v = text ? text : "";
+    value = text ? text : "";
   }
   template <class Value>
-  void readBlob(std::vector<Value>& v) {
+  void readBlob(std::vector<Value>& values) {
     const auto size = static_cast<std::size_t>(sqlite3_column_bytes(statement_, column_));
     const void* data = sqlite3_column_blob(statement_, column_++);
-    v.resize(size / sizeof(Value));
-    if (!v.empty())
-      std::memcpy(v.data(), data, v.size() * sizeof(Value));
+    values.resize(size / sizeof(Value));
+    if (!values.empty())
+      std::memcpy(values.data(), data, values.size() * sizeof(Value));
   }
   template <class... Values>
   void columns(Values&... values) {
@@ -105,7 +111,7 @@
  private:
   Statement& check(int state) {
     if (state != SQLITE_OK)
-      raise(db_, "bind");
+      throwError(db_, "cannot bind a parameter");
     return *this;
   }
   sqlite3* db_;
@@ -113,27 +119,30 @@
   int bound_ = 0, column_ = 0;
 };
 
+// The digest is null, read as 0, for runs that were stored before digests were.
 constexpr const char* kRunColumns =
     "id, label, at, scenario, policy, seed, g, whole, worst_window, worst_at, worst_class, price_cross_zone, "
     "price_waste, price_late_fail, price_handshake, price_choke, calls, tries, attempts, connections, "
     "events, refused, failed, choked, p50, p90, p99, "
-    "(SELECT digest FROM digests WHERE run = id)";  // none in files of before: 0
+    "(SELECT digest FROM digests WHERE run = id)";
 
 StoredRun readRun(Statement& in) {
-  StoredRun s;
-  Result& r = s.result;
-  in.columns(s.id, s.label, s.at, r.scenario, r.policy, r.seed, r.score, r.goodput, r.worstWindowGoodput,
-             r.worstWindowStartS, r.worstClassGoodput, r.priceCrossZone, r.priceWaste, r.priceLateFail,
-             r.priceHandshake, r.priceChoke, r.calls, r.requests, r.attempts, r.connections, r.events,
-             r.rejectedShare, r.failedShare, r.chokedShare, r.p50, r.p90, r.p99, r.digest);
-  return s;
+  StoredRun run;
+  Result& result = run.result;
+  in.columns(run.id, run.label, run.at, result.scenario, result.policy, result.seed, result.score,
+             result.goodput, result.worstWindowGoodput, result.worstWindowStartS, result.worstClassGoodput,
+             result.priceCrossZone, result.priceWaste, result.priceLateFail, result.priceHandshake,
+             result.priceChoke, result.calls, result.requests, result.attempts, result.connections,
+             result.events, result.rejectedShare, result.failedShare, result.chokedShare, result.p50,
+             result.p90, result.p99, result.digest);
+  return run;
 }
 
 Rule ruleNamed(const std::string& name) {
   for (Rule rule : {Rule::lost, Rule::duplicate, Rule::drain, Rule::fall})
     if (name == nameOf(rule))
       return rule;
-  throw std::runtime_error("the file names an unknown rule, " + name);
+  throw std::runtime_error("unknown rule '" + name + "' in the results file");
 }
 
 }  // namespace
@@ -147,63 +156,74 @@
   const int state = sqlite3_open(file.c_str(), &db);
   db_.reset(db);
   if (state != SQLITE_OK)
-    raise(db, file);
-  sqlite3_busy_timeout(db, 5000);
+    throwError(db, "cannot open '" + file + "'");
+  sqlite3_busy_timeout(db, kBusyTimeoutMs);
   execute(kTables);
 }
 
 Store::~Store() = default;
 
-void Store::execute(const char* text) {
-  if (sqlite3_exec(db_.get(), text, nullptr, nullptr, nullptr) != SQLITE_OK)
-    raise(db_.get(), "results");
+void Store::execute(const char* sql) {
+  if (sqlite3_exec(db_.get(), sql, nullptr, nullptr, nullptr) != SQLITE_OK)
+    throwError(db_.get(), "cannot execute an SQL statement on the results file");
 }
 
 void Store::put(const std::string& label, const std::vector<Result>& results, bool series) {
   sqlite3* db = db_.get();
   execute("BEGIN IMMEDIATE");
   try {
-    Statement run(db,
-                  "INSERT INTO runs VALUES (NULL, ?, strftime('%Y-%m-%dT%H:%M:%SZ', 'now'), "
-                  "?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?)");
-    Statement cls(db, "INSERT INTO classes VALUES (?,?,?,?,?,?,?,?,?)");
-    Statement second(db, "INSERT INTO seconds VALUES (?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?)");
-    Statement server(db, "INSERT INTO servers VALUES (?,?,?,?,?,?,?,?,?)");
-    Statement choke(db, "INSERT INTO chokes VALUES (?,?,?,?,?)");
-    Statement breach(db, "INSERT INTO breaches VALUES (?,?,?,?,?,?)");
+    Statement runRow(db,
+                     "INSERT INTO runs VALUES (NULL, ?, strftime('%Y-%m-%dT%H:%M:%SZ', 'now'), "
+                     "?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?)");
+    Statement classRow(db, "INSERT INTO classes VALUES (?,?,?,?,?,?,?,?,?)");
+    Statement secondRow(db, "INSERT INTO seconds VALUES (?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?)");
+    Statement serverRow(db, "INSERT INTO servers VALUES (?,?,?,?,?,?,?,?,?)");
+    Statement chokeRow(db, "INSERT INTO chokes VALUES (?,?,?,?,?)");
+    Statement breachRow(db, "INSERT INTO breaches VALUES (?,?,?,?,?,?)");
     Statement happened(db, "INSERT INTO happened VALUES (?,?)");
     Statement digest(db, "INSERT INTO digests VALUES (?,?)");
-    for (const Result& r : results) {
-      run.insert(label, r.scenario, r.policy, r.seed, r.score, r.goodput, r.worstWindowGoodput,
-                 r.worstWindowStartS, r.worstClassGoodput, r.priceCrossZone, r.priceWaste, r.priceLateFail,
-                 r.priceHandshake, r.priceChoke, r.calls, r.requests, r.attempts, r.connections, r.events,
-                 r.rejectedShare, r.failedShare, r.chokedShare, r.p50, r.p90, r.p99);
+    for (const Result& result : results) {
+      runRow.insert(label, result.scenario, result.policy, result.seed, result.score, result.goodput,
+                    result.worstWindowGoodput, result.worstWindowStartS, result.worstClassGoodput,
+                    result.priceCrossZone, result.priceWaste, result.priceLateFail, result.priceHandshake,
+                    result.priceChoke, result.calls, result.requests, result.attempts, result.connections,
+                    result.events, result.rejectedShare, result.failedShare, result.chokedShare, result.p50,
+                    result.p90, result.p99);
       const std::int64_t id = sqlite3_last_insert_rowid(db);
-      digest.insert(id, r.digest);
-      for (const ClassRecord& c : r.classes)
-        cls.insert(id, c.name, c.offeredValue, c.servedValue, c.calls, c.inTime, c.late, c.rejected,
-                   c.failed);
-      for (std::size_t i = 0; i < r.seconds.size(); ++i) {
-        const Second& s = r.seconds[i];
-        second.insert(id, static_cast<std::int64_t>(i), s.offeredValue, s.inTimeValue, s.lateValue, s.calls,
-                      s.requests, s.rejected, s.failed, s.attempts, s.rejectedAttempts, s.timeouts,
-                      s.connectFailed, s.resets, s.errors, s.sheddingThreshold, s.p50, s.p99);
+      digest.insert(id, result.digest);
+      for (const ClassRecord& record : result.classes)
+        classRow.insert(id, record.name, record.offeredValue, record.servedValue, record.calls, record.inTime,
+                        record.late, record.rejected, record.failed);
+      for (std::size_t i = 0; i < result.seconds.size(); ++i) {
+        const Second& second = result.seconds[i];
+        secondRow.insert(id, static_cast<std::int64_t>(i), second.offeredValue, second.inTimeValue,
+                         second.lateValue, second.calls, second.requests, second.rejected, second.failed,
+                         second.attempts, second.rejectedAttempts, second.timeouts, second.connectFailed,
+                         second.resets, second.errors, second.sheddingThreshold, second.p50, second.p99);
       }
-      for (std::size_t i = 0; i < r.servers.size(); ++i) {
-        const ServerRecord& s = r.servers[i];
+      for (std::size_t i = 0; i < result.servers.size(); ++i) {
+        const ServerRecord& server = result.servers[i];
         const auto number = static_cast<std::int64_t>(i);
         if (series) {
-          server.bind(id).bind(number).bind(s.address).bind(s.zone).bind(s.kind).bind(s.cores).bind(s.speed);
-          server.blob(s.inFlight.data(), s.inFlight.size() * sizeof(float));
-          server.blob(s.states.data(), s.states.size() * sizeof(ServerState));
-          server.finish();
+          serverRow.bind(id)
+              .bind(number)
+              .bind(server.address)
+              .bind(server.zone)
+              .bind(server.kind)
+              .bind(server.cores)
+              .bind(server.speed);
+          serverRow.blob(server.inFlight.data(), server.inFlight.size() * sizeof(float));
+          serverRow.blob(server.states.data(), server.states.size() * sizeof(ServerState));
+          serverRow.finish();
         }
-        for (const Server::Choke& c : s.chokes)
-          choke.insert(id, number, inSeconds(c.from), inSeconds(c.to), c.inFlightPerCore);
+        for (const Server::Choke& interval : server.chokes)
+          chokeRow.insert(id, number, inSeconds(interval.from), inSeconds(interval.to),
+                          interval.inFlightPerCore);
       }
-      for (const Breach& b : r.breaches)
-        breach.insert(id, std::string(nameOf(b.rule)), inSeconds(b.at), b.request, b.server, b.what);
-      for (const std::string& text : r.timeline)
+      for (const Breach& violation : result.breaches)
+        breachRow.insert(id, std::string(nameOf(violation.rule)), inSeconds(violation.at), violation.request,
+                         violation.server, violation.what);
+      for (const std::string& text : result.timeline)
         happened.insert(id, text);
     }
     execute("COMMIT");
@@ -229,16 +249,17 @@
   Statement in(db, (std::string("SELECT ") + kRunColumns + " FROM runs WHERE id = ?").c_str());
   in.bind(id);
   if (!in.row())
-    throw std::runtime_error("there is no run " + std::to_string(id));
-  StoredRun s = readRun(in);
-  Result& r = s.result;
+    throw std::runtime_error("no such run: " + std::to_string(id));
+  StoredRun run = readRun(in);
+  Result& result = run.result;
   Statement classes(
       db, "SELECT name, asked, served, calls, in_time, late, refused, failed FROM classes WHERE run = ?");
   classes.bind(id);
   while (classes.row()) {
-    ClassRecord c;
-    classes.columns(c.name, c.offeredValue, c.servedValue, c.calls, c.inTime, c.late, c.rejected, c.failed);
-    r.classes.push_back(c);
+    ClassRecord record;
+    classes.columns(record.name, record.offeredValue, record.servedValue, record.calls, record.inTime,
+                    record.late, record.rejected, record.failed);
+    result.classes.push_back(record);
   }
   Statement seconds(
       db,
@@ -246,22 +267,23 @@
       "connect_failed, resets, errors, cutoff, p50, p99 FROM seconds WHERE run = ? ORDER BY second");
   seconds.bind(id);
   while (seconds.row()) {
-    Second x;
-    seconds.columns(x.offeredValue, x.inTimeValue, x.lateValue, x.calls, x.requests, x.rejected, x.failed,
-                    x.attempts, x.rejectedAttempts, x.timeouts, x.connectFailed, x.resets, x.errors,
-                    x.sheddingThreshold, x.p50, x.p99);
-    r.seconds.push_back(x);
+    Second second;
+    seconds.columns(second.offeredValue, second.inTimeValue, second.lateValue, second.calls, second.requests,
+                    second.rejected, second.failed, second.attempts, second.rejectedAttempts, second.timeouts,
+                    second.connectFailed, second.resets, second.errors, second.sheddingThreshold, second.p50,
+                    second.p99);
+    result.seconds.push_back(second);
   }
   Statement servers(
       db,
       "SELECT address, zone, kind, cores, speed, held, states FROM servers WHERE run = ? ORDER BY number");
   servers.bind(id);
   while (servers.row()) {
-    ServerRecord x;
-    servers.columns(x.address, x.zone, x.kind, x.cores, x.speed);
-    servers.readBlob(x.inFlight);
-    servers.readBlob(x.states);
-    r.servers.push_back(std::move(x));
+    ServerRecord server;
+    servers.columns(server.address, server.zone, server.kind, server.cores, server.speed);
+    servers.readBlob(server.inFlight);
+    servers.readBlob(server.states);
+    result.servers.push_back(std::move(server));
   }
   Statement chokes(db, "SELECT server, begins, ends, held FROM chokes WHERE run = ? ORDER BY begins");
   chokes.bind(id);
@@ -269,29 +291,29 @@
     std::int64_t server = 0;
     double from = 0, to = 0, held = 0;
     chokes.columns(server, from, to, held);
-    if (static_cast<std::size_t>(server) < r.servers.size())
-      r.servers[static_cast<std::size_t>(server)].chokes.push_back(
+    if (static_cast<std::size_t>(server) < result.servers.size())
+      result.servers[static_cast<std::size_t>(server)].chokes.push_back(
           {lab::seconds(from), lab::seconds(to), held});
   }
   Statement breaches(db, "SELECT rule, at, request, server, what FROM breaches WHERE run = ? ORDER BY at");
   breaches.bind(id);
   while (breaches.row()) {
-    Breach b;
+    Breach breach;
     std::string rule;
     double at = 0;
-    breaches.columns(rule, at, b.request, b.server, b.what);
-    b.rule = ruleNamed(rule);
-    b.at = lab::seconds(at);
-    r.breaches.push_back(b);
+    breaches.columns(rule, at, breach.request, breach.server, breach.what);
+    breach.rule = ruleNamed(rule);
+    breach.at = lab::seconds(at);
+    result.breaches.push_back(breach);
   }
   Statement happened(db, "SELECT text FROM happened WHERE run = ? ORDER BY rowid");
   happened.bind(id);
   while (happened.row()) {
     std::string text;
     happened.columns(text);
-    r.timeline.push_back(text);
+    result.timeline.push_back(text);
   }
-  return s;
+  return run;
 }
 
 void Store::putScale(const ScaleRun& run) {
--- a/src/lab/soak/soak.cpp
+++ b/src/lab/soak/soak.cpp
@@ -108,7 +108,7 @@
   void revertAtGateway(const SoakFault& soakFault, std::size_t number);
   void revertAtServer(const SoakFault& soakFault, std::size_t number);
   void injectCallFault(Gateway& gateway, FaultyCall call, std::uint32_t oneIn, int error,
-                       std::uint32_t atMost = 0);
+                       std::uint32_t maxBytes = 0);
   void signal(std::size_t number, int signal);
   void resume(std::size_t number);
   void schedule(std::chrono::milliseconds delay, std::function<void()> action);
@@ -373,10 +373,10 @@
 }
 
 void Soak::injectCallFault(Gateway& gateway, FaultyCall call, std::uint32_t oneIn, int error,
-                           std::uint32_t atMost) {
+                           std::uint32_t maxBytes) {
   CallFault& callFault = (*gateway.faults)->of(call);
   callFault.error = error;
-  callFault.atMost = atMost;
+  callFault.maxBytes = maxBytes;
   callFault.oneIn = oneIn;
 }
 
--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -1,5 +1,5 @@
-// The program under failing, short and interrupted system calls and a wall clock that was moved, by the
-// preloaded fault library. Arguments: the program, the library.
+// Runs the gateway process with failing, short and interrupted system calls and a shifted wall clock,
+// injected by the preloaded fault library. Arguments: path of the program, path of the library.
 #include <fcntl.h>
 #include <signal.h>
 #include <spawn.h>
@@ -25,7 +25,7 @@
 using lab::FaultyCall;
 using namespace std::chrono_literals;
 
-std::string program, library;  // set once, by main
+std::string program, library;  // set by main
 
 class ProcessFaults : public ::testing::Test {
  protected:
@@ -42,11 +42,11 @@
   }
 
   template <class Predicate>
-  ::testing::AssertionResult until(const Predicate& predicate) {
+  ::testing::AssertionResult waitUntil(const Predicate& predicate) {
     const auto end = std::chrono::steady_clock::now() + kTestTimeout;
     while (!predicate()) {
       if (std::chrono::steady_clock::now() > end)
-        return ::testing::AssertionFailure() << "waited in vain";
+        return ::testing::AssertionFailure() << "the condition was not met within the test timeout";
       io.restart();
       io.run_one_for(20ms);
     }
@@ -55,21 +55,22 @@
 
   void addHost(PeerConnection::Script script, std::int64_t bootMs = 0) {
     const std::string uid = "s-" + std::to_string(hosts.size());
-    hosts.push_back(std::make_unique<Peer>(io, [this, uid, script](PeerConnection& c) {
+    hosts.push_back(std::make_unique<Peer>(io, [this, uid, script](PeerConnection& connection) {
       ++served[uid];
-      script(c);
+      script(connection);
     }));
     json entry = target(uid, hosts.back()->endpoint);
     entry["boot_ms"] = bootMs;
     discovery.list.push_back(entry);
   }
 
-  // Held by a bound socket that never listens, so that the kernel gives it to nobody else.
-  tcp::endpoint freeAddress() {
-    held_.emplace_back(io, tcp::v4());
-    held_.back().set_option(tcp::socket::reuse_address(true));
-    held_.back().bind(loopback());
-    return held_.back().local_endpoint();
+  // Returns an endpoint reserved by a bound socket that never listens, so that the kernel assigns it to no
+  // one else.
+  tcp::endpoint reserveEndpoint() {
+    reservedSockets_.emplace_back(io, tcp::v4());
+    reservedSockets_.back().set_option(tcp::socket::reuse_address(true));
+    reservedSockets_.back().bind(loopback());
+    return reservedSockets_.back().local_endpoint();
   }
 
   void writeConfig() {
@@ -78,7 +79,7 @@
     std::filesystem::rename(path + ".new", path);
   }
 
-  void spawn() {
+  void writeConfigAndSpawn() {
     writeConfig();
     spawnProgram();
   }
@@ -86,7 +87,7 @@
     std::vector<std::string> variables = {
         "GW_CONFIG=" + folder + "/config.json", "TMPDIR=" + folder, "LD_PRELOAD=" + library,
         std::string(lab::kFaultPageVariable) + "=" + faults.path(),
-        // The library stands before the sanitizers' own, in a build that has them.
+        // In a sanitizer build, the fault library is linked before the sanitizer's runtime.
         "ASAN_OPTIONS=verify_asan_link_order=0"};
     std::vector<char*> environment;
     for (std::string& variable : variables)
@@ -101,24 +102,24 @@
     posix_spawn_file_actions_destroy(&files);
   }
 
-  // Starts the program at a free address, and waits until it follows discovery and takes clients.
+  // Starts the program at a free address and waits until it watches discovery and accepts clients.
   void start() {
-    address = freeAddress();
+    address = reserveEndpoint();
     config["listen"] = textOf(address);
     config["discovery"] = textOf(discovery.peer.endpoint);
-    spawn();
-    ASSERT_TRUE(until([&] { return !discovery.held.empty() && up(); }));
+    writeConfigAndSpawn();
+    ASSERT_TRUE(waitUntil([&] { return !discovery.held.empty() && acceptsConnections(); }));
   }
   std::string log() const {
     std::ifstream file(folder + "/log");
     return {std::istreambuf_iterator<char>(file), {}};
   }
-  bool ended() {
+  bool processEnded() {
     siginfo_t info{};
     return ::waitid(P_PID, static_cast<id_t>(pid), &info, WEXITED | WNOHANG | WNOWAIT) == 0 &&
            info.si_pid == pid;
   }
-  bool up() {
+  bool acceptsConnections() {
     tcp::socket probe(io);
     error_code ec;
     probe.connect(address, ec);
@@ -129,9 +130,9 @@
            "\r\n" + headers + "\r\n";
   }
 
-  // Asks on a connection of its own for each request, all at once; the status of each answer, 0 for a
-  // connection that ended without one.
-  std::multiset<unsigned> askAtOnce(std::size_t requests) {
+  // Sends the requests concurrently, each on its own connection. Returns the status of each response, 0 for a
+  // connection that was closed without one.
+  std::multiset<unsigned> sendConcurrently(std::size_t requests) {
     std::vector<std::shared_ptr<Client>> clients;
     for (std::size_t i = 0; i < requests; ++i) {
       clients.push_back(Client::connect(io, address));
@@ -139,16 +140,16 @@
     }
     std::multiset<unsigned> statuses;
     for (const auto& client : clients) {
-      EXPECT_TRUE(until([&] { return !client->answers.empty() || client->closedByPeer; }));
+      EXPECT_TRUE(waitUntil([&] { return !client->answers.empty() || client->closedByPeer; }));
       statuses.insert(client->answers.empty() ? 0u : client->answers.front().result_int());
     }
     return statuses;
   }
-  // One after the other, each on a connection of its own.
-  std::multiset<unsigned> askInTurn(std::size_t requests) {
+  // Sends the requests one after the other, each on its own connection.
+  std::multiset<unsigned> sendSequentially(std::size_t requests) {
     std::multiset<unsigned> statuses;
     for (std::size_t i = 0; i < requests; ++i)
-      statuses.merge(askAtOnce(1));
+      statuses.merge(sendConcurrently(1));
     return statuses;
   }
   static std::int64_t unixNowMs() {
@@ -168,41 +169,42 @@
   int serial = 0;
 
  private:
-  std::vector<tcp::socket> held_;
+  std::vector<tcp::socket> reservedSockets_;
 };
 
 PeerConnection::Script answering(const std::string& body) {
-  return [body](PeerConnection& c) { c.reply(answerText(200, "", body)); };
+  return [body](PeerConnection& connection) { connection.reply(answerText(200, "", body)); };
 }
 
 // --- Short and interrupted calls ------------------------------------------------------------------------
 
-TEST_F(ProcessFaults, WritesThatReturnShortAreContinued) {
+TEST_F(ProcessFaults, ShortWritesAreContinued) {
   addHost(answering(std::string(3'000, 'x')));
-  faults->of(FaultyCall::send).atMost = 5;
+  faults->of(FaultyCall::send).maxBytes = 5;
   faults->of(FaultyCall::send).oneIn = 1;
   start();
-  EXPECT_EQ(askInTurn(20).count(200), 20u);
-  const auto atOnce = askAtOnce(20);
-  EXPECT_EQ(atOnce.count(200) + atOnce.count(503), 20u) << "a burst may be refused, and is answered";
+  EXPECT_EQ(sendSequentially(20).count(200), 20u);
+  const auto atOnce = sendConcurrently(20);
+  EXPECT_EQ(atOnce.count(200) + atOnce.count(503), 20u)
+      << "a burst may be rejected, but every request gets a response";
   EXPECT_GT(faults->of(FaultyCall::send).injected.load(), 0u);
 }
 
-TEST_F(ProcessFaults, ReadsThatAreInterruptedEndNoConnection) {
+TEST_F(ProcessFaults, InterruptedReadsKeepConnectionsOpen) {
   addHost(answering("x"));
   start();
   faults->of(FaultyCall::receive).error = EINTR;
   faults->of(FaultyCall::receive).oneIn = 4;
-  EXPECT_EQ(askInTurn(100).count(200), 100u);
+  EXPECT_EQ(sendSequentially(100).count(200), 100u);
   EXPECT_GT(faults->of(FaultyCall::receive).injected.load(), 0u);
 }
 
-TEST_F(ProcessFaults, LooksAtAClientThatAreInterruptedTakeNobodyForGone) {
+TEST_F(ProcessFaults, InterruptedPollsDisconnectNoClient) {
   addHost(answering("x"));
   start();
   faults->of(FaultyCall::poll).error = EINTR;
   faults->of(FaultyCall::poll).oneIn = 2;
-  EXPECT_EQ(askInTurn(100).count(200), 100u);
+  EXPECT_EQ(sendSequentially(100).count(200), 100u);
   EXPECT_GT(faults->of(FaultyCall::poll).injected.load(), 0u);
 }
 
@@ -210,16 +212,16 @@
 
 class FailingAccepts : public ProcessFaults, public ::testing::WithParamInterface<int> {};
 
-TEST_P(FailingAccepts, ForAMomentCloseNoConnectionThatWasAccepted) {
+TEST_P(FailingAccepts, IntermittentFailuresCloseNoAcceptedConnection) {
   addHost(answering("x"));
   start();
   faults->of(FaultyCall::accept).error = GetParam();
   faults->of(FaultyCall::accept).oneIn = 2;
-  EXPECT_EQ(askInTurn(100).count(200), 100u);
+  EXPECT_EQ(sendSequentially(100).count(200), 100u);
   EXPECT_GT(faults->of(FaultyCall::accept).injected.load(), 0u);
 }
 
-TEST_P(FailingAccepts, ForAWhileLeaveThoseThatWaitedAnswered) {
+TEST_P(FailingAccepts, WaitingConnectionsAreAnsweredAfterPersistentFailures) {
   addHost(answering("x"));
   start();
   faults->of(FaultyCall::accept).error = GetParam();
@@ -229,13 +231,14 @@
     clients.push_back(Client::connect(io, address));
     clients.back()->send(read());
   }
-  ASSERT_TRUE(until([&] { return faults->of(FaultyCall::accept).injected >= 10; }));
+  ASSERT_TRUE(waitUntil([&] { return faults->of(FaultyCall::accept).injected >= 10; }));
   faults->of(FaultyCall::accept).oneIn = 0;
   for (const auto& client : clients) {
-    ASSERT_TRUE(until([&] { return !client->answers.empty() || client->closedByPeer; }));
-    ASSERT_FALSE(client->answers.empty()) << "closed with no answer";
+    ASSERT_TRUE(waitUntil([&] { return !client->answers.empty() || client->closedByPeer; }));
+    ASSERT_FALSE(client->answers.empty()) << "closed without a response";
     const unsigned status = client->answers.front().result_int();
-    EXPECT_TRUE(status == 200 || status == 503) << status;  // that many at once may be refused in part
+    EXPECT_TRUE(status == 200 || status == 503)
+        << status;  // part of so many concurrent requests may be rejected
   }
 }
 
@@ -246,32 +249,34 @@
 
 // --- Connections to hosts -------------------------------------------------------------------------------
 
-class FailingDials : public ProcessFaults,
-                     public ::testing::WithParamInterface<std::pair<FaultyCall, int>> {};
+class FailingConnects : public ProcessFaults,
+                        public ::testing::WithParamInterface<std::pair<FaultyCall, int>> {};
 
-// Taken for failures of the hosts, these would rest each of them.
-TEST_P(FailingDials, OfThisMachineRestNoHost) {
+// Errors of this machine must not count as failures of the hosts, or every host would be ejected.
+TEST_P(FailingConnects, LocalErrorsEjectNoHost) {
   constexpr std::size_t kRequests = 60;
   for (int i = 0; i < 4; ++i)
-    addHost([](PeerConnection& c) { c.reply(answerText(200, "Connection: close\r\n", "x"), true); });
-  const tcp::endpoint management = freeAddress();
+    addHost([](PeerConnection& connection) {
+      connection.reply(answerText(200, "Connection: close\r\n", "x"), true);
+    });
+  const tcp::endpoint management = reserveEndpoint();
   config["management"] = textOf(management);
   start();
   faults->of(GetParam().first).error = GetParam().second;
   faults->of(GetParam().first).oneIn = 2;
-  const auto statuses = askInTurn(kRequests);
+  const auto statuses = sendSequentially(kRequests);
   EXPECT_EQ(statuses.count(200) + statuses.count(503), kRequests);
   faults->of(GetParam().first).oneIn = 0;
   EXPECT_GT(faults->of(GetParam().first).injected.load(), 0u);
-  auto operators = Client::connect(io, management);
-  operators->send("GET /ops/stats HTTP/1.1\r\nHost: x\r\n\r\n");
-  ASSERT_TRUE(until([&] { return !operators->answers.empty(); }));
-  EXPECT_NE(operators->answers.front().body().find("app.hosts_down=0\n"), std::string::npos)
-      << operators->answers.front().body();
+  auto managementClient = Client::connect(io, management);
+  managementClient->send("GET /ops/stats HTTP/1.1\r\nHost: x\r\n\r\n");
+  ASSERT_TRUE(waitUntil([&] { return !managementClient->answers.empty(); }));
+  EXPECT_NE(managementClient->answers.front().body().find("app.hosts_down=0\n"), std::string::npos)
+      << managementClient->answers.front().body();
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Errors, FailingDials,
+    Errors, FailingConnects,
     ::testing::Values(std::pair(FaultyCall::socket, ENFILE), std::pair(FaultyCall::socket, ENOBUFS),
                       std::pair(FaultyCall::connect, EADDRNOTAVAIL),
                       std::pair(FaultyCall::connect, ENETUNREACH), std::pair(FaultyCall::connect, ENOBUFS)),
@@ -282,25 +287,25 @@
 
 // --- Reloads --------------------------------------------------------------------------------------------
 
-TEST_F(ProcessFaults, AFileThatCannotBeReadAtAHangupChangesNothing) {
+TEST_F(ProcessFaults, UnreadableFileOnSighupChangesNothing) {
   addHost(answering("x"));
   start();
   faults->of(FaultyCall::read).error = EIO;
   faults->of(FaultyCall::read).oneIn = 1;
   ::kill(pid, SIGHUP);
-  ASSERT_TRUE(until([&] { return faults->of(FaultyCall::read).injected > 0; }));
+  ASSERT_TRUE(waitUntil([&] { return faults->of(FaultyCall::read).injected > 0; }));
   faults->of(FaultyCall::read).oneIn = 0;
-  EXPECT_TRUE(until([&] { return ended() || log().find("not reloaded") != std::string::npos; }));
-  ASSERT_FALSE(ended());
-  EXPECT_EQ(askInTurn(1).count(200), 1u);
+  EXPECT_TRUE(waitUntil([&] { return processEnded() || log().find("not reloaded") != std::string::npos; }));
+  ASSERT_FALSE(processEnded());
+  EXPECT_EQ(sendSequentially(1).count(200), 1u);
 }
 
-// --- The announcement of this process to another one of its address --------------------------------------
+// --- The announcement of this process to others that serve the same address ------------------------------
 
 class FailingAnnouncements : public ProcessFaults,
                              public ::testing::WithParamInterface<std::pair<FaultyCall, int>> {
  protected:
-  // The files of processes that serve this address, with a lock on each.
+  // Returns the number of locked announcement files: one per process that serves this address.
   std::size_t announced() const {
     std::size_t count = 0;
     for (const auto& entry : std::filesystem::directory_iterator(folder))
@@ -311,13 +316,13 @@
  private:
   static bool locked(const std::filesystem::path& path) {
     const int file = ::open(path.c_str(), O_RDWR | O_CLOEXEC);
-    const bool held = file >= 0 && ::flock(file, LOCK_EX | LOCK_NB) != 0;
+    const bool isLocked = file >= 0 && ::flock(file, LOCK_EX | LOCK_NB) != 0;
     ::close(file);
-    return held;
+    return isLocked;
   }
 };
 
-TEST_P(FailingAnnouncements, AreMadeAgain) {
+TEST_P(FailingAnnouncements, AnnouncementIsRetried) {
   addHost(answering("x"));
   config["management"] = "127.0.0.1:0";
   faults->of(GetParam().first).error = GetParam().second;
@@ -325,8 +330,8 @@
   start();
   EXPECT_GT(faults->of(GetParam().first).injected.load(), 0u);
   faults->of(GetParam().first).oneIn = 0;
-  EXPECT_TRUE(until([&] { return announced() == 1; }));
-  EXPECT_EQ(askInTurn(1).count(200), 1u);
+  EXPECT_TRUE(waitUntil([&] { return announced() == 1; }));
+  EXPECT_EQ(sendSequentially(1).count(200), 1u);
 }
 
 INSTANTIATE_TEST_SUITE_P(Errors, FailingAnnouncements,
@@ -338,26 +343,26 @@
                                   strerrorname_np(tested.param.second);
                          });
 
-// --- Evidence -------------------------------------------------------------------------------------------
+// --- Log and metrics ------------------------------------------------------------------------------------
 
-// At level debug each step of a request is told by its id; the counters say the same in sum.
-TEST_F(ProcessFaults, EachStepOfARequestIsTracedAndCounted) {
-  const tcp::endpoint management = freeAddress();
+// At level debug, each step of a request is logged with the request id, and the counters match the log.
+TEST_F(ProcessFaults, EachStepOfARequestIsLoggedAndCounted) {
+  const tcp::endpoint management = reserveEndpoint();
   config["management"] = textOf(management);
   config["log"] = {{"level", "debug"}};
   std::size_t attempts = 0;
   for (int i = 0; i < 2; ++i)
-    addHost([&](PeerConnection& c) {
+    addHost([&](PeerConnection& connection) {
       if (attempts++ == 0)
-        return c.reply(answerText(503, "X-Not-Run: 1\r\n", ""));
-      c.reply(answerText(200, "", "x"));
+        return connection.reply(answerText(503, "X-Not-Run: 1\r\n", ""));
+      connection.reply(answerText(200, "", "x"));
     });
   start();
-  EXPECT_EQ(askInTurn(1).count(200), 1u);
-  auto operators = Client::connect(io, management);
-  operators->send("GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n");
-  ASSERT_TRUE(until([&] { return !operators->answers.empty(); }));
-  const std::string metrics = operators->answers.front().body();
+  EXPECT_EQ(sendSequentially(1).count(200), 1u);
+  auto managementClient = Client::connect(io, management);
+  managementClient->send("GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n");
+  ASSERT_TRUE(waitUntil([&] { return !managementClient->answers.empty(); }));
+  const std::string metrics = managementClient->answers.front().body();
   for (const char* line : {"hollyrun_attempts_ended_total{outcome=\"full\"} 1",
                            "hollyrun_attempts_ended_total{outcome=\"served\"} 1",
                            "hollyrun_violations_total{rule=\"may_repeat\"} 0",
@@ -375,64 +380,64 @@
 
 // --- Signals --------------------------------------------------------------------------------------------
 
-// The configuration is a pipe, so that the program is still reading it when the signal comes.
-TEST_F(ProcessFaults, AHangupWhileTheConfigurationIsReadDoesNotEndTheStart) {
+// The configuration is a named pipe, so that the program is still reading it when the signal arrives.
+TEST_F(ProcessFaults, SighupWhileReadingTheConfigurationDoesNotEndTheProcess) {
   addHost(answering("x"));
-  address = freeAddress();
+  address = reserveEndpoint();
   config["listen"] = textOf(address);
   config["discovery"] = textOf(discovery.peer.endpoint);
   const std::string path = folder + "/config.json";
   ASSERT_EQ(::mkfifo(path.c_str(), 0600), 0);
   spawnProgram();
   ASSERT_GT(pid, 0);
-  const int writeEnd = ::open(path.c_str(), O_WRONLY | O_CLOEXEC);  // returns once it is opened to be read
+  const int writeEnd =
+      ::open(path.c_str(), O_WRONLY | O_CLOEXEC);  // returns once the program has opened it for reading
   ASSERT_GE(writeEnd, 0);
   ::kill(pid, SIGHUP);
-  writeConfig();  // in place of the pipe, for the reload
+  writeConfig();  // replaces the pipe, for the reload
   const std::string text = config.dump();
   ASSERT_EQ(::write(writeEnd, text.data(), text.size()), static_cast<ssize_t>(text.size()));
   ::close(writeEnd);
-  ASSERT_TRUE(until([&] { return (!discovery.held.empty() && up()) || ended(); }));
-  ASSERT_FALSE(ended());
-  EXPECT_EQ(askInTurn(1).count(200), 1u);
+  ASSERT_TRUE(waitUntil([&] { return (!discovery.held.empty() && acceptsConnections()) || processEnded(); }));
+  ASSERT_FALSE(processEnded());
+  EXPECT_EQ(sendSequentially(1).count(200), 1u);
 }
 
 // --- The wall clock -------------------------------------------------------------------------------------
 
 class WallClock : public ProcessFaults, public ::testing::WithParamInterface<std::chrono::seconds> {
  protected:
-  // Warm hosts, then one that starts just now; true if it got its part by slow start: less than an even
-  // share.
-  void tellNewHost() {
+  // Announces a host that has just started and waits until the program watches discovery again.
+  void announceNewHost() {
     addHost(answering("new"), unixNowMs());
     const json entry = discovery.list.back();
     discovery.push({{"all", false}, {"targets", {entry}}});
-    ASSERT_TRUE(until([&] { return !discovery.held.empty(); }));
+    ASSERT_TRUE(waitUntil([&] { return !discovery.held.empty(); }));
   }
 };
 
-TEST_P(WallClock, ThatIsWrongLeavesAHostThatAppearsItsSlowStart) {
+TEST_P(WallClock, OffsetKeepsTheSlowStartOfANewHost) {
   for (int i = 0; i < 4; ++i)
     addHost(answering("warm"));
   faults->wallClockOffsetNs = std::chrono::nanoseconds(GetParam()).count();
   start();
   constexpr std::size_t kRequests = 400;
-  askInTurn(kRequests / 4);  // what a warm host carries is known by then
-  tellNewHost();
-  const auto statuses = askInTurn(kRequests);
+  sendSequentially(kRequests / 4);  // lets the gateway estimate the capacity of the warm hosts
+  announceNewHost();
+  const auto statuses = sendSequentially(kRequests);
   EXPECT_EQ(statuses.count(200), kRequests);
-  EXPECT_LT(served["s-4"], kRequests / 8) << "an even share is a fifth";
-  EXPECT_TRUE(until([&] {
-    askInTurn(1);
+  EXPECT_LT(served["s-4"], kRequests / 8) << "slow start gives the host less than its even share of a fifth";
+  EXPECT_TRUE(waitUntil([&] {
+    sendSequentially(1);
     return served["s-4"] > 0;
-  })) << "a cold host is sent a little";
+  })) << "slow start still sends some requests to the host";
 }
 
-TEST_P(WallClock, ThatIsWrongDoesNotShutOutTheOnlyHost) {
+TEST_P(WallClock, OffsetDoesNotExcludeTheOnlyHost) {
   addHost(answering("new"), unixNowMs());
   faults->wallClockOffsetNs = std::chrono::nanoseconds(GetParam()).count();
   start();
-  EXPECT_TRUE(until([&] { return askInTurn(1).count(200) == 1; }));
+  EXPECT_TRUE(waitUntil([&] { return sendSequentially(1).count(200) == 1; }));
 }
 
 INSTANTIATE_TEST_SUITE_P(Offsets, WallClock, ::testing::Values(-3600s, -5s, 0s, 5s, 3600s),
@@ -447,7 +452,7 @@
 
 int main(int argc, char** argv) {
   ::testing::InitGoogleTest(&argc, argv);
-  std::signal(SIGPIPE, SIG_IGN);  // the program may have ended before it has read all
+  std::signal(SIGPIPE, SIG_IGN);  // the program may have ended before reading all input
   if (argc >= 3) {
     hollyrun::gateway::testing::program = argv[1];
     hollyrun::gateway::testing::library = argv[2];
