--- a/src/lab/commands/compare_command.cpp
+++ b/src/lab/commands/compare_command.cpp
@@ -131,9 +131,9 @@
   }
 
  private:
-  ResultsByRun resultsOf(const Arm& arm) { return arm.label.empty() ? play(arm) : readStored(arm.label); }
+  ResultsByRun resultsOf(const Arm& arm) { return arm.label.empty() ? simulate(arm) : readStored(arm.label); }
 
-  ResultsByRun play(const Arm& arm) {
+  ResultsByRun simulate(const Arm& arm) {
     const std::vector<Scenario> scenarios = readScenarios(simulation_, arm.overrides);
     const std::vector<Result> results = playScenarios(scenarios, arm.policy, simulation_, false);
     exitCode_ = std::max(exitCode_, printBreaches(results));
--- a/src/lab/commands/scale_command.cpp
+++ b/src/lab/commands/scale_command.cpp
@@ -76,7 +76,7 @@
   void addResultOptions();
   void addSizes();
   void readSizes();
-  int play();
+  int runSteps();
   int printStoredRuns() const;
 
   std::string commandLine_;
@@ -157,7 +157,7 @@
 
 int ScaleCommand::run() {
   std::signal(SIGPIPE, SIG_IGN);  // a closed connection is reported by the error of the write
-  return printStored_ ? printStoredRuns() : play();
+  return printStored_ ? printStoredRuns() : runSteps();
 }
 
 /// Copies the sizes into the plan. The dimension with several sizes is the one that is varied.
@@ -177,7 +177,7 @@
   }
 }
 
-int ScaleCommand::play() {
+int ScaleCommand::runSteps() {
   if (scenario_.empty())
     throw std::invalid_argument("scale: a scenario is required");
   plan_.scenario = readScenario(scenario_, overrides_);
--- a/src/lab/report/experiment.hpp
+++ b/src/lab/report/experiment.hpp
@@ -11,6 +11,7 @@
 
 namespace hollyrun::lab {
 
+/// One simulated day: a scenario with a policy and a seed.
 struct Day {
   const Scenario* scenario = nullptr;
   std::string policy = "module";
--- a/src/lab/report/store.cpp
+++ b/src/lab/report/store.cpp
@@ -289,11 +289,11 @@
   chokes.bind(id);
   while (chokes.row()) {
     std::int64_t server = 0;
-    double from = 0, to = 0, held = 0;
-    chokes.columns(server, from, to, held);
+    double from = 0, to = 0, inFlightPerCore = 0;
+    chokes.columns(server, from, to, inFlightPerCore);
     if (static_cast<std::size_t>(server) < result.servers.size())
       result.servers[static_cast<std::size_t>(server)].chokes.push_back(
-          {lab::seconds(from), lab::seconds(to), held});
+          {lab::seconds(from), lab::seconds(to), inFlightPerCore});
   }
   Statement breaches(db, "SELECT rule, at, request, server, what FROM breaches WHERE run = ? ORDER BY at");
   breaches.bind(id);
--- a/src/lab/soak/oracle.cpp
+++ b/src/lab/soak/oracle.cpp
@@ -17,8 +17,8 @@
 
 // Tolerances of the rules.
 constexpr SoakTime kResponseGrace = 500ms, kDisconnectGrace = 100ms, kDeadlineGrace = 150ms, kDrainGrace = 1s;
-constexpr SoakTime kSchedulingDelay =
-    150ms;  // a process may be descheduled between reading its clock and writing
+// A process may be descheduled for this long between reading its clock and writing.
+constexpr SoakTime kSchedulingDelay = 150ms;
 
 std::string millisecondsText(SoakTime time) {
   return std::to_string(time / 1ms) + " ms";
--- a/src/lab/soak/peers.hpp
+++ b/src/lab/soak/peers.hpp
@@ -64,6 +64,7 @@
   SoakServer(boost::asio::io_context& io, std::size_t number, SoakOracle& oracle);
   boost::asio::ip::tcp::endpoint endpoint() const { return listener_.endpoint(); }
   void setMode(Mode mode) { mode_ = mode; }
+  /// Emulates the restart of the server: resets all open connections.
   void restart() { listener_.closeAll(true); }
   std::size_t arrivals() const { return arrivals_; }
 
--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -87,7 +87,7 @@
     std::vector<std::string> variables = {
         "GW_CONFIG=" + folder + "/config.json", "TMPDIR=" + folder, "LD_PRELOAD=" + library,
         std::string(lab::kFaultPageVariable) + "=" + faults.path(),
-        // In a sanitizer build, the fault library is linked before the sanitizer's runtime.
+        // In a sanitizer build, the fault library is loaded before the sanitizer's runtime.
         "ASAN_OPTIONS=verify_asan_link_order=0"};
     std::vector<char*> environment;
     for (std::string& variable : variables)
@@ -125,7 +125,7 @@
     probe.connect(address, ec);
     return !ec;
   }
-  std::string read(const std::string& headers = "") {
+  std::string readRequest(const std::string& headers = "") {
     return "GET /read HTTP/1.1\r\nHost: x\r\nX-Class: read\r\nX-Request-Id: r" + std::to_string(++serial) +
            "\r\n" + headers + "\r\n";
   }
@@ -136,7 +136,7 @@
     std::vector<std::shared_ptr<Client>> clients;
     for (std::size_t i = 0; i < requests; ++i) {
       clients.push_back(Client::connect(io, address));
-      clients.back()->send(read());
+      clients.back()->send(readRequest());
     }
     std::multiset<unsigned> statuses;
     for (const auto& client : clients) {
@@ -184,8 +184,8 @@
   faults->of(FaultyCall::send).oneIn = 1;
   start();
   EXPECT_EQ(sendSequentially(20).count(200), 20u);
-  const auto atOnce = sendConcurrently(20);
-  EXPECT_EQ(atOnce.count(200) + atOnce.count(503), 20u)
+  const auto concurrent = sendConcurrently(20);
+  EXPECT_EQ(concurrent.count(200) + concurrent.count(503), 20u)
       << "a burst may be rejected, but every request gets a response";
   EXPECT_GT(faults->of(FaultyCall::send).injected.load(), 0u);
 }
@@ -229,7 +229,7 @@
   std::vector<std::shared_ptr<Client>> clients;
   for (int i = 0; i < 50; ++i) {
     clients.push_back(Client::connect(io, address));
-    clients.back()->send(read());
+    clients.back()->send(readRequest());
   }
   ASSERT_TRUE(waitUntil([&] { return faults->of(FaultyCall::accept).injected >= 10; }));
   faults->of(FaultyCall::accept).oneIn = 0;
@@ -237,8 +237,8 @@
     ASSERT_TRUE(waitUntil([&] { return !client->answers.empty() || client->closedByPeer; }));
     ASSERT_FALSE(client->answers.empty()) << "closed without a response";
     const unsigned status = client->answers.front().result_int();
-    EXPECT_TRUE(status == 200 || status == 503)
-        << status;  // part of so many concurrent requests may be rejected
+    // Some of so many concurrent requests may be rejected.
+    EXPECT_TRUE(status == 200 || status == 503) << status;
   }
 }
 
@@ -306,7 +306,7 @@
                              public ::testing::WithParamInterface<std::pair<FaultyCall, int>> {
  protected:
   // Returns the number of locked announcement files: one per process that serves this address.
-  std::size_t announced() const {
+  std::size_t announcementCount() const {
     std::size_t count = 0;
     for (const auto& entry : std::filesystem::directory_iterator(folder))
       count += entry.path().filename().string().rfind("gateway-", 0) == 0 && locked(entry.path()) ? 1 : 0;
@@ -330,7 +330,7 @@
   start();
   EXPECT_GT(faults->of(GetParam().first).injected.load(), 0u);
   faults->of(GetParam().first).oneIn = 0;
-  EXPECT_TRUE(waitUntil([&] { return announced() == 1; }));
+  EXPECT_TRUE(waitUntil([&] { return announcementCount() == 1; }));
   EXPECT_EQ(sendSequentially(1).count(200), 1u);
 }
 
@@ -390,8 +390,8 @@
   ASSERT_EQ(::mkfifo(path.c_str(), 0600), 0);
   spawnProgram();
   ASSERT_GT(pid, 0);
-  const int writeEnd =
-      ::open(path.c_str(), O_WRONLY | O_CLOEXEC);  // returns once the program has opened it for reading
+  // Returns once the program has opened the pipe for reading.
+  const int writeEnd = ::open(path.c_str(), O_WRONLY | O_CLOEXEC);
   ASSERT_GE(writeEnd, 0);
   ::kill(pid, SIGHUP);
   writeConfig();  // replaces the pipe, for the reload
