--- a/src/lab/soak/soak.cpp
+++ b/src/lab/soak/soak.cpp
@@ -236,18 +236,19 @@
 void Soak::probeReady(std::size_t number) {
   Gateway& gateway = gateways_[number];
   const auto probed = gateway.process;
-  ask(io_, gateway.port->endpoint(), "/up", 500ms, [this, number, probed](int status, const std::string&) {
-    Gateway& current = gateways_[number];
-    if (current.process != probed || probed->ended || current.ready || stopping_)
-      return;
-    if (status == 200) {
-      current.ready = true;
-      return;
-    }
-    if (soakNow() - current.startedAt > kReadyTimeout)
-      return oracle_.reportViolation(SoakRule::notReady, probed->name + " was not ready in time");
-    schedule(50ms, [this, number] { probeReady(number); });
-  });
+  httpGet(io_, gateway.port->endpoint(), "/up", 500ms,
+          [this, number, probed](int status, const std::string&) {
+            Gateway& current = gateways_[number];
+            if (current.process != probed || probed->ended || current.ready || stopping_)
+              return;
+            if (status == 200) {
+              current.ready = true;
+              return;
+            }
+            if (soakNow() - current.startedAt > kReadyTimeout)
+              return oracle_.reportViolation(SoakRule::notReady, probed->name + " was not ready in time");
+            schedule(50ms, [this, number] { probeReady(number); });
+          });
 }
 
 void Soak::schedule(std::chrono::milliseconds delay, std::function<void()> action) {
