--- a/src/lab/simulation/checker.hpp
+++ b/src/lab/simulation/checker.hpp
@@ -41,10 +41,11 @@
 
   /// A gateway has accepted a request, which has to be answered by `deadline`.
   void requestAccepted(std::uint64_t request, const balancer::ClassSettings& settings, Time deadline);
+  /// An attempt is sent, or on sockets arrives at its server; `entry` is the server's true entry.
   void attemptSent(Time now, std::uint32_t gateway, std::uint64_t request, std::uint32_t server,
                    const balancer::Endpoint& entry);
   void attemptEnded(std::uint64_t request, std::uint32_t attempt, balancer::Outcome outcome);
-  /// The gateway has answered the request itself: it rejected it, or reported its failure.
+  /// The gateway has answered the request without a server's response: with a rejection or a failure.
   void rejectedOrFailed(Time now, std::uint64_t request, bool rejected);
   /// An outcome that ended the request has reached the gateway.
   void requestServed(std::uint64_t request, Time now = {});
@@ -53,7 +54,7 @@
   /// The testbed has ended or suspended the process that accepted the request: it needs no answer any more,
   /// and later attempts of that process for it break no rule.
   void excuse(std::uint64_t request);
-  /// Has to be called once the time for the answer is over.
+  /// Has to be called when the deadline of the request has passed.
   void answerDue(Time now, std::uint64_t request);
   /// Discovery has announced the state of a server to a gateway.
   void endpointAnnounced(Time now, std::uint32_t gateway, std::uint32_t server,
@@ -64,7 +65,7 @@
   /// scenario.
   void addBreach(Rule rule, Time now, std::uint64_t request, const std::string& server,
                  const std::string& what);
-  /// The number of the request's attempts that have arrived at servers.
+  /// The number of the request's attempts that attemptSent() has recorded.
   std::size_t attemptCount(std::uint64_t request) const;
   /// A server was overloaded while it warmed up. `informedShare` is the share of its work that came from
   /// gateways that knew of its start.
--- a/src/lab/simulation/draw.hpp
+++ b/src/lab/simulation/draw.hpp
@@ -59,8 +59,8 @@
   Duration retryAfter{};
 };
 
-/// The seconds until a client retries a call after `requests` requests, of which `retriesLeft` retries remain
-/// and `elapsed` has passed since the first. Returns nullopt if the client gives up.
+/// The seconds until a client retries a call of which it has sent `requests` requests. It may send
+/// `retriesLeft` more, and `elapsed` has passed since the first. Returns nullopt if the client gives up.
 std::optional<double> retryWait(const DrawnDay& day, std::uint64_t seed, std::uint32_t call,
                                 unsigned requests, unsigned retriesLeft,
                                 const balancer::ClassSettings& settings, const Unserved& result,
--- a/src/lab/simulation/explore.cpp
+++ b/src/lab/simulation/explore.cpp
@@ -20,7 +20,7 @@
 using membership::Time;
 
 constexpr std::size_t kMembers = 3;
-constexpr std::size_t kMaxInFlight = 6;  // datagrams; beyond it the oldest are lost
+constexpr std::size_t kMaxInFlight = 6;  // datagrams; the oldest is lost when there are more
 constexpr std::size_t kMaxReportedViolations = 5;
 constexpr int kMaxStartupTimers = 400;
 // With three members only one other can confirm a suspicion, so a suspicion may last for its maximum.
@@ -195,7 +195,7 @@
 
   void visit(World& world, unsigned stepsLeft, const std::string& path) {
     checkInvariants(world, path);
-    // A state that was already visited with as many steps left adds nothing new.
+    // A state that was already visited with at least as many steps left adds nothing new.
     const std::size_t key = std::hash<std::string>{}(stateKey(world));
     const auto [it, isNew] = visited_.try_emplace(key, stepsLeft);
     if (!isNew && it->second >= stepsLeft)
--- a/src/lab/simulation/member_faults.hpp
+++ b/src/lab/simulation/member_faults.hpp
@@ -14,7 +14,7 @@
 namespace hollyrun::lab {
 
 enum class MemberFault {
-  zone,      ///< all members of one of seven zones die at once and later start at once
+  zone,      ///< all members of one of seven zones die at the same moment and later start at the same moment
   cut,       ///< a network partition between three zones and the other four
   restarts,  ///< five of six members leave and restart, in ten waves
 };
@@ -33,8 +33,8 @@
   std::string phase;
   std::size_t members = 0, affected = 0;
   bool agreed = false;      ///< whether all views became equal
-  double agreedMedian = 0;  ///< periods until all views were equal
-  double agreedMax = 0;     ///< the maximum of these
+  double agreedMedian = 0;  ///< median over the phase's faults of the periods until all views were equal
+  double agreedMax = 0;     ///< the longest of these times
   double sentMean = 0;      ///< bytes per member and period
   double sentPeak = 0;      ///< the same in the busiest period
   double sentMax = 0;       ///< maximum bytes of one member in one period
--- a/src/lab/simulation/members.hpp
+++ b/src/lab/simulation/members.hpp
@@ -45,8 +45,10 @@
   void start(std::size_t node);
   void kill(std::size_t node) { nodes_[node].logic.reset(); }
   void leave(std::size_t node);
+  /// Suspends a member. Datagrams to it wait in its inbox until wake(); those that exceed the socket buffer
+  /// are lost.
   void stop(std::size_t node) { nodes_[node].stopped = true; }
-  /// Continues a stopped member.
+  /// Resumes a stopped member, which then handles its inbox and its expired timer.
   void wake(std::size_t node);
   void runUntil(membership::Time until);
   void runFor(membership::Duration duration) { runUntil(now_ + duration); }
@@ -62,7 +64,7 @@
   std::vector<Seen>& seen() { return seen_; }
   LinkConditions& linkConditions() { return linkConditions_; }
   membership::MembershipSettings& settings() { return settings_; }
-  /// Whether the network delivers datagrams between two members; by default all.
+  /// Whether the network delivers datagrams from one member to another; by default it does.
   std::function<bool(std::size_t from, std::size_t to)> passes;
   /// Observes each datagram as it is sent.
   std::function<void(std::size_t from, std::size_t to, const std::string& bytes)> tap;
@@ -117,9 +119,9 @@
   double loss = 0;
   double detectP50 = 0, detectP99 = 0;  ///< periods from a kill until the first member reports the death
   double allP50 = 0, allP99 = 0;        ///< periods until all members know of the death
-  double allMax = 0;                    ///< the maximum of these
+  double allMax = 0;                    ///< the longest of these times
   double joinP99 = 0;                   ///< periods until all members know a joined member
-  double falseDeaths = 0;               ///< per hour and member without faults, at a period of 1 s
+  double falseDeaths = 0;               ///< per hour and member before the first kill, at a period of 1 s
   double datagrams = 0, bytes = 0;      ///< sent per member and period
   double micros = 0;                    ///< processor time per event
   double microsPerPeriod = 0;           ///< processor time per member and period
--- a/src/lab/simulation/policy.cpp
+++ b/src/lab/simulation/policy.cpp
@@ -37,9 +37,9 @@
   Balancer balancer_;
 };
 
-// The common part of the baseline policies: they observe the rules on repeats, drains and answers, offer
-// servers that warm up in a growing share of the draws, retry while the class permits it, and differ in the
-// host that they choose.
+// The common part of the baseline policies. They observe the rules on repeats, drains and answers, and retry
+// while the class permits it. A server that warms up is a candidate with a probability that grows with its
+// age. The policies differ in the candidate that they choose.
 class BaselinePolicy : public Policy {
  public:
   BaselinePolicy(const Settings& settings, const OmniscientView& view)
@@ -239,9 +239,10 @@
   }
 };
 
-// Sees the true state and chooses the server that would complete the request first, among those that are
-// neither choked nor full. The limit of requests in flight grows with the priority weight of the class, so
-// that requests of low weight are rejected first.
+// Sees the true state of the servers. Among those that are neither choked nor full, it chooses the one that
+// would complete the request first, and rejects the request if none would within its deadline and latency
+// objective. The limit of requests in flight grows with the priority weight of the class, so that
+// requests of low weight are rejected first.
 class OmniscientPolicy final : public BaselinePolicy {
  public:
   using BaselinePolicy::BaselinePolicy;
--- a/src/lab/simulation/scenario.hpp
+++ b/src/lab/simulation/scenario.hpp
@@ -51,7 +51,7 @@
   std::string kind;
   Range probability = 1;
   Range atS = 0, durationS = 0, affectedShare = 0, size = 0, intervalS = 1;
-  std::string zone;  // empty: drawn
+  std::string zone;  // drawn if empty
   std::string idempotency, className;
   std::string location;  // file and line
 };
@@ -61,7 +61,8 @@
 struct Fault {
   std::string kind;
   double atS = 0, durationS = 0, size = 1;
-  // Numbers of the affected gateways and servers; without these and a zone all that the kind applies to.
+  // Numbers of the affected gateways and servers. If empty, the fault affects those in `zone`, or all if
+  // there is no zone either.
   std::vector<std::size_t> gateways, servers;
   std::string zone, file;  // file: same, changed or broken
   std::string location;    // file and line
@@ -71,7 +72,7 @@
   std::string name, description, file;
 
   double durationS = 60;
-  double gatewayTickMs = 5;  // gateways handle events at multiples of it; 0: at once
+  double gatewayTickMs = 5;  // gateways handle events at multiples of this time; 0: immediately
   double warmupS = 1;        // excluded from the results
   Range timeScale = 1;       // factor of work, latency objectives and client timeouts
 
@@ -92,7 +93,7 @@
 
   // Delays of discovery until it announces a removal, a server that stopped responding and a new server.
   Range removalNoticeS = 2, silenceDetectionS = 9, additionNoticeS = 2;
-  Range notificationSpreadMs = 80;  // between the gateways
+  Range notificationSpreadMs = 80;  // the gateways are notified within this time
   Range discoveryPollMs = 500;
 
   unsigned maxAttempts = 3, candidates = 0;
@@ -124,7 +125,10 @@
   double expectGoodput = 0;       // in `fleet` a lower goodput is a failed check
   double membershipPeriodMs = 0;  // probe interval of the gateways' membership; 0: no membership
   double configuredGateways = 0;  // number of gateways in their settings; 0: the actual number
-  double expectAgreeS = 0;  // the views have to be equal this long after the last fault ends; 0: unchecked
+  // The gateways' views have to agree within this time after the load starts, after a fault ends and after a
+  // gateway restarts; for kill, term and faults without a duration also after the fault begins. A new fault
+  // or restart abandons a pending check. 0: unchecked.
+  double expectAgreeS = 0;
 };
 
 /// All errors of a scenario, one per line as `file:line: key: message`.
--- a/src/lab/simulation/server.cpp
+++ b/src/lab/simulation/server.cpp
@@ -145,8 +145,8 @@
   }
   if (!parameters_.chokesEnabled)
     return;
-  // The load is smoothed: if each dip below the threshold reset the delay, a server would never choke that
-  // chokes at once in the simulator.
+  // The load is smoothed, because it often drops below the threshold for a moment. If each drop reset the
+  // delay, servers that choke at once in the platform's simulator would never choke in this model.
   smoothedLoad_ +=
       (1 - std::exp(-inSeconds(now - loadUpdatedAt_) / (kLoadSmoothing * parameters_.chokeDelayS))) *
       (load_ - smoothedLoad_);
--- a/src/lab/simulation/server.hpp
+++ b/src/lab/simulation/server.hpp
@@ -40,9 +40,10 @@
   double chokeThreshold = 5;  // requests in flight per core
   double chokeDelayS = 2;     // time above the threshold until the machine chokes
   double chokeSlowdown = 3;   // factor of the processing times while choked
-  // A choke ends after this time below this utilization of the slots, and after maxChokeS in any case.
+  // A choke ends once the utilization of the slots has been below chokeRecoveryUtilization for
+  // chokeRecoveryS, and after maxChokeS in any case.
   double chokeRecoveryS = 3, chokeRecoveryUtilization = 0.3, maxChokeS = 25;
-  double keyCacheGain = 0, keyCacheTtlS = 6;  // share of the work saved by a hit
+  double keyCacheGain = 0, keyCacheTtlS = 6;  // gain: share of the work saved by a hit
   std::size_t cachedKeys = 24;
 };
 
@@ -63,8 +64,8 @@
     bool dropped = false;
   };
   struct Choke {
-    Time from{}, to{};           // `to` is zero while it lasts
-    double inFlightPerCore = 0;  // at its start
+    Time from{}, to{};           // `to` is zero while the choke lasts
+    double inFlightPerCore = 0;  // when the choke began
   };
 
   explicit Server(ServerParameters parameters) : parameters_(parameters) {}
@@ -76,7 +77,8 @@
   /// Queues a completely received request. Returns false if the queue is full: the request is rejected
   /// without being executed.
   bool offer(Time now, const Job& job);
-  /// The gateway cancelled the attempt; it is dropped from the queue if this machine does so.
+  /// The gateway cancelled the attempt. A machine with dropsCancelled discards a queued attempt instead of
+  /// executing it when its turn comes; others execute it. A running attempt continues.
   void cancel(std::uint32_t attempt);
   /// Advances the execution to `now` and appends the jobs that ended to completed().
   void advance(Time now);
--- a/src/lab/simulation/simulation.cpp
+++ b/src/lab/simulation/simulation.cpp
@@ -21,7 +21,8 @@
 
 namespace {
 
-constexpr Time kStart = std::chrono::seconds(100);  // not zero, which stands for a start long ago
+// Not zero, since a server start at time zero stands for one long ago.
+constexpr Time kStart = std::chrono::seconds(100);
 constexpr Duration kServerUpdatePeriod = std::chrono::milliseconds(50);
 constexpr Duration kSamplePeriod = std::chrono::milliseconds(250);
 constexpr Duration kFirstSnapshotDelay = std::chrono::milliseconds(20);  // after a gateway's start
@@ -103,7 +104,7 @@
   std::vector<Time> announcedStarts;           // by server
   Time lastNotification{};
   double weight = 1;
-  std::uint32_t replicaCount = 0;  // in the settings of its module
+  std::uint32_t replicaCount = 0;  // as last passed to its module
   std::optional<membership::Membership> member;
   Time memberTimer = Time::max();
 };
@@ -527,7 +528,7 @@
 
   void executeActions(std::uint32_t gatewayIndex) {
     Gateway& gateway = gateways_[gatewayIndex];
-    // A cancel action ends its attempt at once, on which the policy may add further actions.
+    // A cancel action ends its attempt at once; the policy may respond to that result with further actions.
     while (!gateway.policy->actions().empty()) {
       std::vector<Action> actions;
       actions.swap(gateway.policy->actions());
@@ -822,8 +823,9 @@
     result.terminal = requests_[requestId].ended;
     const std::uint32_t gatewayIndex = requests_[requestId].gateway;
     gateway.policy->onResult(now_, result);
+    // A cancellation comes from executeActions(), whose loop also executes the actions added here.
     if (outcome != Outcome::cancelled)
-      executeActions(gatewayIndex);  // for a cancelled attempt the caller executes them
+      executeActions(gatewayIndex);
   }
 
   void checkAnswered(std::uint32_t id) {
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -64,8 +64,8 @@
   }
 };
 
-// Limit, in probe intervals, until all members know of a death: a round of probes, the longest suspicion and
-// the dissemination.
+// Limit, in probe intervals, until all members know of a death. It covers a round of probes, the longest
+// suspicion and the dissemination of the death.
 constexpr double kDeathPeriods = 60;
 // Limit, in probe intervals, until all views agree again after a fault ends.
 constexpr double kHealPeriods = 60;
@@ -223,8 +223,8 @@
   for (std::size_t i = 0; i < 12; ++i)
     if (i != 5)
       fleet.kill(i);
-  // A lone member gets no confirmations and its growing health score slows its probes, yet it must finish in
-  // bounded time.
+  // No other member confirms the suspicions of a lone member, and its growing health score slows its probes.
+  // Even so it must detect all deaths in bounded time.
   ASSERT_TRUE(fleet.runUntil([&] { return fleet.at(5).presentCount() == 1; }, fleet.periods(600)));
   EXPECT_EQ(fleet.at(5).quotaHolders(), 12u);
   for (std::size_t i = 0; i < 12; ++i)
@@ -649,7 +649,7 @@
       RC_ASSERT(self.incarnation >= last);
       last = self.incarnation;
       RC_ASSERT(fleet.at(i).quotaHolders() >= fleet.at(i).presentCount());
-      // Others cannot know a higher incarnation of the running process than its own.
+      // Only a process itself raises its incarnation, so no other member can know a higher one.
       for (const std::size_t j : fleet.living()) {
         const auto found = fleet.at(j).others().find(self.name);
         if (found != fleet.at(j).others().end() && found->second.record.epoch == self.epoch)
