--- a/src/lab/simulation/scenario.hpp
+++ b/src/lab/simulation/scenario.hpp
@@ -46,7 +46,8 @@
   Range attemptNoise = 0;  // coefficient of variation between attempts of one request
 };
 
-/// A fault of the simulated day, `[[trouble]]` in the file.
+/// A fault of the simulated day, `[[trouble]]` in the file. The meaning and unit of `size` depend on the
+/// kind.
 struct FaultSpec {
   std::string kind;
   Range probability = 1;
--- a/src/lab/simulation/simulation.cpp
+++ b/src/lab/simulation/simulation.cpp
@@ -236,7 +236,7 @@
     record.kind = machines_.back().entry.machineType;
     record.cores = parameters.cores;
     record.speed = parameters.speed;
-    // Samples of the time before the start are filled in, so that all records cover the whole day.
+    // The samples before the machine was added are filled in, so that all records cover the whole day.
     record.inFlight.assign(sampleCount_, 0);
     record.states.assign(sampleCount_, ServerState::gone);
     result_.servers.push_back(record);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -100,7 +100,8 @@
     const std::size_t duplicate = fleet.add("m2");
     fleet.start(duplicate);
     fleet.runFor(fleet.periods(60));
-    // Exactly one of the processes is a member, the others see one member, and incarnations stay low.
+    // Exactly one of the two processes concedes, the other members see one member of this name, and its
+    // incarnation stays low.
     EXPECT_NE(fleet.at(2).conceded(), fleet.at(duplicate).conceded()) << seed;
     const std::size_t winner = fleet.at(2).conceded() ? duplicate : 2,
                       other = winner == duplicate ? 2 : duplicate;
@@ -171,7 +172,7 @@
     Fleet fleet(6, seed);
     ASSERT_TRUE(fleet.agreeWithin(20));
     fleet.seen().clear();
-    // 1 still receives from 2.
+    // Datagrams from member 1 to member 2 are lost; those from 2 to 1 still arrive.
     fleet.passes = [](std::size_t from, std::size_t to) { return !(from == 1 && to == 2); };
     fleet.runFor(fleet.periods(300));
     EXPECT_EQ(fleet.count(EventType::died), 0u) << "other members relay the probes, seed " << seed;
