--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -64,8 +64,8 @@
   }
 };
 
-// Limit, in probe intervals, until all members know of a death: a round of probes, the longest suspicion and
-// the dissemination.
+// Limit, in probe intervals, until all members know of a death. It covers a round of probes, the longest
+// suspicion and the dissemination of the death.
 constexpr double kDeathPeriods = 60;
 // Limit, in probe intervals, until all views agree again after a fault ends.
 constexpr double kHealPeriods = 60;
@@ -100,7 +100,8 @@
     const std::size_t duplicate = fleet.add("m2");
     fleet.start(duplicate);
     fleet.runFor(fleet.periods(60));
-    // Exactly one of the processes is a member, the others see one member, and incarnations stay low.
+    // Exactly one of the two processes concedes, the other members see one member of this name, and its
+    // incarnation stays low.
     EXPECT_NE(fleet.at(2).conceded(), fleet.at(duplicate).conceded()) << seed;
     const std::size_t winner = fleet.at(2).conceded() ? duplicate : 2,
                       other = winner == duplicate ? 2 : duplicate;
@@ -171,7 +172,7 @@
     Fleet fleet(6, seed);
     ASSERT_TRUE(fleet.agreeWithin(20));
     fleet.seen().clear();
-    // 1 still receives from 2.
+    // Datagrams from member 1 to member 2 are lost; those from 2 to 1 still arrive.
     fleet.passes = [](std::size_t from, std::size_t to) { return !(from == 1 && to == 2); };
     fleet.runFor(fleet.periods(300));
     EXPECT_EQ(fleet.count(EventType::died), 0u) << "other members relay the probes, seed " << seed;
@@ -223,8 +224,8 @@
   for (std::size_t i = 0; i < 12; ++i)
     if (i != 5)
       fleet.kill(i);
-  // A lone member gets no confirmations and its growing health score slows its probes, yet it must finish in
-  // bounded time.
+  // No other member confirms the suspicions of a lone member, and its growing health score slows its probes.
+  // Even so it must detect all deaths in bounded time.
   ASSERT_TRUE(fleet.runUntil([&] { return fleet.at(5).presentCount() == 1; }, fleet.periods(600)));
   EXPECT_EQ(fleet.at(5).quotaHolders(), 12u);
   for (std::size_t i = 0; i < 12; ++i)
@@ -649,7 +650,7 @@
       RC_ASSERT(self.incarnation >= last);
       last = self.incarnation;
       RC_ASSERT(fleet.at(i).quotaHolders() >= fleet.at(i).presentCount());
-      // Others cannot know a higher incarnation of the running process than its own.
+      // Only a process itself raises its incarnation, so no other member can know a higher one.
       for (const std::size_t j : fleet.living()) {
         const auto found = fleet.at(j).others().find(self.name);
         if (found != fleet.at(j).others().end() && found->second.record.epoch == self.epoch)
