--- a/src/lab/commands/process_options.hpp
+++ b/src/lab/commands/process_options.hpp
@@ -24,7 +24,7 @@
 
 /// The rate of the load and the storage of its result.
 struct MeasurementOptions {
-  double rate = 0;       ///< calls per second, not counting retries; 0: by the level of the scenario
+  double rate = 0;       ///< calls per second, not counting retries; 0: from the scenario's load level
   std::string database;  ///< SQLite file; empty: results are not stored
   std::string label;
 
--- a/src/lab/commands/report_command.cpp
+++ b/src/lab/commands/report_command.cpp
@@ -61,7 +61,7 @@
   }
 
   std::string database_;
-  std::string label_ = kDefaultLabel;  // the default selects all labels
+  std::string label_ = kDefaultLabel;  // this label selects all runs, even if given explicitly
   std::string outputFile_;
   std::vector<std::int64_t> runIds_;
 };
--- a/src/lab/report/store.cpp
+++ b/src/lab/report/store.cpp
@@ -119,7 +119,7 @@
   int bound_ = 0, column_ = 0;
 };
 
-// The digest is null, read as 0, for runs that were stored before digests were.
+// The digest is null, read as 0, for runs from before digests were stored.
 constexpr const char* kRunColumns =
     "id, label, at, scenario, policy, seed, g, whole, worst_window, worst_at, worst_class, price_cross_zone, "
     "price_waste, price_late_fail, price_handshake, price_choke, calls, tries, attempts, connections, "
--- a/src/lab/soak/oracle.cpp
+++ b/src/lab/soak/oracle.cpp
@@ -143,7 +143,8 @@
   ServerStart& start = it->second;
   ++start.arrivals;
   const double expected = start.budget.requests;
-  // Two standard deviations of a Poisson count, or three if fewer than 30 are expected, and a constant.
+  // The maximum exceeds the expected number by two standard deviations of a Poisson count plus 2, or by three
+  // standard deviations plus 3 if fewer than 30 are expected.
   const double deviation = (expected < 30 ? 3 : 2) * std::sqrt(expected);
   const double maximum = expected + deviation + (expected < 30 ? 3 : 2);
   if (static_cast<double>(start.arrivals) <= maximum || std::exchange(start.reported, true))
--- a/src/lab/soak/oracle.hpp
+++ b/src/lab/soak/oracle.hpp
@@ -28,7 +28,7 @@
   wrongAnswer,     ///< a client got the response to another request
   servesNobody,    ///< a process does not answer /up after all faults were reverted
   notReady,        ///< a process was not ready within 10 s
-  crashed,         ///< a process ended without having been asked to
+  crashed,         ///< a process ended although the soak had not stopped it
   overLimit        ///< a process exceeded its limit of descriptors or memory
 };
 std::string_view nameOf(SoakRule rule);
--- a/src/lab/soak/soak.cpp
+++ b/src/lab/soak/soak.cpp
@@ -29,11 +29,12 @@
 using nlohmann::json;
 using namespace std::chrono_literals;
 
-// Longest delay of the peers' observations. A longer delay of the event loop voids the run.
+// The peers may observe an event this long after it happened. A longer delay of the soak's own event loop
+// makes the run void.
 constexpr auto kMaxLoopDelay = 100ms;
 constexpr auto kProcessPollInterval = 20ms;
 constexpr auto kReadyTimeout = 10s;
-constexpr auto kTerminationTimeout = 8s;  // after SIGTERM
+constexpr auto kTerminationTimeout = 8s;  // from SIGTERM to the exit of the process
 constexpr auto kClientTimeout = 1000ms;
 constexpr auto kCompletionTime = 2500ms;  // between the last request and the final check
 constexpr auto kFinalCheckTime = 2500ms;  // for the requests of the final check
--- a/src/lab/testbed/fleet.cpp
+++ b/src/lab/testbed/fleet.cpp
@@ -30,8 +30,8 @@
 // After SIGTERM a gateway drains for the longest deadline plus 0.7 s. The timeout is twice that, for a busy
 // machine.
 constexpr Duration kShutdownTimeout = std::chrono::seconds(6);
-// A longer delay of the testbed's loop can hide or cause faults of the size that the checker detects, so that
-// the run is void.
+// A longer delay of the testbed's own event loop can hide or cause rule violations of the size that the
+// checker detects. The run is void then.
 constexpr double kMaxLagMs = 250;
 constexpr auto kLagSampleInterval = std::chrono::milliseconds(10);
 constexpr double kViewPollIntervalS = 0.05;
@@ -74,9 +74,10 @@
       throw std::runtime_error("no executable program at " + plan.program);
     dir_ = plan.dir;
     if (dir_.empty()) {
-      // A file system on disk may flush a file that is renamed over another at once. That blocked the loop
-      // for 65 ms, and for 300 ms beside other runs, which made them void. A file system in memory does not
-      // block. The gateways' temporary folders are in it for the same reason.
+      // When a file is renamed over another, a file system on disk may flush it immediately. That blocked
+      // the event loop for 65 ms, and for 300 ms while other runs shared the machine, which made the runs
+      // void. A file system in memory does not block. The gateways' temporary folders are in it for the
+      // same reason.
       const fs::path memoryFolder = "/dev/shm";
       const fs::path base =
           ::access(memoryFolder.c_str(), W_OK) == 0 ? memoryFolder : fs::temp_directory_path();
@@ -336,8 +337,8 @@
 
   // --- Views of the fleet ---
 
-  // Restarts the check of the views: from a fault or its end on, all running gateways have to see each other
-  // and no other member within the scenario's agree_s.
+  // Restarts the check of the gateways' views of the fleet. Within the scenario's agree_s after a fault or
+  // its end, each running gateway has to see all running gateways and no other member.
   void restartViewCheck() {
     if (scenario_.expectAgreeS <= 0 || stopping_)
       return;
@@ -408,8 +409,9 @@
 
   // --- Faults ---
 
-  // Applies a network fault to the datagrams that the fault's gateways, or all, send and receive,
-  // or ends it. `size` is a share of the datagrams, or the longest delay in milliseconds.
+  // Applies or ends a network fault for the datagrams that the fault's gateways send and receive. A fault
+  // that names no gateways applies to all. Its `size` is a share of the datagrams, or the longest delay in
+  // milliseconds.
   void applyNetworkFault(const Fault& fault, bool on) {
     std::set<std::size_t> affected;
     for (const std::size_t number : gatewaysOf(fault))
@@ -437,7 +439,7 @@
         if (on && fault.kind == "net_spoils")
           conditions.corruption = fault.size;
         if (on && fault.kind == "net_delay")
-          conditions.maxDelayMs = fault.size;  // drawn from 0 to this delay, so that datagrams are reordered
+          conditions.maxDelayMs = fault.size;  // delays are drawn from 0 to this, which reorders datagrams
         relay_.setLinkConditions(a, b, conditions);
       }
   }
--- a/src/lab/testbed/load.cpp
+++ b/src/lab/testbed/load.cpp
@@ -19,7 +19,8 @@
 
 // A request that has no response this long after its deadline is lost.
 constexpr Duration kAnswerGrace = std::chrono::milliseconds(500);
-// A resent attempt may reach a server this long after its request has ended, on a busy machine.
+// An attempt may be in flight when its request ends, such as a resend that crosses the response. On a busy
+// machine it may reach a server this long after the end of the request.
 constexpr Duration kInFlightGrace = std::chrono::milliseconds(500);
 constexpr std::size_t kBodyBytes = 48;
 
@@ -38,7 +39,7 @@
   std::uint32_t callIndex = 0, gateway = 0;
   Time sentAt{}, deadline{};
   bool ended = false;
-  bool written = false;  // whole, to the socket
+  bool written = false;  // completely written to the socket
   bool resent = false;   // on a new connection, because the gateway had closed an idle one
   std::shared_ptr<Connection> connection;
   std::optional<asio::steady_timer> timeoutTimer;
@@ -308,10 +309,9 @@
   const Time now = clockNow();
   Call& call = calls_[request->callIndex];
   const DrawnClass& drawn = day_.classes[call.arrival.classIndex];
+  // The response was read before the handler of the write ran.
   if (!request->written)
-    checker_.requestAccepted(
-        request->id, drawn.settings,
-        request->deadline + kAnswerGrace);  // the response was read before the write completed
+    checker_.requestAccepted(request->id, drawn.settings, request->deadline + kAnswerGrace);
   if (status == 200) {
     if (body.find(hex(request->id)) == std::string::npos)
       checker_.addBreach(Rule::lost, now, request->id, "",
@@ -340,8 +340,8 @@
   if (request->ended)
     return;
   const bool attempted = checker_.attemptCount(request->id) > 0;
-  // The gateway closed the idle connection as the request was sent, and no attempt reached a server. The
-  // client resends the request once on a new connection.
+  // The gateway closed the idle connection while the request was being sent, and no attempt reached a server.
+  // The client resends the request once on a new connection.
   if (request->written && !attempted && !request->connection->firstUse() && !request->resent &&
       targets_[request->gateway].inRotation) {
     request->resent = true;
--- a/src/lab/testbed/load.hpp
+++ b/src/lab/testbed/load.hpp
@@ -64,6 +64,7 @@
   const Latencies& latencies() const { return latencies_; }
 
  private:
+  /// A call of a client: a first request and its retries.
   struct Call {
     Arrival arrival;
     Time arrivedAt{};
--- a/src/lab/testbed/platform.cpp
+++ b/src/lab/testbed/platform.cpp
@@ -25,7 +25,7 @@
 namespace {
 
 constexpr Time kClockOffset = std::chrono::hours(24);
-// Chokes end and cold servers warm up without an event, so that the model is advanced periodically.
+// Chokes end and cold servers warm up without an event, so the model is advanced periodically.
 constexpr Duration kAdvanceInterval = std::chrono::milliseconds(50);
 constexpr std::uint64_t kMaxBodyBytes = 32 << 20;
 
@@ -47,7 +47,7 @@
   return target.substr(valueAt, target.find('&', valueAt) - valueAt);
 }
 
-// Returns 0 if the text is no hexadecimal number.
+// Returns 0 if the text is not a hexadecimal number.
 std::uint64_t parseHex(boost::beast::string_view text) {
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, 16);
@@ -274,8 +274,8 @@
       accepting_ = false;
       if (ec)
         return;
-      // A connection that is accepted as the machine becomes unreachable opens, but its requests get no
-      // response until the fault ends.
+      // A connection whose accept completes just after the machine became unreachable is established, but
+      // its requests get no response until the fault ends.
       const bool full = static_cast<double>(server.connections) >= server.parameters().connectionCap;
       if (!full) {
         auto session = std::make_shared<Session>(std::move(socket));
--- a/src/lab/testbed/platform.hpp
+++ b/src/lab/testbed/platform.hpp
@@ -77,7 +77,7 @@
   void choke(std::size_t server);
   void kill(std::size_t server);   ///< ends its process: connections are reset, new ones refused
   void start(std::size_t server);  ///< starts a new, cold process; announced after the notice time
-  void setUnreachable(std::size_t server, bool on);  ///< no data in or out; connections hang, none is refused
+  void setUnreachable(std::size_t server, bool on);  ///< no data passes; new connections hang
   void drain(std::size_t server);                    ///< announced as DRAINING; rejects new requests
   // Faults of one gateway's discovery.
   void setAgentSilent(std::size_t agent, bool on);  ///< the agent sends no responses
--- a/src/lab/testbed/process.hpp
+++ b/src/lab/testbed/process.hpp
@@ -26,7 +26,7 @@
 
   std::string name, lastLine;
   pid_t pid = -1;
-  bool stopRequested = false;  ///< the testbed ends it, so that its exit is no crash
+  bool stopRequested = false;  ///< the testbed ends it: its exit is not a crash
   bool ended = false, ready = false;
   int exitCode = 0;
   std::function<void(const std::string&)> onOutputLine;
--- a/src/lab/testbed/process_usage.cpp
+++ b/src/lab/testbed/process_usage.cpp
@@ -16,7 +16,7 @@
 constexpr double kBytesPerMegabyte = 1 << 20;
 
 // Sums the first field of each thread's schedstat, its time on a processor in nanoseconds. The clock ticks in
-// `stat` have a resolution of 10 ms, which is more than many a measured step takes.
+// `stat` have a resolution of 10 ms, which is more processor time than many measured steps take.
 double processorSecondsOf(const fs::path& process) {
   double sum = 0;
   std::error_code ignored;  // the process may have ended
--- a/src/lab/testbed/relay.cpp
+++ b/src/lab/testbed/relay.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-// Testbeds that run side by side use different blocks from 127.64.0.0 to 127.191.255.0, by process id.
+// Selects one of the address blocks from 127.64.0.0 to 127.191.255.0 by process id, so that testbeds that run
+// at the same time use different addresses.
 std::uint32_t baseAddressOf(pid_t pid) {
   return 0x7f000000u | (64u + static_cast<std::uint32_t>(pid >> 8) % 128u) << 16 |
          (static_cast<std::uint32_t>(pid) % 256u) << 8;
@@ -45,7 +46,8 @@
 std::size_t Relay::addMember() {
   auto port = std::make_shared<RelayPort>(io_);
   port->member = ports_.size();
-  // Nobody else uses the address, so the port that the kernel chooses stays free until the process binds it.
+  // No other process uses the address, so the port that the kernel chooses stays free until the process binds
+  // it.
   const asio::ip::address_v4 address(baseAddress_ + 1 + static_cast<std::uint32_t>(ports_.size()));
   port->process = udp::socket(io_, udp::endpoint(address, 0)).local_endpoint();
   ports_.push_back(port);
--- a/src/lab/testbed/scale_figures.cpp
+++ b/src/lab/testbed/scale_figures.cpp
@@ -9,7 +9,7 @@
 namespace hollyrun::lab {
 namespace {
 
-constexpr double kSlopeUnit = 1000;  // the table has the slope for this difference in size
+constexpr double kSlopeUnit = 1000;  // the table shows the slope per this increase in size
 
 constexpr std::array<FigureText, kFigureCount> kTexts{{
     {"request_us", "processor time a request, us", 1},
--- a/src/lab/testbed/scale_figures.hpp
+++ b/src/lab/testbed/scale_figures.hpp
@@ -15,8 +15,8 @@
   requestUs,        ///< processor time per request, less the idle cost
   idlePercent,      ///< processor time without requests, percent of a core
   residentMb,       ///< resident memory after the load
-  discoveryBytes,   ///< per second, sent and received, without requests
-  membershipBytes,  ///< per second, sent and received, without requests
+  discoveryBytes,   ///< bytes per second, sent and received, without requests
+  membershipBytes,  ///< bytes per second, sent and received, without requests
   directP50,        ///< latency of requests sent to the servers directly, ms
   directP99,
   directP999,
@@ -30,12 +30,12 @@
   joinMs,           ///< until every member sees all others
   changeMs,         ///< from a change of the endpoint list until all stub gateways have it, the maximum
   resumeMs,         ///< from the end of a discovery outage until all stub gateways have the changes
-  resumeKb,         ///< sent by discovery for that
-  relistMs,  ///< from the end of an outage in which discovery lost its revisions until all have the whole
-             ///< list
-  relistKb,
+  resumeKb,         ///< kilobytes that discovery sends for that
+  relistMs,      ///< from the end of an outage in which discovery lost its revisions until all have the whole
+                 ///< list
+  relistKb,      ///< kilobytes that discovery sends for that
   lagMs,         ///< longest delay of the event loops of the testbed and its stub processes
-  busiestShare,  ///< of a core: the busiest of the testbed's own processes under load
+  busiestShare,  ///< share of a core that the busiest of the testbed's own processes uses
 };
 inline constexpr std::size_t kFigureCount = static_cast<std::size_t>(Figure::busiestShare) + 1;
 
--- a/src/lab/testbed/scale_plan.hpp
+++ b/src/lab/testbed/scale_plan.hpp
@@ -36,22 +36,22 @@
   std::string lab;      ///< path of the built hollyrun-lab, for the stub processes
   ScaleSize size;       ///< of all steps, except in the varied dimension
   Dimension dimension = Dimension::servers;
-  std::vector<double> values;    ///< of the dimension, one for each step
-  unsigned rounds = 1;           ///< repetitions of all steps
+  std::vector<double> values;    ///< sizes in the varied dimension, one for each step
+  unsigned rounds = 1;           ///< how often all steps are run
   unsigned maxTriesPerStep = 3;  ///< void steps are repeated up to this many tries
   double idleS = 5, loadS = 8, warmS = 2;
   double answerMs = 2;       ///< response time of a stub server
   unsigned hangups = 3;      ///< SIGHUPs measured in each step
-  unsigned listChanges = 5;  ///< measured in each step until all stub gateways have them
-  double outageS = 2;        ///< of discovery, before clients reconnect; 0: no outage
+  unsigned listChanges = 5;  ///< per step, each timed until all stub gateways have it
+  double outageS = 2;        ///< duration of the discovery outage; 0: no outage
   std::size_t configuredGateways =
       410;  ///< fleet.gateways of the configurations; at least the gateways and stub gateways of the step
   double membershipPeriodMs = 0;  ///< 0: no membership
-  double joinTimeoutS = 60;       ///< for all members to see each other
+  double joinTimeoutS = 60;       ///< time allowed until all members see each other
   // A step is void beyond these limits, because the testbed's own delays or load would be measured instead of
   // the gateway's.
   double maxHelperLagMs = 100;   ///< delay of the event loop of the testbed or a stub process under load
-  double maxHelperShare = 0.85;  ///< processor time of one of them under load, share of a core
+  double maxHelperShare = 0.85;  ///< processor time of one of these processes, share of a core
   std::uint64_t seed = 1;
 };
 
--- a/src/lab/testbed/scale_step.cpp
+++ b/src/lab/testbed/scale_step.cpp
@@ -15,8 +15,8 @@
 constexpr std::size_t kDirectServers = 16;  // few enough that their connections are reused, as in a pool
 constexpr double kHangupTimeoutS = 20, kChangeTimeoutS = 20, kOutageTimeoutS = 60;
 constexpr double kSettleS = 2;
-// A process may use a whole core in a shorter window, which is a burst. The duration of the burst is what the
-// step measures, so that the share of a core does not count in it.
+// The share of a core is not checked in windows shorter than this. A process may use a whole core for a short
+// burst, and the step measures the duration of that burst.
 constexpr double kMinShareWindowS = 1;
 constexpr int kBaselineRequests = 5;  // requests for the statistics, to measure the cost of one
 constexpr double kMsPerSecond = 1000, kUsPerSecond = 1e6, kPercent = 100, kBytesPerKilobyte = 1000;
@@ -67,7 +67,7 @@
       sum.discoveryBytes += share * static_cast<double>(discovery.bytesIn + discovery.bytesOut);
       sum.membershipBytes += share * membershipBytes(*gateway);
     }
-    // After the requests above, so that their cost lies outside the window that begins here.
+    // Read after the requests above, so that the measured window excludes their cost.
     for (const auto& gateway : testbed_.gateways()) {
       const ProcessUsage usage = usageOf(gateway->process->pid);
       sum.processorS += share * usage.processorS;
--- a/src/lab/testbed/scale_testbed.cpp
+++ b/src/lab/testbed/scale_testbed.cpp
@@ -24,10 +24,11 @@
 constexpr std::size_t kSeedCount = 3;
 constexpr std::size_t kServersPerCell = 6;
 constexpr double kStartTimeoutS = 30, kOpsTimeoutS = 10;
-// Requests may stay open for the longest deadline after the last arrival.
+// Requests may stay open for the longest deadline after the last arrival. The timeout allows some more time.
 constexpr double kLoadEndTimeoutS = 10;
 constexpr double kMaxMemoryMb = 12 * 1024;
-// Testbeds that run side by side use different blocks from 127.1.0.0 to 127.63.255.255, by process id.
+// The process id selects one of the address blocks from 127.1.0.0 to 127.63.255.255, so that testbeds that
+// run at the same time use different addresses.
 constexpr std::uint32_t kFirstServerAddress = 0x7f010001;
 constexpr std::uint32_t kAddressesPerBlock = 1 << 14, kAddressBlocks = 250;
 
@@ -42,8 +43,8 @@
 }
 
 fs::path makeFolder() {
-  // A file system on disk may flush a file that is renamed over another at once, which blocks the testbed. A
-  // file system in memory does not.
+  // When a file is renamed over another, a file system on disk may flush it immediately, which blocks the
+  // testbed. A file system in memory does not.
   const fs::path memoryFolder = "/dev/shm";
   const fs::path base = ::access(memoryFolder.c_str(), W_OK) == 0 ? memoryFolder : fs::temp_directory_path();
   std::string pattern = (base / "hollyrun-scale-XXXXXX").string();
@@ -349,7 +350,7 @@
   });
 }
 
-// Changes the servers in turn, beginning with the last: the first ones get the direct load.
+// Changes the servers in turn, beginning with the last, because the direct load is sent to the first ones.
 void ScaleTestbed::changeNextServer() {
   discovery_->toggleDraining(size_.servers - 1 - changesMade_++ % size_.servers);
 }
--- a/src/lab/testbed/stub_gateway.cpp
+++ b/src/lab/testbed/stub_gateway.cpp
@@ -26,7 +26,7 @@
 namespace {
 
 constexpr auto kReportInterval = std::chrono::seconds(1);
-constexpr const char* kUnusedAddress = "127.0.0.1:1";  // a configuration needs a listening address
+constexpr const char* kUnusedAddress = "127.0.0.1:1";  // required by the configuration; nothing listens there
 constexpr const char* kAnyPort = "127.0.0.1:0";
 
 }  // namespace
--- a/src/lab/testbed/stub_server.cpp
+++ b/src/lab/testbed/stub_server.cpp
@@ -36,7 +36,7 @@
   std::uint64_t requestsAnswered = 0;
 };
 
-// A connection that serves one request at a time, as a gateway does not pipeline.
+// A connection. It serves one request at a time, which suffices because the gateway does not pipeline.
 class StubServers::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(tcp::socket socket, std::shared_ptr<Shared> shared)
