--- a/src/lab/commands/scale_command.cpp
+++ b/src/lab/commands/scale_command.cpp
@@ -63,8 +63,8 @@
   return all;
 }
 
-/// `scale`: measures the cost of a gateway by the size of its fleet with real processes. Starts the stub
-/// commands.
+/// `scale`: measures the cost of a gateway by the size of its fleet with real processes. It starts
+/// processes of the stub commands.
 class ScaleCommand final : public Command {
  public:
   ScaleCommand(CLI::App& app, std::string commandLine);
--- a/src/lab/faults/fault_page.hpp
+++ b/src/lab/faults/fault_page.hpp
@@ -14,7 +14,8 @@
 inline constexpr const char* kFaultPageVariable = "HOLLYRUN_FAULT_PAGE";
 
 /// System calls that can be made to fail. Each entry includes the variants of the call: accept with accept4,
-/// send with sendmsg, recv with recvmsg, open with mkostemp.
+/// send with sendmsg, recv with recvmsg, open with mkostemp. `wait` is epoll_wait and `lock` is flock. Calls
+/// of read are affected for regular files only.
 enum class FaultyCall : std::size_t {
   accept,
   socket,
--- a/src/lab/report/report.cpp
+++ b/src/lab/report/report.cpp
@@ -14,7 +14,7 @@
 namespace hollyrun::lab {
 namespace {
 
-constexpr std::size_t kTimeTableRows = 14;  // approximate
+constexpr std::size_t kTimeTableRows = 14;  // the table over time has at most this many
 constexpr double kSamplePeriodS = 0.25;
 
 // Runs a gnuplot script in a temporary directory and returns the SVG.
--- a/src/lab/soak/oracle.hpp
+++ b/src/lab/soak/oracle.hpp
@@ -22,13 +22,14 @@
   afterLeaving,    ///< an attempt reached a server after its client had disconnected
   toldTooMuch,     ///< the deadline sent to a server exceeds the client's remaining time
   afterDrain,      ///< an attempt reached a server announced as draining or removed
-  ranTwice,        ///< a request was executed again though it is not repeatable, or after its window
+  ranTwice,        ///< a request was executed again though it is not repeatable, or after its window; or
+                   ///< a request that is not repeatable was executed and then rejected
   nobodysRequest,  ///< a server received a request that no client sent
   coldFlood,       ///< a newly started server received more requests than slow start allows
-  wrongAnswer,     ///< a client got the response to another request
+  wrongAnswer,     ///< a client got the response to another request, or 200 though no server executed its own
   servesNobody,    ///< a process does not answer /up after all faults were reverted
   notReady,        ///< a process was not ready within 10 s
-  crashed,         ///< a process ended although the soak had not stopped it
+  crashed,         ///< a process ended unexpectedly, or did not end in time after SIGTERM
   overLimit        ///< a process exceeded its limit of descriptors or memory
 };
 std::string_view nameOf(SoakRule rule);
@@ -47,8 +48,8 @@
 
 /// The number of requests that slow start allows a server, summed over all gateways.
 struct SlowStartBudget {
-  std::chrono::nanoseconds window{};
-  double requests = 0;  ///< expected number; the rule adds a tolerance for random variation
+  std::chrono::nanoseconds window{};  ///< since the start of the server
+  double requests = 0;                ///< expected number; the rule adds a tolerance for random variation
 };
 
 class SoakOracle {
--- a/src/lab/soak/soak.cpp
+++ b/src/lab/soak/soak.cpp
@@ -382,6 +382,8 @@
   callFault.oneIn = oneIn;
 }
 
+// Returns the number of requests that a newly started server may receive within kFallWindow. Assumes that the
+// capacity of a server is kHeadroom times its share of the load.
 SlowStartBudget Soak::slowStartBudget() const {
   const double capacity = kHeadroom * plan_.rate / static_cast<double>(servers_.size());
   const double seconds = std::chrono::duration<double>(kFallWindow).count();
--- a/src/lab/testbed/platform.hpp
+++ b/src/lab/testbed/platform.hpp
@@ -75,7 +75,8 @@
   // Faults of a server.
   void setSlowdown(std::size_t server, double factor);  ///< 1 ends the slowdown
   void choke(std::size_t server);
-  void kill(std::size_t server);   ///< ends its process: connections are reset, new ones refused
+  void kill(
+      std::size_t server);  ///< ends its process: resets connections, refuses new ones; announced as removed
   void start(std::size_t server);  ///< starts a new, cold process; announced after the notice time
   void setUnreachable(std::size_t server, bool on);  ///< no data passes; new connections hang
   void drain(std::size_t server);                    ///< announced as DRAINING; rejects new requests
@@ -107,8 +108,8 @@
   std::vector<std::unique_ptr<DiscoveryAgent>> agents_;
 };
 
-/// Sends a GET request and passes on the status and body of the response. The status is 0 if there is none
-/// within the timeout.
+/// Sends a GET request and passes on the status and body of the response. The status is 0 if the request
+/// fails or has no response within the timeout.
 void httpGet(asio::io_context& io, const tcp::endpoint& endpoint, const std::string& target, Duration timeout,
              std::function<void(int status, std::string body)> done);
 
