--- a/src/lab/soak/oracle.hpp
+++ b/src/lab/soak/oracle.hpp
@@ -26,7 +26,7 @@
                    ///< a request that is not repeatable was executed and then rejected
   nobodysRequest,  ///< a server received a request that no client sent
   coldFlood,       ///< a newly started server received more requests than slow start allows
-  wrongAnswer,     ///< a client got the response to another request, or 200 though no server executed its own
+  wrongAnswer,     ///< a client got the response to another request, or 200 without any execution
   servesNobody,    ///< a process does not answer /up after all faults were reverted
   notReady,        ///< a process was not ready within 10 s
   crashed,         ///< a process ended unexpectedly, or did not end in time after SIGTERM
--- a/src/lab/testbed/load.cpp
+++ b/src/lab/testbed/load.cpp
@@ -17,7 +17,8 @@
 
 namespace {
 
-// A request that has no response this long after its deadline is lost.
+// A response after the deadline is too late to be of value, but there has to be one: a request that has no
+// response this long after its deadline counts as lost.
 constexpr Duration kAnswerGrace = std::chrono::milliseconds(500);
 // An attempt may be in flight when its request ends, such as a resend that crosses the response. On a busy
 // machine it may reach a server this long after the end of the request.
--- a/src/lab/testbed/platform.hpp
+++ b/src/lab/testbed/platform.hpp
@@ -75,16 +75,16 @@
   // Faults of a server.
   void setSlowdown(std::size_t server, double factor);  ///< 1 ends the slowdown
   void choke(std::size_t server);
-  void kill(
-      std::size_t server);  ///< ends its process: resets connections, refuses new ones; announced as removed
+  /// Ends its process: connections are reset and new ones refused. The server is announced as removed.
+  void kill(std::size_t server);
   void start(std::size_t server);  ///< starts a new, cold process; announced after the notice time
   void setUnreachable(std::size_t server, bool on);  ///< no data passes; new connections hang
   void drain(std::size_t server);                    ///< announced as DRAINING; rejects new requests
   // Faults of one gateway's discovery.
   void setAgentSilent(std::size_t agent, bool on);  ///< the agent sends no responses
   void delayUpdates(std::size_t agent, bool on);    ///< the agent announces changes only after the fault ends
-  void hideServer(std::size_t agent,
-                  std::size_t server);  ///< announces the server as removed to this gateway only
+  /// Announces the server as removed to this gateway only.
+  void hideServer(std::size_t agent, std::size_t server);
   void showServer(std::size_t agent, std::size_t server);  ///< announces its true state again
 
   /// Formats the requests in flight and the state of each server in one line: x ended, ? unreachable,
