--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -226,7 +226,7 @@
 }
 
 TEST_F(EventRaceTest, HostThatHangsDuringShutdownFailsOnlyItsRequest) {
-  shorten(1);
+  shortenTimeouts(1);
   addHost("a", [](PeerConnection&, std::size_t) {});
   start();
   auto downstream = client();
--- a/tests/upstream_crossings_test.cpp
+++ b/tests/upstream_crossings_test.cpp
@@ -53,7 +53,7 @@
 }
 
 TEST_F(EventRaceTest, ResponseThatNeverEndsIsAnsweredWith502) {
-  shorten(1);
+  shortenTimeouts(1);
   addHost("a", [&](PeerConnection& connection, std::size_t) {
     connection.reply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
   });
@@ -170,7 +170,7 @@
 TEST_F(EventRaceTest, RetryWhoseConnectCompletesAfterWindowIsNotSent) {
   config["settings"]["ceilings"]["connectTimeoutNs"] = 20'000'000'000;
   config["settings"]["grades"][2]["windowNs"] = 400'000'000;
-  const Script script = first([&](PeerConnection& connection) {
+  const Script script = failFirst([&](PeerConnection& connection) {
     hosts[reached[0] == "s-0" ? 1 : 0]->pause();
     connection.reset();
   });
@@ -191,7 +191,7 @@
 
 TEST_F(EventRaceTest, ReloadDoesNotShortenWindowOfRequestsInProgress) {
   std::shared_ptr<PeerConnection> firstAttempt;
-  twoHosts(first([&](PeerConnection& connection) { firstAttempt = connection.shared_from_this(); }));
+  twoHosts(failFirst([&](PeerConnection& connection) { firstAttempt = connection.shared_from_this(); }));
   auto downstream = client();
   downstream->send(text("put"));
   ASSERT_TRUE(until([&] { return firstAttempt != nullptr; }));
