--- a/tests/faulty_gateway.cpp
+++ b/tests/faulty_gateway.cpp
@@ -1,4 +1,5 @@
-// A gateway that breaks a rule on purpose, for the testbed's own test: FAULT is lose, twice, drain or none.
+// A minimal gateway that breaks a rule on purpose, for the test of the testbed. FAULT is lose (drops
+// responses), twice (repeats unsafe requests), drain (keeps sending to draining servers) or none.
 #include <unistd.h>
 
 #include <atomic>
@@ -23,9 +24,9 @@
 namespace {
 
 const std::string kFault = FAULT;
-std::mutex guard;
-std::vector<tcp::endpoint> servers;  // that are sent to; with the fault `drain` none ever leaves
-std::atomic<unsigned> serial{0};
+std::mutex serversMutex;
+std::vector<tcp::endpoint> servers;  // in use; the fault `drain` never removes one
+std::atomic<unsigned> requestCount{0};
 
 tcp::endpoint endpointOf(const std::string& text) {
   const auto colon = text.rfind(':');
@@ -33,32 +34,32 @@
           static_cast<unsigned short>(std::stoi(text.substr(colon + 1)))};
 }
 
-Response call(const tcp::endpoint& to, const Request& request) {
+Response exchange(const tcp::endpoint& endpoint, const Request& request) {
   asio::io_context io;
   tcp::socket socket(io);
-  socket.connect(to);
+  socket.connect(endpoint);
   http::write(socket, request);
   boost::beast::flat_buffer buffer;
-  Response answer;
-  http::read(socket, buffer, answer);
-  return answer;
+  Response response;
+  http::read(socket, buffer, response);
+  return response;
 }
 
-void follow(const tcp::endpoint& discovery) {
+void watchDiscovery(const tcp::endpoint& discovery) {
   std::string target = "/discovery/hosts";
   for (;;) {
     Request request{http::verb::get, target, 11};
     request.set(http::field::host, "discovery");
-    const auto body = nlohmann::json::parse(call(discovery, request).body());
-    const std::lock_guard<std::mutex> lock(guard);
-    for (const auto& t : body["targets"]) {
-      const tcp::endpoint server = endpointOf(t["endpoint"]);
-      const bool in = t["state"] == "SERVING";
-      const auto at = std::find(servers.begin(), servers.end(), server);
-      if (in && at == servers.end())
+    const auto body = nlohmann::json::parse(exchange(discovery, request).body());
+    const std::lock_guard<std::mutex> lock(serversMutex);
+    for (const auto& listed : body["targets"]) {
+      const tcp::endpoint server = endpointOf(listed["endpoint"]);
+      const bool serving = listed["state"] == "SERVING";
+      const auto position = std::find(servers.begin(), servers.end(), server);
+      if (serving && position == servers.end())
         servers.push_back(server);
-      if (!in && at != servers.end() && kFault != "drain")
-        servers.erase(at);
+      if (!serving && position != servers.end() && kFault != "drain")
+        servers.erase(position);
     }
     target = "/discovery/hosts?since=" + std::to_string(body["rev"].get<int>()) + "&timeout_ms=5000";
   }
@@ -69,51 +70,51 @@
   for (;;) {
     Request request;
     http::read(client, buffer, request);
-    const unsigned n = ++serial;
-    Response answer;
-    for (unsigned tries = 0; tries < 3; ++tries) {
-      tcp::endpoint to;
+    const unsigned number = ++requestCount;
+    Response response;
+    for (unsigned attempt = 0; attempt < 3; ++attempt) {
+      tcp::endpoint server;
       {
-        const std::lock_guard<std::mutex> lock(guard);
-        to = servers[(n + tries) % servers.size()];
+        const std::lock_guard<std::mutex> lock(serversMutex);
+        server = servers[(number + attempt) % servers.size()];
       }
-      answer = call(to, request);
+      response = exchange(server, request);
       const bool unsafe = request["X-Class"] == "certificate";
-      if (kFault == "twice" && unsafe && n % 8 == 0 && tries == 0)
+      if (kFault == "twice" && unsafe && number % 8 == 0 && attempt == 0)
         continue;
-      if (answer.count("X-Not-Run") == 0)
+      if (response.count("X-Not-Run") == 0)
         break;
     }
-    if (kFault == "lose" && n % 8 == 0)
+    if (kFault == "lose" && number % 8 == 0)
       return;
-    http::write(client, answer);
+    http::write(client, response);
   }
 }
 
-void listen(const tcp::endpoint& at, void (*handle)(tcp::socket)) {
+void listen(const tcp::endpoint& endpoint, void (*handle)(tcp::socket)) {
   asio::io_context io;
-  tcp::acceptor acceptor(io, at, true);
+  tcp::acceptor acceptor(io, endpoint, true);
   for (;;) {
     auto owned = std::make_shared<tcp::socket>(acceptor.accept());
-    // The sockets share the loop's context, which outlives them all: the program ends by _exit.
+    // The sockets use `io`, which outlives them because the program ends with _exit.
     std::thread([owned, handle] {
       try {
         handle(std::move(*owned));
       } catch (const std::exception&) {
-        // the peer left, or a server did
+        // the peer or a server closed the connection
       }
     }).detach();
   }
 }
 
-void manage(tcp::socket caller) {
+void serveManagement(tcp::socket caller) {
   boost::beast::flat_buffer buffer;
   Request request;
   http::read(caller, buffer, request);
-  Response answer{http::status::ok, 11};
-  answer.body() = "ready\n";
-  answer.prepare_payload();
-  http::write(caller, answer);
+  Response response{http::status::ok, 11};
+  response.body() = "ready\n";
+  response.prepare_payload();
+  http::write(caller, response);
 }
 
 }  // namespace
@@ -121,15 +122,15 @@
 int main() {
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGTERM, [](int) { ::_exit(0); });
-  std::thread([] { follow(endpointOf(std::getenv("GW_DISCOVERY"))); }).detach();
+  std::thread([] { watchDiscovery(endpointOf(std::getenv("GW_DISCOVERY"))); }).detach();
   std::thread([] { listen(endpointOf(std::getenv("GW_LISTEN")), serve); }).detach();
   for (;;) {
     {
-      const std::lock_guard<std::mutex> lock(guard);
+      const std::lock_guard<std::mutex> lock(serversMutex);
       if (!servers.empty())
         break;
     }
     std::this_thread::yield();
   }
-  listen(endpointOf(std::getenv("GW_MANAGEMENT")), manage);
+  listen(endpointOf(std::getenv("GW_MANAGEMENT")), serveManagement);
 }
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,5 +1,5 @@
-// The scale run: its figures and bounds, the stub parts against the gateway's own code, and small runs on
-// processes. The programs' paths are the arguments: the gateway and the lab.
+// Tests the scale run: its figures and bounds, the stub processes' parts against the gateway's own code, and
+// small runs with real processes. The arguments are the paths of the gateway and of the lab.
 #include "lab/testbed/scale.hpp"
 
 #include <gtest/gtest.h>
@@ -26,8 +26,8 @@
 using gateway::Discovery;
 using gateway::EndpointList;
 
-constexpr std::uint32_t kTestAddresses = 0x7f3c0001;  // 127.60.0.1, where no testbed has its servers
-std::string program, lab;                             // set once, by main
+constexpr std::uint32_t kTestAddresses = 0x7f3c0001;  // 127.60.0.1, in no testbed's block of servers
+std::string program, lab;                             // paths, set by main
 
 ScaleRun runOf(const std::vector<std::pair<double, double>>& points) {
   ScaleRun run;
@@ -43,7 +43,7 @@
 
 // --- Figures --------------------------------------------------------------------------------------------
 
-TEST(ScaleFiguresTest, PointsOnALineGiveItsSlopeWithoutError) {
+TEST(ScaleFiguresTest, SlopeOfPointsOnALineHasNoStandardError) {
   const auto fit = slopeOf(runOf({{200, 30}, {1000, 110}, {4800, 490}}), Figure::requestUs);
   ASSERT_TRUE(fit && fit->standardError);
   EXPECT_NEAR(fit->slope, 0.1, 1e-9);
@@ -51,15 +51,16 @@
   EXPECT_NEAR(*fit->standardError, 0, 1e-9);
 }
 
-TEST(ScaleFiguresTest, TheStandardErrorIsThatOfLeastSquares) {
-  // Residuals 1/6, -1/3, 1/6 around 5/6 + x / 2: their squares over one degree of freedom and over 2 in x.
+TEST(ScaleFiguresTest, StandardErrorIsThatOfLeastSquares) {
+  // The residuals around 5/6 + x / 2 are 1/6, -1/3 and 1/6. The sum of their squares is divided by one degree
+  // of freedom and by the sum of squares in x, which is 2.
   const auto fit = slopeOf(runOf({{1, 1.5}, {2, 1.5}, {3, 2.5}}), Figure::requestUs);
   ASSERT_TRUE(fit && fit->standardError);
   EXPECT_NEAR(fit->slope, 0.5, 1e-9);
   EXPECT_NEAR(*fit->standardError, std::sqrt(1.0 / 6 / 2), 1e-9);
 }
 
-TEST(ScaleFiguresTest, TwoPointsHaveASlopeAndNoErrorAndOneSizeHasNone) {
+TEST(ScaleFiguresTest, SlopeNeedsTwoSizesAndItsErrorThreePoints) {
   const auto two = slopeOf(runOf({{1, 1}, {2, 3}}), Figure::requestUs);
   ASSERT_TRUE(two);
   EXPECT_NEAR(two->slope, 2, 1e-9);
@@ -68,7 +69,7 @@
   EXPECT_FALSE(slopeOf(runOf({{1, 1}, {2, 3}}), Figure::stallMs));
 }
 
-TEST(ScaleFiguresTest, AVoidStepCountsForNothingAndIsShown) {
+TEST(ScaleFiguresTest, VoidStepIsExcludedFromTheSlopeAndShownInTheTable) {
   ScaleRun run = runOf({{1, 1}, {2, 2}, {3, 99}});
   run.steps.back().voidReason = "the testbed was late";
   const auto fit = slopeOf(run, Figure::requestUs);
@@ -78,27 +79,27 @@
   EXPECT_NE(tableOf(run).find("3 (1 void)"), std::string::npos) << tableOf(run);
 }
 
-TEST(ScaleFiguresTest, TheTableHasARowAFigureWithMeansErrorsAndTheSlope) {
+TEST(ScaleFiguresTest, TableHasARowPerFigureWithMeansErrorsAndSlope) {
   const std::string table = tableOf(runOf({{1000, 10}, {1000, 12}, {2000, 20}, {2000, 22}}));
   EXPECT_EQ(table,
             "| servers | 1000 | 2000 | slope for 1000 |\n| --- | --- | --- | --- |\n"
             "| processor time a request, us | 11.0 ± 1.0 | 21.0 ± 1.0 | 10.00 ± 1.41 |\n");
 }
 
-TEST(ScaleFiguresTest, GrowthBeyondABoundIsAFaultAndSoIsAFigureThatIsMissing) {
+TEST(ScaleFiguresTest, ReportsGrowthBeyondABoundAndFiguresNotMeasured) {
   const ScaleRun run = runOf({{200, 100}, {800, 250}});
   EXPECT_TRUE(growthViolations(run, {parseGrowthBound("request_us=2.5")}).empty());
-  const auto faults =
+  const auto violations =
       growthViolations(run, {parseGrowthBound("request_us=2.4"), parseGrowthBound("idle_percent=9")});
-  ASSERT_EQ(faults.size(), 2u);
-  EXPECT_NE(faults[0].find("2.50 times, allowed 2.4"), std::string::npos) << faults[0];
-  EXPECT_NE(faults[1].find("idle_percent: not measured"), std::string::npos) << faults[1];
+  ASSERT_EQ(violations.size(), 2u);
+  EXPECT_NE(violations[0].find("2.50 times, allowed 2.4"), std::string::npos) << violations[0];
+  EXPECT_NE(violations[1].find("idle_percent: not measured"), std::string::npos) << violations[1];
   EXPECT_THROW(parseGrowthBound("request_us"), std::invalid_argument);
   EXPECT_THROW(parseGrowthBound("speed=2"), std::invalid_argument);
   EXPECT_THROW(parseGrowthBound("request_us=0"), std::invalid_argument);
 }
 
-TEST(ScaleFiguresTest, KeptStepsComeBackAsTheyWere) {
+TEST(ScaleFiguresTest, StoreReturnsStepsUnchanged) {
   const std::string file = ::testing::TempDir() + "scale_" + std::to_string(::getpid()) + ".db";
   ScaleRun run = runOf({{200, 30.5}, {1000, 110}});
   run.label = "before";
@@ -106,15 +107,15 @@
   run.steps[1].voidReason = "late";
   run.steps[1].round = 1;
   Store(file).putScale(run);
-  const auto kept = Store(file).scaleRuns("before");
-  ASSERT_EQ(kept.size(), 1u);
-  EXPECT_EQ(kept[0].dimension, "servers");
-  EXPECT_EQ(kept[0].command, "hollyrun-lab scale");
-  ASSERT_EQ(kept[0].steps.size(), 2u);
-  EXPECT_EQ(kept[0].steps[0][Figure::requestUs], 30.5);
-  EXPECT_FALSE(kept[0].steps[0][Figure::stallMs]);
-  EXPECT_EQ(kept[0].steps[1].voidReason, "late");
-  EXPECT_EQ(kept[0].steps[1].round, 1u);
+  const auto stored = Store(file).scaleRuns("before");
+  ASSERT_EQ(stored.size(), 1u);
+  EXPECT_EQ(stored[0].dimension, "servers");
+  EXPECT_EQ(stored[0].command, "hollyrun-lab scale");
+  ASSERT_EQ(stored[0].steps.size(), 2u);
+  EXPECT_EQ(stored[0].steps[0][Figure::requestUs], 30.5);
+  EXPECT_FALSE(stored[0].steps[0][Figure::stallMs]);
+  EXPECT_EQ(stored[0].steps[1].voidReason, "late");
+  EXPECT_EQ(stored[0].steps[1].round, 1u);
   EXPECT_TRUE(Store(file).scaleRuns("after").empty());
   std::filesystem::remove(file);
 }
@@ -125,22 +126,22 @@
   return readScenario(HOLLYRUN_SCENARIOS "/kyushu.toml");
 }
 
-TEST(ScalePlanTest, AsManyClassesAsAskedForEachOfAName) {
+TEST(ScalePlanTest, ScenarioHasTheRequestedNumberOfUniquelyNamedClasses) {
   ScalePlan plan;
   plan.scenario = kyushu();
   ScaleSize size;
   size.classes = 10;
-  const Scenario s = scenarioOf(plan, size);
-  ASSERT_EQ(s.classes.size(), 10u);
+  const Scenario scenario = scenarioOf(plan, size);
+  ASSERT_EQ(scenario.classes.size(), 10u);
   std::set<std::string> names;
-  for (const RequestClass& c : s.classes)
-    names.insert(c.settings.name);
+  for (const RequestClass& requestClass : scenario.classes)
+    names.insert(requestClass.settings.name);
   EXPECT_EQ(names.size(), 10u);
   size.classes = 0;
   EXPECT_EQ(scenarioOf(plan, size).classes.size(), plan.scenario.classes.size());
 }
 
-TEST(ScalePlanTest, APlanBeyondABoundIsTurnedDown) {
+TEST(ScalePlanTest, RejectsPlanBeyondABound) {
   ScalePlan plan;
   plan.values = {200};
   EXPECT_NO_THROW(checkPlan(plan));
@@ -155,9 +156,9 @@
   EXPECT_THROW(checkPlan(plan), std::invalid_argument);
 }
 
-// --- Stub parts -----------------------------------------------------------------------------------------
+// --- Stubs ----------------------------------------------------------------------------------------------
 
-TEST(StubReportTest, ALineComesBackAndAnotherTextIsNone) {
+TEST(StubReportTest, ParsesItsOwnFormatAndNoOtherText) {
   StubReport report;
   report.port = 4711;
   report.revision = 7;
@@ -165,26 +166,26 @@
   report.changedAtNs = 123456789012345;
   report.membersSeen = 411;
   report.lagMs = 1.5;
-  const auto read = parseStubReport(textOf(report));
-  ASSERT_TRUE(read);
-  EXPECT_EQ(read->port, 4711);
-  EXPECT_EQ(read->revision, 7);
-  EXPECT_EQ(read->wholeLists, 2u);
-  EXPECT_EQ(read->changedAtNs, 123456789012345);
-  EXPECT_EQ(read->membersSeen, 411u);
-  EXPECT_EQ(read->lagMs, 1.5);
+  const auto parsed = parseStubReport(textOf(report));
+  ASSERT_TRUE(parsed);
+  EXPECT_EQ(parsed->port, 4711);
+  EXPECT_EQ(parsed->revision, 7);
+  EXPECT_EQ(parsed->wholeLists, 2u);
+  EXPECT_EQ(parsed->changedAtNs, 123456789012345);
+  EXPECT_EQ(parsed->membersSeen, 411u);
+  EXPECT_EQ(parsed->lagMs, 1.5);
   EXPECT_FALSE(parseStubReport("stub servers: Address already in use"));
   EXPECT_FALSE(parseStubReport("{\"port\":1}"));
   EXPECT_FALSE(parseStubReport(""));
 }
 
-// Plays until the condition holds, for ten seconds at the most.
+// Runs the event loop until the condition is true, for at most ten seconds.
 template <class Condition>
-bool runUntil(asio::io_context& io, Condition holds) {
-  const auto most = std::chrono::steady_clock::now() + std::chrono::seconds(10);
-  while (!holds() && std::chrono::steady_clock::now() < most)
+bool runUntil(asio::io_context& io, Condition condition) {
+  const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(10);
+  while (!condition() && std::chrono::steady_clock::now() < deadline)
     io.run_one_for(std::chrono::milliseconds(100));
-  return holds();
+  return condition();
 }
 
 std::vector<ListedServer> listed(std::size_t count) {
@@ -194,13 +195,13 @@
   return all;
 }
 
-// The gateway's own client of discovery against the emulated one.
+// Tests the emulated discovery with the gateway's own discovery client.
 class StubDiscoveryTest : public ::testing::Test {
  protected:
   StubDiscoveryTest() : discovery(io, listed(30)) {
     address = discovery.addAddress();
     client.emplace(io, discovery.endpoint(address),
-                   Discovery::Callbacks{[this](const EndpointList& list) { told.push_back(list); },
+                   Discovery::Callbacks{[this](const EndpointList& list) { lists.push_back(list); },
                                         [this] { ++failures; }},
                    Discovery::Timeouts{});
   }
@@ -208,23 +209,23 @@
   asio::io_context io;
   StubDiscovery discovery;
   std::size_t address = 0, failures = 0;
-  std::vector<EndpointList> told;
+  std::vector<EndpointList> lists;
   std::optional<Discovery> client;
 };
 
-TEST_F(StubDiscoveryTest, AClientTakesTheWholeListAndThenEachChange) {
+TEST_F(StubDiscoveryTest, ClientReceivesTheWholeListAndThenEachChange) {
   client->watch();
-  ASSERT_TRUE(runUntil(io, [&] { return told.size() == 1; }));
-  EXPECT_TRUE(told[0].snapshot);
-  EXPECT_EQ(told[0].endpoints.size(), 30u);
-  // A watch is asked for once the list was taken; the change may come before or after it.
+  ASSERT_TRUE(runUntil(io, [&] { return lists.size() == 1; }));
+  EXPECT_TRUE(lists[0].snapshot);
+  EXPECT_EQ(lists[0].endpoints.size(), 30u);
+  // The client starts its watch after it has received the list. The change may be made before or after that.
   const std::int64_t revision = discovery.toggleDraining(4);
-  ASSERT_TRUE(runUntil(io, [&] { return told.size() == 2; }));
-  EXPECT_FALSE(told[1].snapshot);
-  EXPECT_EQ(told[1].version, revision);
-  ASSERT_EQ(told[1].endpoints.size(), 1u);
-  EXPECT_EQ(told[1].endpoints[0].uid, "server-4");
-  EXPECT_EQ(told[1].endpoints[0].state, balancer::EndpointState::draining);
+  ASSERT_TRUE(runUntil(io, [&] { return lists.size() == 2; }));
+  EXPECT_FALSE(lists[1].snapshot);
+  EXPECT_EQ(lists[1].version, revision);
+  ASSERT_EQ(lists[1].endpoints.size(), 1u);
+  EXPECT_EQ(lists[1].endpoints[0].uid, "server-4");
+  EXPECT_EQ(lists[1].endpoints[0].state, balancer::EndpointState::draining);
   EXPECT_EQ(failures, 0u);
   const auto& counts = discovery.counts(address);
   EXPECT_EQ(counts.wholeLists, 1u);
@@ -233,44 +234,45 @@
   EXPECT_GT(counts.bytesIn, 50u);
 }
 
-TEST_F(StubDiscoveryTest, AfterACutAClientTakesWhatChangedAndFromOneThatForgotAllTheWholeList) {
+TEST_F(StubDiscoveryTest, AfterAnOutageClientReceivesChangesOrTheWholeListIfRevisionsWereLost) {
   client->watch();
-  ASSERT_TRUE(runUntil(io, [&] { return told.size() == 1; }));
+  ASSERT_TRUE(runUntil(io, [&] { return lists.size() == 1; }));
   discovery.suspend();
   ASSERT_TRUE(runUntil(io, [&] { return failures == 1; }));
   client->watch();
-  ASSERT_TRUE(runUntil(io, [&] { return failures == 2; })) << "nobody listens";
+  ASSERT_TRUE(runUntil(io, [&] { return failures == 2; }))
+      << "expected the connection to be refused while discovery is suspended";
   const std::int64_t revision = discovery.toggleDraining(1);
   discovery.resume(false);
   client->watch();
-  ASSERT_TRUE(runUntil(io, [&] { return told.size() == 2; }));
-  EXPECT_FALSE(told[1].snapshot);
-  EXPECT_EQ(told[1].version, revision);
+  ASSERT_TRUE(runUntil(io, [&] { return lists.size() == 2; }));
+  EXPECT_FALSE(lists[1].snapshot);
+  EXPECT_EQ(lists[1].version, revision);
   discovery.suspend();
   ASSERT_TRUE(runUntil(io, [&] { return failures == 3; }));
   discovery.resume(true);
   client->watch();
-  ASSERT_TRUE(runUntil(io, [&] { return told.size() == 3; }));
-  EXPECT_TRUE(told[2].snapshot);
-  EXPECT_EQ(told[2].endpoints.size(), 30u);
+  ASSERT_TRUE(runUntil(io, [&] { return lists.size() == 3; }));
+  EXPECT_TRUE(lists[2].snapshot);
+  EXPECT_EQ(lists[2].endpoints.size(), 30u);
 }
 
-TEST(StubServerTest, EachOfManyAddressesAnswers) {
+TEST(StubServerTest, RespondsAtEachOfManyAddresses) {
   asio::io_context io;
   StubServers servers(io, {kTestAddresses, 300, 0.5});
-  int well = 0, all = 0;
+  int successful = 0, completed = 0;
   for (const std::size_t number : {0, 150, 299})
     httpGet(io, stubServerEndpoint(kTestAddresses, number, servers.port()), "/lookup/1",
             std::chrono::seconds(5), [&](int status, const std::string& body) {
               ++all;
               well += status == 200 && body.find("\"id\"") != std::string::npos;
             });
-  EXPECT_TRUE(runUntil(io, [&] { return all == 3; }));
-  EXPECT_EQ(well, 3);
+  EXPECT_TRUE(runUntil(io, [&] { return completed == 3; }));
+  EXPECT_EQ(successful, 3);
   EXPECT_EQ(servers.requestsAnswered(), 3u);
 }
 
-// --- Small runs on processes ------------------------------------------------------------------------------
+// --- Runs with real processes -----------------------------------------------------------------------------
 
 ScalePlan smallPlan() {
   ScalePlan plan;
@@ -282,7 +284,7 @@
   plan.dimension = Dimension::servers;
   plan.values = {20};
   plan.idleS = 0.3;
-  plan.loadS = 1.2;  // the share of a core is judged over a second at least
+  plan.loadS = 1.2;  // the share of a core counts in windows of at least 1 s
   plan.warmS = 0.2;
   plan.hangups = 1;
   plan.listChanges = 2;
@@ -291,46 +293,48 @@
   return plan;
 }
 
-TEST(ScaleRunTest, RealAndStubGatewaysReportAllFigures) {
+TEST(ScaleRunTest, RunWithRealAndStubGatewaysMeasuresAllFigures) {
   ScalePlan plan = smallPlan();
   plan.size.stubs = 6;
   plan.size.tenants = 50;
   plan.size.classes = 9;
   plan.size.changes = 10;
   plan.membershipPeriodMs = 200;
-  plan.configuredGateways = 3;  // fewer than there are: their numbers go beyond it
-  std::size_t heard = 0;
-  const ScaleRun run = playScale(plan, [&](const StepResult&) { ++heard; });
-  EXPECT_EQ(heard, 1u);
+  plan.configuredGateways =
+      3;  // fewer than the step has, so that the step's number of gateways is configured
+  std::size_t stepsReported = 0;
+  const ScaleRun run = playScale(plan, [&](const StepResult&) { ++stepsReported; });
+  EXPECT_EQ(stepsReported, 1u);
   ASSERT_EQ(run.steps.size(), 1u);
   const StepResult& step = run.steps.front();
   for (std::size_t i = 0; i < kFigureCount; ++i)
     EXPECT_TRUE(step.figures[i]) << textOf(static_cast<Figure>(i)).name << " is missing: " << step.voidReason;
   EXPECT_GT(*step[Figure::requestUs], 0);
-  EXPECT_LT(*step[Figure::unservedPercent], 20) << "the load is light and its servers answer at once";
+  EXPECT_LT(*step[Figure::unservedPercent], 20) << "expected a light load on fast servers to be served";
   EXPECT_GT(*step[Figure::hangupMs], 0);
-  EXPECT_GT(*step[Figure::relistKb], 6 * 20 * 0.1) << "each of six took a list of twenty servers";
+  EXPECT_GT(*step[Figure::relistKb], 6 * 20 * 0.1)
+      << "expected each of 6 stub gateways to fetch a list of 20 servers";
 }
 
-TEST(ScaleRunTest, AStepForWhichTheTestbedWasTooSlowIsVoid) {
+TEST(ScaleRunTest, StepIsVoidWhenTheTestbedLags) {
   ScalePlan plan = smallPlan();
-  plan.maxHelperLagMs = 0;  // no loop is never late
+  plan.maxHelperLagMs = 0;  // every event loop exceeds this
   plan.maxTriesPerStep = 2;
   const ScaleRun run = playScale(plan, [](const StepResult&) {});
   EXPECT_TRUE(hasVoidStep(run));
   EXPECT_NE(run.steps.front().voidReason.find("ms late"), std::string::npos) << run.steps.front().voidReason;
 }
 
-TEST(ScaleRunTest, AProgramThatIsMissingOrEndsIsNamed) {
+TEST(ScaleRunTest, ErrorNamesAProgramThatIsMissingOrExits) {
   ScalePlan plan = smallPlan();
   plan.program = "/nonexistent/hollyrun";
   EXPECT_THROW(playScale(plan, [](const StepResult&) {}), std::runtime_error);
   plan.program = "/bin/false";
   try {
     playScale(plan, [](const StepResult&) {});
-    FAIL() << "a gateway that ends goes unnoticed";
+    FAIL() << "expected an error for a gateway that exits";
   } catch (const std::runtime_error& e) {
-    EXPECT_NE(std::string(e.what()).find("gateway-0 ended with 1"), std::string::npos) << e.what();
+    EXPECT_NE(std::string(e.what()).find("gateway-0 exited with code 1"), std::string::npos) << e.what();
   }
 }
 
@@ -343,7 +347,7 @@
   return all;
 }
 
-bool lives(pid_t pid) {
+bool isRunning(pid_t pid) {
   std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
   std::string line;
   std::getline(stat, line);
@@ -351,7 +355,8 @@
   return end != std::string::npos && line.substr(end + 2, 1) != "Z";
 }
 
-// Starts a run of its own process, ends that by the signal, and expects its four children to end with it.
+// Starts a run in a child process, ends it with the signal and expects its four child processes to end with
+// it.
 void expectNoneLeftAfter(int signal, int code) {
   const pid_t testbed = ::fork();
   if (testbed == 0) {
@@ -372,16 +377,17 @@
   int status = 0;
   ASSERT_EQ(::waitpid(testbed, &status, 0), testbed);
   EXPECT_EQ(WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status), code);
-  // The kernel ends them once the testbed is gone; the test's own limit of time ends this if it does not.
+  // The kernel kills the children after the testbed has ended. If it does not, the timeout of the test
+  // applies.
   for (const pid_t child : children)
-    while (lives(child))
+    while (isRunning(child))
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
 }
 
-TEST(ScaleRunTest, AnInterruptedRunLeavesNoProcess) {
+TEST(ScaleRunTest, InterruptedRunLeavesNoProcess) {
   expectNoneLeftAfter(SIGTERM, 130);
 }
-TEST(ScaleRunTest, AKilledRunLeavesNoProcess) {
+TEST(ScaleRunTest, KilledRunLeavesNoProcess) {
   expectNoneLeftAfter(SIGKILL, 128 + SIGKILL);
 }
 
