--- a/tests/faulty_gateway.cpp
+++ b/tests/faulty_gateway.cpp
@@ -34,7 +34,7 @@
           static_cast<unsigned short>(std::stoi(text.substr(colon + 1)))};
 }
 
-Response exchange(const tcp::endpoint& endpoint, const Request& request) {
+Response sendRequest(const tcp::endpoint& endpoint, const Request& request) {
   asio::io_context io;
   tcp::socket socket(io);
   socket.connect(endpoint);
@@ -50,7 +50,7 @@
   for (;;) {
     Request request{http::verb::get, target, 11};
     request.set(http::field::host, "discovery");
-    const auto body = nlohmann::json::parse(exchange(discovery, request).body());
+    const auto body = nlohmann::json::parse(sendRequest(discovery, request).body());
     const std::lock_guard<std::mutex> lock(serversMutex);
     for (const auto& listed : body["targets"]) {
       const tcp::endpoint server = endpointOf(listed["endpoint"]);
@@ -78,7 +78,7 @@
         const std::lock_guard<std::mutex> lock(serversMutex);
         server = servers[(number + attempt) % servers.size()];
       }
-      response = exchange(server, request);
+      response = sendRequest(server, request);
       const bool unsafe = request["X-Class"] == "certificate";
       if (kFault == "twice" && unsafe && number % 8 == 0 && attempt == 0)
         continue;
